--- a/crates/gullcart-journal/benches/journal.rs
+++ b/crates/gullcart-journal/benches/journal.rs
@@ -1,81 +1,85 @@
-//! Append, the mixed cycle and replay, beside the journal of releases before 0.2 and embedded stores.
+//! Benchmarks of a full message cycle, of appends and of replay, compared with the journal of releases before 0.2 and with
+//! embedded stores.
 //!
 //!     cargo bench -p gullcart-journal
 
-mod kinds;
+mod backends;
 
+use backends::{Backend, Fjall, Redb, SegmentedJournal, SingleFileJournal};
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion};
-use kinds::{Fjall, Keep, New, Old, Redb};
 use std::path::PathBuf;
 
-struct Folder(PathBuf);
+/// A temporary folder that is removed when dropped.
+struct TempFolder(PathBuf);
 
-impl Folder {
+impl TempFolder {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("gullcart-bench-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
         std::fs::create_dir_all(&path).expect("a folder can be made");
-        Folder(path)
+        TempFolder(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
 const MESSAGES: u64 = 1000;
-const DISK: u64 = 8_000_000;
+const DISK_BYTES: u64 = 8_000_000;
 
-fn cycle<K: Keep>(criterion: &mut Criterion, name: &str) {
-    let folder = Folder::new(name);
-    let mut keep = K::open(&folder.0, DISK);
-    let mut held: std::collections::VecDeque<u32> = (0..MESSAGES).map(|number| keep.take(number)).collect();
+fn cycle<B: Backend>(criterion: &mut Criterion, name: &str) {
+    let folder = TempFolder::new(name);
+    let mut backend = B::open(&folder.0, DISK_BYTES);
+    let mut pending: std::collections::VecDeque<u32> =
+        (0..MESSAGES).map(|number| backend.accept(number)).collect();
     let mut next = MESSAGES;
     criterion.bench_function(&format!("cycle/{name}"), |bencher| {
         bencher.iter(|| {
-            let number = keep.take(next);
-            keep.start(number);
-            keep.outcome(number);
-            held.push_back(number);
-            if let Some(oldest) = held.pop_front() {
-                keep.over(oldest);
+            let number = backend.accept(next);
+            backend.start_attempt(number);
+            backend.finish_attempt(number);
+            pending.push_back(number);
+            if let Some(oldest) = pending.pop_front() {
+                backend.complete(oldest);
             }
             next += 1;
         });
     });
 }
 
-fn append<K: Keep>(criterion: &mut Criterion, name: &str) {
-    let folder = Folder::new(name);
-    let mut keep = K::open(&folder.0, DISK);
-    let number = keep.take(1);
-    criterion.bench_function(&format!("append/{name}"), |bencher| bencher.iter(|| keep.start(number)));
+fn append<B: Backend>(criterion: &mut Criterion, name: &str) {
+    let folder = TempFolder::new(name);
+    let mut backend = B::open(&folder.0, DISK_BYTES);
+    let number = backend.accept(1);
+    criterion
+        .bench_function(&format!("append/{name}"), |bencher| bencher.iter(|| backend.start_attempt(number)));
 }
 
-fn replay<K: Keep>(criterion: &mut Criterion, name: &str) {
-    let folder = Folder::new(name);
-    let mut keep = K::open(&folder.0, DISK);
+fn replay<B: Backend>(criterion: &mut Criterion, name: &str) {
+    let folder = TempFolder::new(name);
+    let mut backend = B::open(&folder.0, DISK_BYTES);
     for number in 0..3000 {
-        let number = keep.take(number);
-        keep.start(number);
+        let number = backend.accept(number);
+        backend.start_attempt(number);
     }
-    drop(keep);
+    drop(backend);
     criterion.bench_function(&format!("replay 3 MB/{name}"), |bencher| {
-        bencher.iter_batched(|| (), |()| K::open(&folder.0, DISK), BatchSize::PerIteration);
+        bencher.iter_batched(|| (), |()| B::open(&folder.0, DISK_BYTES), BatchSize::PerIteration);
     });
 }
 
 fn all(criterion: &mut Criterion) {
-    cycle::<New>(criterion, "segments");
-    cycle::<Old>(criterion, "one file");
+    cycle::<SegmentedJournal>(criterion, "segments");
+    cycle::<SingleFileJournal>(criterion, "one file");
     cycle::<Redb>(criterion, "redb");
     cycle::<Fjall>(criterion, "fjall");
-    append::<New>(criterion, "segments");
-    append::<Old>(criterion, "one file");
-    replay::<New>(criterion, "segments");
-    replay::<Old>(criterion, "one file");
+    append::<SegmentedJournal>(criterion, "segments");
+    append::<SingleFileJournal>(criterion, "one file");
+    replay::<SegmentedJournal>(criterion, "segments");
+    replay::<SingleFileJournal>(criterion, "one file");
 }
 
 criterion_group! {
--- a/crates/gullcart-journal/examples/measure.rs
+++ b/crates/gullcart-journal/examples/measure.rs
@@ -1,20 +1,20 @@
-//! Measures the journal beside that of releases before 0.2 and beside embedded stores, in one run. It prints Markdown
-//! tables for `docs/journal.md`.
+//! Measures the journal, that of releases before 0.2 and embedded stores in one run. Prints the Markdown tables of
+//! `docs/journal.md`. Arguments are sizes of live data in MB; `dead` measures the replay of a log without live data.
 //!
 //!     cargo run --release -p gullcart-journal --example measure -- 1 10 100 1000
 //!     cargo run --release -p gullcart-journal --example measure -- dead
 
-#[path = "../benches/kinds.rs"]
-mod kinds;
+#[path = "../benches/backends.rs"]
+mod backends;
 
+use backends::{Backend, Fjall, Redb, SegmentedJournal, SingleFileJournal, SyncedJournal, BODY_BYTES};
 use hdrhistogram::Histogram;
-use kinds::{Fjall, Keep, New, Old, Redb, Synced, BODY};
 use std::time::{Duration, Instant};
 
-/// Cycles measured, at the least.
-const CYCLES: u64 = 60_000;
-/// ... but for no longer than this.
-const LONGEST: Duration = Duration::from_secs(12);
+/// Least number of cycles that are measured, unless [`MAX_DURATION`] ends the measurement.
+const MIN_CYCLES: u64 = 60_000;
+/// Longest duration of one measurement.
+const MAX_DURATION: Duration = Duration::from_secs(12);
 
 fn main() {
     if std::env::args().nth(1).as_deref() == Some("dead") {
@@ -31,9 +31,9 @@
         println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     }
     for live in sizes {
-        let messages = live * 1_000_000 / (BODY as u64 + 100);
+        let messages = live * 1_000_000 / (BODY_BYTES as u64 + 100);
         for kind in ["segments", "segments, synced", "one file", "redb", "fjall"] {
-            // One process for each, so that memory is its own.
+            // Each kind runs in a process of its own, so that memory is measured separately.
             if std::env::var("MEASURE").is_err() {
                 let own = std::env::current_exe().expect("this program is a file");
                 let status = std::process::Command::new(own)
@@ -50,9 +50,9 @@
             let folder = std::env::temp_dir().join(format!("gullcart-measure-{}", std::process::id()));
             std::fs::create_dir_all(&folder).expect("a folder can be made");
             let row = match kind {
-                "segments" => measure::<New>(&folder, live, messages),
-                "segments, synced" => measure::<Synced>(&folder, live, messages),
-                "one file" => measure::<Old>(&folder, live, messages),
+                "segments" => measure::<SegmentedJournal>(&folder, live, messages),
+                "segments, synced" => measure::<SyncedJournal>(&folder, live, messages),
+                "one file" => measure::<SingleFileJournal>(&folder, live, messages),
                 "redb" => measure::<Redb>(&folder, live, messages),
                 _ => measure::<Fjall>(&folder, live, messages),
             };
@@ -62,87 +62,87 @@
     }
 }
 
-/// A log of a gigabyte of which next to nothing is live: what replaying it holds in memory.
+/// Measures time and memory of replaying a log of 1 GB with almost no live data.
 fn replay_dead(folder: &std::path::Path) -> String {
-    let disk = 1_060_000_000;
-    let mut keep = New::open(folder, disk);
-    // It lives in the oldest segment, so that nothing behind it is freed until the disk is full.
-    keep.take(0);
+    let disk_bytes = 1_060_000_000;
+    let mut journal = SegmentedJournal::open(folder, disk_bytes);
+    // This message stays pending in the oldest segment, so that no segment is freed until the disk is full.
+    journal.accept(0);
     let mut next = 1;
-    while keep.written().is_some_and(|(asked, _)| asked < 1_000_000_000) {
-        let number = keep.take(next);
-        keep.over(number);
+    while journal.written_bytes().is_some_and(|(appended, _)| appended < 1_000_000_000) {
+        let number = journal.accept(next);
+        journal.complete(number);
         next += 1;
     }
-    drop(keep);
+    drop(journal);
     let before = rss_mb();
     let begun = Instant::now();
-    let keep = New::open(folder, disk);
+    let journal = SegmentedJournal::open(folder, disk_bytes);
     let replay = begun.elapsed().as_secs_f64() * 1e3;
-    let held = keep.held();
+    let pending = journal.pending_messages();
     format!(
-        "replaying 1 GB with {held} held: {replay:.0} ms, {:.1} MB more than before it",
+        "replaying 1 GB with {pending} held: {replay:.0} ms, {:.1} MB more than before it",
         rss_mb() - before
     )
 }
 
-fn measure<K: Keep>(folder: &std::path::Path, live: u64, messages: u64) -> String {
-    let disk = (live as f64 * 1e6 * K::ROOM) as u64;
-    let mut keep = K::open(folder, disk);
-    let mut held: Vec<u32> = (0..messages).map(|number| keep.take(number)).collect();
+fn measure<B: Backend>(folder: &std::path::Path, live: u64, messages: u64) -> String {
+    let disk_bytes = (live as f64 * 1e6 * B::DISK_PER_LIVE) as u64;
+    let mut backend = B::open(folder, disk_bytes);
+    let mut pending: Vec<u32> = (0..messages).map(|number| backend.accept(number)).collect();
     let mut rng = fastrand::Rng::with_seed(1);
-    // Until the log has gone round once.
-    let cycles = CYCLES.max(messages * 2);
+    // Enough cycles that the whole log has been rewritten once.
+    let cycles = MIN_CYCLES.max(messages * 2);
     let mut next = messages;
-    let mut cycle = |keep: &mut K, held: &mut Vec<u32>, steps: Option<&mut Histogram<u64>>| {
-        let mut note = steps;
+    let mut cycle = |backend: &mut B, pending: &mut Vec<u32>, steps: Option<&mut Histogram<u64>>| {
+        let mut histogram = steps;
         let mut step = |work: &mut dyn FnMut()| {
             let begun = Instant::now();
             work();
-            if let Some(histogram) = &mut note {
+            if let Some(histogram) = &mut histogram {
                 let _ = histogram.record(begun.elapsed().as_nanos() as u64);
             }
         };
         let mut number = 0;
-        step(&mut || number = keep.take(next));
-        step(&mut || keep.start(number));
-        step(&mut || keep.outcome(number));
-        // Mostly the young end; of the old ones, any.
-        let place = if next.is_multiple_of(10) { rng.usize(..held.len()) } else { held.len() - 1 };
-        let ends = std::mem::replace(&mut held[place], number);
-        step(&mut || keep.over(ends));
+        step(&mut || number = backend.accept(next));
+        step(&mut || backend.start_attempt(number));
+        step(&mut || backend.finish_attempt(number));
+        // Mostly the most recent message is completed, and sometimes a random one.
+        let index = if next.is_multiple_of(10) { rng.usize(..pending.len()) } else { pending.len() - 1 };
+        let completed = std::mem::replace(&mut pending[index], number);
+        step(&mut || backend.complete(completed));
         next += 1;
     };
     for _ in 0..messages / 2 {
-        cycle(&mut keep, &mut held, None);
+        cycle(&mut backend, &mut pending, None);
     }
-    let before = keep.written();
+    let before = backend.written_bytes();
     let mut steps = Histogram::<u64>::new_with_bounds(1, 60_000_000_000, 3).expect("constant bounds");
     let begun = Instant::now();
     for _ in 0..cycles {
-        cycle(&mut keep, &mut held, Some(&mut steps));
-        if begun.elapsed() > LONGEST {
+        cycle(&mut backend, &mut pending, Some(&mut steps));
+        if begun.elapsed() > MAX_DURATION {
             break;
         }
     }
-    let took = begun.elapsed().as_secs_f64();
+    let elapsed = begun.elapsed().as_secs_f64();
     let done = steps.len() / 4;
-    let amplification = match (before, keep.written()) {
-        (Some((asked, all)), Some((asked_now, all_now))) => {
-            format!("{:.2}", (all_now - all) as f64 / (asked_now - asked) as f64)
+    let amplification = match (before, backend.written_bytes()) {
+        (Some((appended, all)), Some((appended_now, all_now))) => {
+            format!("{:.2}", (all_now - all) as f64 / (appended_now - appended) as f64)
         }
         _ => "-".to_owned(),
     };
-    drop(keep);
+    drop(backend);
     let begun = Instant::now();
-    let keep = K::open(folder, disk);
+    let backend = B::open(folder, disk_bytes);
     let replay = begun.elapsed().as_secs_f64() * 1e3;
     let memory = rss_mb();
-    drop(keep);
+    drop(backend);
     let us = |nanos: u64| nanos as f64 / 1e3;
     format!(
         "{:.0} | {:.1} | {:.0} | {:.0} | {amplification} | {replay:.0} | {memory:.0}",
-        done as f64 / took,
+        done as f64 / elapsed,
         us(steps.value_at_quantile(0.5)),
         us(steps.value_at_quantile(0.999)),
         us(steps.max()),
--- a/crates/gullcart-journal/src/error.rs
+++ b/crates/gullcart-journal/src/error.rs
@@ -1,102 +1,103 @@
-//! What can go wrong with a journal.
+//! Errors of the journal.
 
 use std::fmt;
 use std::io;
 use thiserror::Error;
 
-/// Why the journal cannot be read, or a record not be written.
+/// Why the journal cannot be read, or a record cannot be written.
 #[derive(Debug, Error)]
 pub enum JournalError {
-    /// The folder failed.
-    #[error("the journal cannot {doing} {file}: {error}")]
+    /// A file operation failed.
+    #[error("the journal cannot {operation} {file}: {error}")]
     Io {
-        /// What was tried.
-        doing: &'static str,
-        /// With which file.
+        /// The operation that failed.
+        operation: &'static str,
+        /// The file's name.
         file: String,
-        /// Why not.
+        /// The cause.
         error: io::Error,
     },
-    /// The folder is in use, or cannot be used at all.
+    /// The folder cannot be used, for example because another process uses it.
     #[error("the journal's folder: {0}")]
     Folder(io::Error),
-    /// A newer program wrote it. Nothing was touched.
+    /// A newer program wrote the journal. No file was changed.
     #[error(
-        "{file} has format {version}, and this program reads up to {known}; start a program that knows it"
+        "{file} has format {version}, and this program reads up to {supported}; start a program that knows it"
     )]
-    Newer {
-        /// Which file.
+    NewerVersion {
+        /// The file's name.
         file: String,
-        /// Its format.
+        /// Its format version.
         version: u32,
-        /// The newest that this program reads.
-        known: u32,
+        /// The newest version that this program reads.
+        supported: u32,
     },
-    /// Something is damaged that was promised. Nothing was touched.
+    /// Records that had been durable are damaged. No file was changed.
     #[error(
-        "{0}; nothing was changed. 'gullcartctl journal verify' says more, and 'gullcartctl journal repair' keeps the \
-         files aside and takes over what can be proven"
+        "{0}; nothing was changed. 'gullcartctl journal verify' shows details, and 'gullcartctl journal repair' keeps \
+         the damaged files aside and recovers all records that can be verified"
     )]
     Damaged(Damage),
-    /// A repair was cut off.
+    /// A repair was interrupted.
     #[error("a repair was not finished in {}; run 'gullcartctl journal repair' once more", .0.display())]
-    Unfinished(std::path::PathBuf),
-    /// There is no room for it now.
+    UnfinishedRepair(std::path::PathBuf),
+    /// There is no space for the record now.
     #[error("the journal is full")]
     Full,
-    /// It is larger than any record.
+    /// The record is larger than the format allows.
     #[error("a record of {0} bytes is too long for the journal")]
-    Long(usize),
-    /// It cannot be encoded.
+    RecordTooLong(usize),
+    /// The record cannot be encoded.
     #[error("a record cannot be encoded: {0}")]
     Encode(#[from] postcard::Error),
 }
 
-/// Damage before records that are good.
+/// Damage to records that had been durable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Damage {
-    /// Which file.
+    /// The file's name.
     pub file: String,
-    /// Bytes from its beginning.
+    /// Offset of the damage in the file, in bytes.
     pub offset: u64,
-    /// What is wrong there.
-    pub what: Wrong,
+    /// The kind of damage.
+    pub kind: DamageKind,
 }
 
 impl fmt::Display for Damage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} is damaged at byte {}: {}", self.file, self.offset, self.what)
+        write!(f, "{} is damaged at byte {}: {}", self.file, self.offset, self.kind)
     }
 }
 
-/// What is wrong at a place of the journal.
+/// Kinds of damage to a segment.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wrong {
-    /// Its header cannot be read, or belongs to another journal.
-    Header,
-    /// A record cannot be read, and good ones come after it.
-    Record,
-    /// A record reads well and means nothing to this program.
-    Unknown,
-    /// The file ends before the records that it had.
-    Short,
+pub enum DamageKind {
+    /// The segment's header cannot be read, or belongs to another journal.
+    InvalidHeader,
+    /// A record cannot be read, and valid records follow it.
+    UnreadableRecord,
+    /// A record has a valid checksum, but this program cannot decode it.
+    UnknownRecordKind,
+    /// The file ends before the last of its records.
+    Truncated,
     /// The file is missing.
     Missing,
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for DamageKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Wrong::Header => "its header cannot be read, or is of another journal",
-            Wrong::Record => "a record cannot be read, and good ones follow it",
-            Wrong::Unknown => "a record is of no kind that this program knows",
-            Wrong::Short => "it ends before the records that it had",
-            Wrong::Missing => "it is missing, and others come after it",
+            DamageKind::InvalidHeader => "its header cannot be read, or belongs to another journal",
+            DamageKind::UnreadableRecord => "a record cannot be read, and valid records follow it",
+            DamageKind::UnknownRecordKind => "a record is of a kind that this program does not know",
+            DamageKind::Truncated => "the file ends before the last of its records",
+            DamageKind::Missing => "the file is missing, and later segments exist",
         })
     }
 }
 
-pub(crate) fn doing(doing: &'static str, file: &str) -> impl FnOnce(io::Error) -> JournalError {
+/// Wraps an I/O error with the operation that failed and the file's name.
+pub(crate) fn io_error(operation: &'static str, file: &str) -> impl FnOnce(io::Error) -> JournalError {
     let file = file.to_owned();
-    move |error| JournalError::Io { doing, file, error }
+    move |error| JournalError::Io { operation, file, error }
 }
--- a/crates/gullcart-journal/src/frame.rs
+++ b/crates/gullcart-journal/src/frame.rs
@@ -1,80 +1,81 @@
-//! The bytes of a segment: its header, and the frame round each record. `docs/journal-format.md` has them one by one.
+//! Binary layout of a segment: its header, and the frame before each record. `docs/journal-format.md` describes each byte.
 
 use crc32fast::Hasher;
 
 /// The first bytes of every segment.
 pub const MAGIC: [u8; 8] = *b"GCJRNL\r\n";
-/// The format that this program writes, and the newest that it reads.
-pub const VERSION: u32 = 1;
-/// Bytes of a segment's header.
-pub const HEADER: u64 = 64;
-/// Bytes before each record's payload.
-pub const FRAME: u64 = 12;
-/// A longer payload is damage: the longest that is written is a message with its body.
-pub const LONGEST: u32 = 1 << 20;
-
-/// Whose segment, and which.
+/// The format version that this program writes, and the newest that it reads.
+pub const FORMAT_VERSION: u32 = 1;
+/// Size of a segment's header.
+pub const HEADER_BYTES: u64 = 64;
+/// Size of the frame before each record's payload.
+pub const FRAME_BYTES: u64 = 12;
+/// A frame with a longer payload counts as damaged. The longest payload that is written is a message with its body.
+pub const MAX_PAYLOAD_BYTES: u32 = 1 << 20;
+
+/// Identifies a segment: its journal and its position there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
-    /// Drawn when the journal was begun, the same in all of its segments.
-    pub identity: u64,
-    /// One more than that of the segment before.
+pub struct SegmentId {
+    /// Random id of the journal, drawn when it was created and the same in all of its segments.
+    pub journal_id: u64,
+    /// Sequence number, one more than that of the previous segment.
     pub sequence: u64,
 }
 
-/// What stands at the beginning of a segment.
+/// The header at the start of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// Whose and which it is.
-    pub place: Place,
-    /// Bytes of the segment before, header and records; 0 if there was none. What stands behind them never counted.
+    /// The segment's journal and sequence number.
+    pub id: SegmentId,
+    /// Size of the previous segment, header and records; 0 if there was none. Bytes of that segment past this size are not
+    /// part of the journal.
     pub previous_size: u64,
-    /// The oldest segment that was needed when this one was begun.
-    pub lowest: u64,
+    /// Sequence number of the oldest segment that was needed when this one was begun.
+    pub oldest_needed: u64,
 }
 
 /// Why a header cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BadHeader {
-    /// A newer program wrote it.
-    Newer(u32),
-    /// It is not one, or was damaged.
+pub enum HeaderError {
+    /// A newer program wrote it, with this format version.
+    NewerVersion(u32),
+    /// It is damaged, or is no header at all.
     Damaged,
 }
 
 impl Header {
-    /// Its bytes.
-    pub fn encode(&self) -> [u8; HEADER as usize] {
-        let mut out = [0; HEADER as usize];
+    /// Encodes the header.
+    pub fn encode(&self) -> [u8; HEADER_BYTES as usize] {
+        let mut out = [0; HEADER_BYTES as usize];
         out[..8].copy_from_slice(&MAGIC);
-        out[8..12].copy_from_slice(&VERSION.to_le_bytes());
-        out[16..24].copy_from_slice(&self.place.identity.to_le_bytes());
-        out[24..32].copy_from_slice(&self.place.sequence.to_le_bytes());
+        out[8..12].copy_from_slice(&FORMAT_VERSION.to_le_bytes());
+        out[16..24].copy_from_slice(&self.id.journal_id.to_le_bytes());
+        out[24..32].copy_from_slice(&self.id.sequence.to_le_bytes());
         out[32..40].copy_from_slice(&self.previous_size.to_le_bytes());
-        out[40..48].copy_from_slice(&self.lowest.to_le_bytes());
+        out[40..48].copy_from_slice(&self.oldest_needed.to_le_bytes());
         let sum = crc32fast::hash(&out[..48]);
         out[48..52].copy_from_slice(&sum.to_le_bytes());
         out
     }
 
-    /// Reads one. A newer version is told before anything else of it is believed.
-    pub fn decode(bytes: &[u8]) -> Result<Header, BadHeader> {
-        let bytes: &[u8; HEADER as usize] =
-            bytes.get(..HEADER as usize).and_then(|b| b.try_into().ok()).ok_or(BadHeader::Damaged)?;
+    /// Decodes a header. The version is checked before anything else is trusted, so that a newer format is reported as such.
+    pub fn decode(bytes: &[u8]) -> Result<Header, HeaderError> {
+        let bytes: &[u8; HEADER_BYTES as usize] =
+            bytes.get(..HEADER_BYTES as usize).and_then(|b| b.try_into().ok()).ok_or(HeaderError::Damaged)?;
         if bytes[..8] != MAGIC {
-            return Err(BadHeader::Damaged);
+            return Err(HeaderError::Damaged);
         }
         let version = u32_at(bytes, 8);
-        if version > VERSION {
-            return Err(BadHeader::Newer(version));
+        if version > FORMAT_VERSION {
+            return Err(HeaderError::NewerVersion(version));
         }
-        if version != VERSION || u32_at(bytes, 48) != crc32fast::hash(&bytes[..48]) {
-            return Err(BadHeader::Damaged);
+        if version != FORMAT_VERSION || u32_at(bytes, 48) != crc32fast::hash(&bytes[..48]) {
+            return Err(HeaderError::Damaged);
         }
         Ok(Header {
-            place: Place { identity: u64_at(bytes, 16), sequence: u64_at(bytes, 24) },
+            id: SegmentId { journal_id: u64_at(bytes, 16), sequence: u64_at(bytes, 24) },
             previous_size: u64_at(bytes, 32),
-            lowest: u64_at(bytes, 40),
+            oldest_needed: u64_at(bytes, 40),
         })
     }
 }
@@ -91,56 +92,57 @@
     u64::from_le_bytes(out)
 }
 
-/// The twelve bytes before a payload.
+/// The frame before a payload: length, durable size and checksum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// Bytes of the payload.
+    /// Size of the payload.
     pub length: u32,
-    /// Up to here the segment had outlasted all that it was to outlast when this record was written: a hole before
-    /// this place is damage, one behind it was promised to nobody.
-    pub settled: u32,
-    sum: u32,
+    /// How many bytes of the segment were durable, as configured, when this record was written. Unreadable bytes before
+    /// this offset are damage; after it they are an incomplete write that nobody relied on.
+    pub durable_size: u32,
+    checksum: u32,
 }
 
 impl Frame {
-    /// Reads one, whether it makes sense or not.
-    pub fn decode(bytes: &[u8; FRAME as usize]) -> Frame {
-        Frame { length: u32_at(bytes, 0), settled: u32_at(bytes, 4), sum: u32_at(bytes, 8) }
+    /// Decodes a frame without validating it.
+    pub fn decode(bytes: &[u8; FRAME_BYTES as usize]) -> Frame {
+        Frame { length: u32_at(bytes, 0), durable_size: u32_at(bytes, 4), checksum: u32_at(bytes, 8) }
     }
 
-    /// Whether it can be one at that offset, of a segment with so many bytes.
+    /// Whether the fields are possible for a frame at `offset` of a segment that ends at `end`.
     pub fn is_plausible(&self, offset: u64, end: u64) -> bool {
         self.length > 0
-            && self.length <= LONGEST
-            && u64::from(self.settled) <= offset
-            && offset + FRAME + u64::from(self.length) <= end
+            && self.length <= MAX_PAYLOAD_BYTES
+            && u64::from(self.durable_size) <= offset
+            && offset + FRAME_BYTES + u64::from(self.length) <= end
     }
 
-    /// Whether that payload belongs to it, at that offset of that segment.
-    pub fn fits(&self, place: Place, offset: u64, payload: &[u8]) -> bool {
-        self.sum == sum(place, offset, self.length, self.settled, payload)
+    /// Whether the checksum matches this payload at this offset of this segment.
+    pub fn matches(&self, segment: SegmentId, offset: u64, payload: &[u8]) -> bool {
+        self.checksum == checksum(segment, offset, self.length, self.durable_size, payload)
     }
 }
 
-fn sum(place: Place, offset: u64, length: u32, settled: u32, payload: &[u8]) -> u32 {
+fn checksum(segment: SegmentId, offset: u64, length: u32, durable_size: u32, payload: &[u8]) -> u32 {
     let mut hasher = Hasher::new();
-    hasher.update(&place.identity.to_le_bytes());
-    hasher.update(&place.sequence.to_le_bytes());
+    hasher.update(&segment.journal_id.to_le_bytes());
+    hasher.update(&segment.sequence.to_le_bytes());
     hasher.update(&offset.to_le_bytes());
     hasher.update(&length.to_le_bytes());
-    hasher.update(&settled.to_le_bytes());
+    hasher.update(&durable_size.to_le_bytes());
     hasher.update(payload);
     hasher.finalize()
 }
 
-/// Makes a record of a buffer that holds [`FRAME`] bytes of room and the payload behind them.
-pub fn seal(place: Place, offset: u64, settled: u64, buffer: &mut [u8]) {
-    let payload = &buffer[FRAME as usize..];
-    let (length, settled) = (payload.len() as u32, settled as u32);
-    let sum = sum(place, offset, length, settled, payload);
+/// Fills in the frame of a record in a buffer that holds [`FRAME_BYTES`] unused bytes followed by the payload.
+pub fn write_frame(segment: SegmentId, offset: u64, durable_size: u64, buffer: &mut [u8]) {
+    let payload = &buffer[FRAME_BYTES as usize..];
+    let length = payload.len() as u32;
+    let durable_size = durable_size as u32;
+    let checksum = checksum(segment, offset, length, durable_size, payload);
     buffer[..4].copy_from_slice(&length.to_le_bytes());
-    buffer[4..8].copy_from_slice(&settled.to_le_bytes());
-    buffer[8..12].copy_from_slice(&sum.to_le_bytes());
+    buffer[4..8].copy_from_slice(&durable_size.to_le_bytes());
+    buffer[8..12].copy_from_slice(&checksum.to_le_bytes());
 }
 
 #[cfg(test)]
--- a/crates/gullcart-journal/src/journal.rs
+++ b/crates/gullcart-journal/src/journal.rs
@@ -1,361 +1,395 @@
-//! The journal as its users see it: records before what they promise, and the image that they add up to.
-
-use crate::error::{doing, Damage, JournalError, Wrong};
-use crate::frame::FRAME;
-use crate::image::{Held, Image, OutageChanges, OutageNote, OutagePlace, Record, Sent, MOST_SUSPENDED};
-use crate::ledger::{Ledger, Next};
-use crate::log::{name, Active, Log, Sealed, Start};
-use crate::parts::parts;
-use crate::plan::{cost, on_disk, Plan, Purpose, Room};
+//! The journal as its users see it: records are written before any effect that relies on them, and replay to the current
+//! state.
+
+use crate::buffered_reader::BufferedReader;
+use crate::chunks::into_chunks;
+use crate::error::{io_error, Damage, DamageKind, JournalError};
+use crate::folder_scan::scan_folder;
+use crate::frame::FRAME_BYTES;
 use crate::repaired_folder::unfinished_repair;
-use crate::replay::{read, End, Form};
+use crate::replay::{read_segment, SegmentEnd, SegmentFormat};
+use crate::segment_index::{Scan, SegmentIndex};
+use crate::segment_log::{segment_file_name, ActiveSegment, OpenedSegments, SealedSegment, SegmentLog};
+use crate::space_plan::{message_cost, on_disk, RecordPurpose, SpacePlan, SpaceUsage};
+use crate::state::{
+    JournalState, OutageChanges, OutageKey, PendingMessage, PersistedOutage, Record, SentAttempt,
+    MAX_SUSPENDED_ENDPOINTS,
+};
 use crate::store::{Folder, Store};
-use crate::survey::survey;
-use crate::window::Window;
 use crate::{Durability, Options};
-use gullcart_message::{Taken, Update, Verdict};
+use gullcart_message::{AcceptedMessage, ListingUpdate, Verdict};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Bound;
 use std::path::Path;
 
-/// Entries of the list, destinations or outages in one record.
-const ENTRIES: usize = 64;
-const DESTINATIONS: usize = 2048;
-/// The list is written anew once it stands so many times its size behind, or its changes take so much.
-const STATE_BEHIND: u64 = 16;
-const STATE_CHANGES: u64 = 16 << 10;
-
-/// What was written and what of it is live, for people and measurements.
+/// Most listing entries, outages or uids in one record.
+const ENTRIES_PER_RECORD: usize = 64;
+/// Most destinations in one record.
+const DESTINATIONS_PER_RECORD: usize = 2048;
+/// A new snapshot of the shared state is written once this multiple of its size has been appended since the oldest segment
+/// that has a part of it.
+const MAX_SNAPSHOT_DISTANCE: u64 = 16;
+/// A new snapshot is also written once the changes since the last one take this much, and twice the snapshot's size.
+const MIN_SNAPSHOT_CHANGES_BYTES: u64 = 16 << 10;
+
+/// Statistics of a journal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
-    /// Bytes of records that were written for what happened.
-    pub appended: u64,
-    /// Bytes of records that were rewritten to free their segments.
-    pub rewritten: u64,
-    /// Segments freed.
-    pub freed: u64,
-    /// Segments there are.
+pub struct JournalStats {
+    /// Bytes of records that were appended for new events.
+    pub appended_bytes: u64,
+    /// Bytes of records that compaction rewrote to free their segments.
+    pub rewritten_bytes: u64,
+    /// Number of segments freed.
+    pub freed_segments: u64,
+    /// Number of segments at present.
     pub segments: u64,
-    /// All files as they count.
-    pub used: u64,
-    /// What is held, as it counts against what may be promised.
-    pub live: u64,
-    /// What could not be written yet: messages of which something is missing, one more for the list, and one for what a
-    /// failed write left behind.
-    pub unwritten: u64,
+    /// Size of all files on disk.
+    pub used_bytes: u64,
+    /// Bytes of live data, as charged against the limit for new messages.
+    pub live_bytes: u64,
+    /// What could not be written yet: the number of messages with missing records, plus one if a part of the shared state
+    /// is missing, and one if bytes of a failed write could not be truncated.
+    pub unwritten_changes: u64,
 }
 
-/// Where the list, the destinations and the outages stand.
+/// Where the shared state is stored: listing, destinations, outages, suspended endpoints and former uids.
 #[derive(Debug, Default)]
-struct State {
-    /// The oldest segment that has a part of it.
-    since: u64,
-    /// Bytes that it takes, changes since it was written anew included.
+struct SharedStateLocation {
+    /// Sequence number of the oldest segment that has a part of it.
+    oldest_segment: u64,
+    /// Bytes of the last snapshot and of all changes since.
     bytes: u64,
-    /// ... and when it was written anew.
-    bytes_anew: u64,
-    /// Something of it could not be written.
-    stale: bool,
-    /// What went meanwhile: writing the rest anew does not say so. Bounded by what there was.
-    gone: (BTreeSet<String>, BTreeSet<OutagePlace>),
-    pass: Option<Pass>,
+    /// Bytes of the last snapshot.
+    snapshot_bytes: u64,
+    /// A change could not be written: a new snapshot is due.
+    is_stale: bool,
+    /// Removed uids and outages whose removal could not be written. A snapshot lists only what exists, so these are
+    /// written before it. Bounded by the number of entries that existed.
+    unwritten_removals: (BTreeSet<String>, BTreeSet<OutageKey>),
+    snapshot: Option<SnapshotInProgress>,
 }
 
-/// The list, the destinations and the outages are being written anew.
+/// A snapshot of the shared state that is being written, one record at a time.
 #[derive(Debug)]
-struct Pass {
-    /// The segment that was written when it began.
-    began: u64,
+struct SnapshotInProgress {
+    /// Sequence number of the segment that was active when the snapshot was begun.
+    first_segment: u64,
     bytes: u64,
-    at: At,
+    position: SnapshotPosition,
 }
 
+/// The next part of a snapshot. Except for former uids, it holds the last entry already written.
 #[derive(Clone, Debug)]
-enum At {
+enum SnapshotPosition {
     Targets(Option<String>),
     Destinations(Option<u32>),
     Outages(Option<(u32, Option<String>)>),
     Suspended(Option<String>),
-    /// So many of them are written.
-    Former(usize),
+    /// Number of former uids already written.
+    FormerUids(usize),
 }
 
 /// A journal in a folder.
 pub struct Journal<S: Store = Folder> {
-    log: Log<S>,
-    plan: Plan,
-    image: Image,
-    ledger: Ledger,
-    /// What messages held count as.
-    live: u64,
-    state: State,
-    /// How far the oldest segment's messages have been gone through.
-    place: usize,
-    /// Its end was written down, and it is still there.
-    is_dead: bool,
-    /// What is to be rewritten in the next step.
-    due: u64,
-    /// Messages of which something could not be written.
-    unwritten: BTreeSet<u32>,
-    trouble: Option<JournalError>,
-    figures: Figures,
+    log: SegmentLog<S>,
+    plan: SpacePlan,
+    state: JournalState,
+    index: SegmentIndex,
+    /// Bytes charged for pending messages.
+    message_bytes: u64,
+    shared_state: SharedStateLocation,
+    /// Position in the oldest segment's list of messages up to which compaction has come.
+    compaction_position: usize,
+    /// The record that frees the oldest segment is written, and the segment is not yet removed.
+    is_oldest_freed: bool,
+    /// Bytes to rewrite in the next compaction step.
+    due_bytes: u64,
+    /// Messages of which a record could not be written.
+    unwritten_messages: BTreeSet<u32>,
+    maintenance_error: Option<JournalError>,
+    stats: JournalStats,
+    /// Reused buffer for encoded records.
     payload: Vec<u8>,
     #[cfg(feature = "broken")]
     early_ok: bool,
 }
 
 impl Journal<Folder> {
-    /// Opens the journal of a folder that nobody else uses, and replays it.
-    pub fn open(folder: &Path, disk: u64, options: Options) -> Result<Self, JournalError> {
+    /// Locks a folder, opens its journal and replays it.
+    pub fn open(folder: &Path, disk_bytes: u64, options: Options) -> Result<Self, JournalError> {
         let store = Folder::lock(folder).map_err(JournalError::Folder)?;
         if let Some(unfinished) = unfinished_repair(folder) {
-            return Err(JournalError::Unfinished(unfinished));
+            return Err(JournalError::UnfinishedRepair(unfinished));
         }
-        Self::replay(store, disk, options, fastrand::u64(1..))
+        Self::replay(store, disk_bytes, options, fastrand::u64(1..))
     }
 }
 
 impl<S: Store> Journal<S> {
-    /// Reads what a folder holds. A torn end promised nothing, and is cut off; damage is an error, and changes
-    /// nothing. A journal that is begun gets that identity.
-    pub fn replay(store: S, disk: u64, options: Options, identity: u64) -> Result<Self, JournalError> {
-        let plan = Plan::new(disk, options.segment);
-        let files = survey(&store)?;
-        let headless = files.segments.iter().find(|segment| segment.form.is_none());
-        if let Some(segment) = headless {
-            let file = name(segment.sequence);
-            return Err(JournalError::Damaged(Damage { file, offset: 0, what: Wrong::Header }));
-        }
-        let mut image = Image::default();
-        let mut ledger = Ledger::default();
-        let mut sealed: VecDeque<Sealed> = VecDeque::new();
+    /// Replays the journal of a folder. An incomplete last write is truncated, as nothing relied on it. Damage is an error,
+    /// and then no file is changed. An empty folder gets a new journal with the id `new_journal_id`.
+    pub fn replay(
+        store: S,
+        disk_bytes: u64,
+        options: Options,
+        new_journal_id: u64,
+    ) -> Result<Self, JournalError> {
+        let plan = SpacePlan::new(disk_bytes, options.segment_bytes);
+        let files = scan_folder(&store)?;
+        let without_header = files.segments.iter().find(|segment| segment.format.is_none());
+        if let Some(segment) = without_header {
+            let file = segment_file_name(segment.sequence);
+            let damage = Damage { file, offset: 0, kind: DamageKind::InvalidHeader };
+            return Err(JournalError::Damaged(damage));
+        }
+        let mut state = JournalState::default();
+        let mut index = SegmentIndex::default();
+        let mut sealed: VecDeque<SealedSegment> = VecDeque::new();
         let mut active = None;
-        let (mut lowest, mut state_since, mut state_bytes) = (files.lowest, None, 0);
+        let mut oldest_needed = files.oldest_needed;
+        let (mut shared_state_segment, mut shared_state_bytes) = (None, 0);
         let count = files.segments.len();
         for (at, segment) in files.segments.iter().enumerate() {
             let is_last = at + 1 == count;
-            let file = name(segment.sequence);
-            let handle = store.open(&file).map_err(doing("open", &file))?;
+            let name = segment_file_name(segment.sequence);
+            let file = store.open(&name).map_err(io_error("open", &name))?;
             let end =
                 files.segments.get(at + 1).and_then(|next| next.previous_size).unwrap_or(segment.length);
-            let damaged = |offset, what| JournalError::Damaged(Damage { file: file.clone(), offset, what });
-            ledger.open(segment.sequence);
-            let mut window = Window::new(&store, &handle);
-            let form = segment.form.unwrap_or(Form::Legacy);
-            let result = read(&mut window, form, end, is_last, |found| {
+            let damaged = |offset, kind| JournalError::Damaged(Damage { file: name.clone(), offset, kind });
+            index.add_segment(segment.sequence);
+            let mut reader = BufferedReader::new(&store, &file);
+            let format = segment.format.unwrap_or(SegmentFormat::Legacy);
+            let result = read_segment(&mut reader, format, end, is_last, |found| {
                 match &found.record {
-                    Record::Take(number, _) | Record::Whole(number, _) => {
-                        ledger.settle(*number, segment.sequence, found.bytes);
+                    Record::Accepted(number, _) | Record::FullMessage(number, _) => {
+                        index.insert(*number, segment.sequence, found.bytes);
                     }
-                    Record::Over(number) => ledger.forget(*number),
-                    Record::Freed { below, .. } => lowest = lowest.max(*below),
-                    Record::List { .. }
+                    Record::Completed(number) => index.remove(*number),
+                    Record::Freed { below, .. } => oldest_needed = oldest_needed.max(*below),
+                    Record::Listing { .. }
                     | Record::Destinations(_)
                     | Record::Outages { .. }
                     | Record::Suspended { .. }
-                    | Record::Former(_)
-                    | Record::Told(_)
-                    | Record::Remembered(_) => {
-                        state_since.get_or_insert(segment.sequence);
-                        state_bytes += found.bytes;
+                    | Record::FormerUids(_)
+                    | Record::LegacyListing(_)
+                    | Record::LegacyOutages(_) => {
+                        shared_state_segment.get_or_insert(segment.sequence);
+                        shared_state_bytes += found.bytes;
                     }
-                    Record::Start(..) | Record::Outcome(..) | Record::Owe(..) => {}
+                    Record::AttemptStarted(..) | Record::AttemptFinished(..) | Record::VerdictSet(..) => {}
                 }
-                image.apply(found.record);
+                state.apply(found.record);
             });
-            let size = match result.map_err(doing("read", &file))? {
-                End::Whole(size) => size,
-                End::Damaged(offset, what) => return Err(damaged(offset, what)),
+            let size = match result.map_err(io_error("read", &name))? {
+                SegmentEnd::Valid(size) => size,
+                SegmentEnd::Damaged(offset, kind) => return Err(damaged(offset, kind)),
             };
             if is_last && segment.sequence > 0 {
-                active = Some(Active {
-                    file: handle,
+                active = Some(ActiveSegment {
+                    file,
                     sequence: segment.sequence,
                     size,
                     length: segment.length,
-                    settled: size,
+                    durable_size: size,
                 });
             } else {
                 let on_disk = on_disk(segment.length);
-                sealed.push_back(Sealed { sequence: segment.sequence, size, on_disk });
+                sealed.push_back(SealedSegment { sequence: segment.sequence, size, on_disk });
             }
         }
-        if let Some(first) = files.segments.first().filter(|first| first.sequence > lowest) {
-            let file = name(first.sequence - 1);
-            return Err(JournalError::Damaged(Damage { file, offset: 0, what: Wrong::Missing }));
+        if let Some(first) = files.segments.first().filter(|first| first.sequence > oldest_needed) {
+            let file = segment_file_name(first.sequence - 1);
+            return Err(JournalError::Damaged(Damage { file, offset: 0, kind: DamageKind::Missing }));
         }
-        // All that follows may be cut off anywhere, and is done again at the next start.
+        // The clean-up below may be interrupted anywhere; the next start repeats it.
         for name in &files.leftovers {
-            store.remove(name).map_err(doing("remove", name))?;
+            store.remove(name).map_err(io_error("remove", name))?;
         }
         if let Some(active) = &mut active {
-            store.set_length(&active.file, active.size).map_err(doing("cut", &name(active.sequence)))?;
+            let name = segment_file_name(active.sequence);
+            store.set_length(&active.file, active.size).map_err(io_error("cut", &name))?;
             active.length = active.size;
         }
         if options.durability == Durability::Machine {
-            // What the process before left may not be on the disk yet, nor the names of its files.
+            // The previous process may not have synced its last records, nor the names of its files.
             if let Some(active) = &active {
-                store.sync(&active.file).map_err(doing("sync", &name(active.sequence)))?;
+                let name = segment_file_name(active.sequence);
+                store.sync(&active.file).map_err(io_error("sync", &name))?;
             }
-            store.sync_names().map_err(JournalError::Folder)?;
+            store.sync_directory().map_err(JournalError::Folder)?;
         }
         if files.segments.is_empty() {
-            lowest = 1;
-        }
-        let live = image.held.values().map(held_cost).sum();
-        let start = Start { identity: files.identity.unwrap_or(identity), sealed, active, lowest };
-        let log = Log::new(store, plan, options.durability, files.others, start);
-        let since = state_since.unwrap_or(log.current());
-        let state = State { since, bytes: state_bytes, ..State::default() };
+            oldest_needed = 1;
+        }
+        let message_bytes = state.pending.values().map(pending_cost).sum();
+        let journal_id = files.journal_id.unwrap_or(new_journal_id);
+        let opened = OpenedSegments { journal_id, sealed, active, oldest_needed };
+        let log = SegmentLog::new(store, plan, options.durability, files.other_files_bytes, opened);
+        let shared_state = SharedStateLocation {
+            oldest_segment: shared_state_segment.unwrap_or(log.current_sequence()),
+            bytes: shared_state_bytes,
+            ..SharedStateLocation::default()
+        };
         Ok(Journal {
             log,
             plan,
-            image,
-            ledger,
-            live,
             state,
-            place: 0,
-            is_dead: false,
-            due: 0,
-            unwritten: BTreeSet::new(),
-            trouble: None,
-            figures: Figures::default(),
+            index,
+            message_bytes,
+            shared_state,
+            compaction_position: 0,
+            is_oldest_freed: false,
+            due_bytes: 0,
+            unwritten_messages: BTreeSet::new(),
+            maintenance_error: None,
+            stats: JournalStats::default(),
             payload: Vec::new(),
             #[cfg(feature = "broken")]
             early_ok: false,
         })
     }
 
-    /// A journal that says that a message is written when it is not.
+    /// Injects a fault for tests: with `early_ok`, [`Journal::accept`] reports success without writing the message.
     #[cfg(feature = "broken")]
-    pub fn answering_early(self, early_ok: bool) -> Self {
+    pub fn with_early_ok(self, early_ok: bool) -> Self {
         Journal { early_ok, ..self }
     }
 
-    /// Takes over what another journal held.
-    pub(crate) fn adopt(&mut self, image: Image) -> Result<(), JournalError> {
-        self.destinations(image.destinations)?;
-        let notes: Vec<OutageNote> = image.outages.into_values().collect();
-        self.outages(&notes)?;
-        self.targets(&Update { rev: image.rev, all: true, targets: image.targets.into_values().collect() })?;
-        let former: Vec<String> = image.former.into();
-        self.state_records(former.chunks(ENTRIES).map(|part| Record::Former(part.to_vec())).collect())?;
-        let suspended: Vec<String> = image.suspended.into_iter().collect();
-        let record = |part: &[String]| Record::Suspended { set: part.to_vec(), gone: Vec::new() };
-        self.state_records(suspended.chunks(ENTRIES).map(record).collect())?;
-        for (number, held) in image.held {
-            self.live += held_cost(&held);
-            let written = self.write(Purpose::Progress, Record::Whole(number, held))?;
-            self.tend(written);
-        }
-        self.write(Purpose::Progress, Record::Freed { below: 0, last: image.last })?;
+    /// Writes the state of another journal into this one, which is empty.
+    pub(crate) fn import(&mut self, state: JournalState) -> Result<(), JournalError> {
+        self.add_destinations(state.destinations)?;
+        let outages: Vec<PersistedOutage> = state.outages.into_values().collect();
+        self.set_outages(&outages)?;
+        let targets = state.targets.into_values().collect();
+        self.update_listing(&ListingUpdate { rev: state.listing_rev, all: true, targets })?;
+        let former: Vec<String> = state.former_uids.into();
+        let record = |chunk: &[String]| Record::FormerUids(chunk.to_vec());
+        self.write_shared_state(former.chunks(ENTRIES_PER_RECORD).map(record).collect())?;
+        let suspended: Vec<String> = state.suspended_uids.into_iter().collect();
+        let record = |chunk: &[String]| Record::Suspended { set: chunk.to_vec(), gone: Vec::new() };
+        self.write_shared_state(suspended.chunks(ENTRIES_PER_RECORD).map(record).collect())?;
+        for (number, pending) in state.pending {
+            self.message_bytes += pending_cost(&pending);
+            let written = self.write(RecordPurpose::Progress, Record::FullMessage(number, pending))?;
+            self.maintain(written);
+        }
+        let record = Record::Freed { below: 0, last: state.last_number };
+        self.write(RecordPurpose::Progress, record)?;
         self.commit()
     }
 
-    /// What the records add up to.
-    pub fn image(&self) -> &Image {
-        &self.image
+    /// The state to which the records replay.
+    pub fn state(&self) -> &JournalState {
+        &self.state
     }
 
-    /// What was written so far, and how things stand.
-    pub fn figures(&self) -> Figures {
-        Figures {
+    /// Statistics of the journal.
+    pub fn stats(&self) -> JournalStats {
+        JournalStats {
             segments: self.log.sealed().len() as u64 + 1,
-            used: self.log.used(),
-            live: self.live + self.state.bytes,
-            unwritten: self.unwritten.len() as u64
-                + u64::from(self.state.stale)
-                + u64::from(self.log.is_suspect()),
-            ..self.figures
+            used_bytes: self.log.used_bytes(),
+            live_bytes: self.message_bytes + self.shared_state.bytes,
+            unwritten_changes: self.unwritten_messages.len() as u64
+                + u64::from(self.shared_state.is_stale)
+                + u64::from(self.log.has_unwanted_tail()),
+            ..self.stats
         }
     }
 
-    /// Takes a message on and gives it its number; after this it outlasts the process.
-    pub fn take(&mut self, taken: Taken) -> Result<u32, JournalError> {
-        let number = self.image.last.checked_add(1).ok_or(JournalError::Full)?;
-        let cost = taken_cost(&taken);
-        let record = Record::Take(number, taken);
+    /// Accepts a message and returns its number. Once this returns, the message survives a crash of the process.
+    pub fn accept(&mut self, message: AcceptedMessage) -> Result<u32, JournalError> {
+        let number = self.state.last_number.checked_add(1).ok_or(JournalError::Full)?;
+        let cost = accepted_cost(&message);
+        let record = Record::Accepted(number, message);
         #[cfg(feature = "broken")]
         if self.early_ok {
-            self.image.apply(record);
+            self.state.apply(record);
             return Ok(number);
         }
-        if !self.plan.may_promise(&self.room(), cost) {
+        if !self.plan.may_accept(&self.usage(), cost) {
             return Err(JournalError::Full);
         }
-        let written = self.write(Purpose::Promise, record)?;
-        self.live += cost;
-        self.tend(written);
+        let written = self.write(RecordPurpose::Accept, record)?;
+        self.message_bytes += cost;
+        self.maintain(written);
         Ok(number)
     }
 
-    /// An attempt begins. If this fails it must not be made: the next process would not know of it.
-    pub fn start(&mut self, number: u32, sent: Sent) -> Result<(), JournalError> {
-        let written = self.write(Purpose::Progress, Record::Start(number, sent))?;
-        self.tend(written);
+    /// Records that an attempt begins. If this fails the attempt must not be made, as it would be unknown after a restart.
+    pub fn start_attempt(&mut self, number: u32, sent: SentAttempt) -> Result<(), JournalError> {
+        let written = self.write(RecordPurpose::Progress, Record::AttemptStarted(number, sent))?;
+        self.maintain(written);
         Ok(())
     }
 
-    /// The attempt that was out has an outcome; whether it may have run.
-    pub fn outcome(&mut self, number: u32, may_have_run: bool) -> Result<(), JournalError> {
-        self.fact(number, Record::Outcome(number, may_have_run))
+    /// Records that the attempt in flight has ended, and whether it may have run.
+    pub fn finish_attempt(&mut self, number: u32, may_have_run: bool) -> Result<(), JournalError> {
+        self.write_event(number, Record::AttemptFinished(number, may_have_run))
     }
 
-    /// The end that is to be told.
-    pub fn owe(&mut self, number: u32, verdict: Verdict) -> Result<(), JournalError> {
-        self.fact(number, Record::Owe(number, verdict))
+    /// Records that a message will not be delivered, and with which verdict the client is to be notified.
+    pub fn set_verdict(&mut self, number: u32, verdict: Verdict) -> Result<(), JournalError> {
+        self.write_event(number, Record::VerdictSet(number, verdict))
     }
 
-    /// A message has its end: it was delivered, its notice was answered, or nobody wants it.
-    pub fn over(&mut self, number: u32) -> Result<(), JournalError> {
-        let Some(held) = self.image.held.get(&number) else { return Ok(()) };
-        self.live = self.live.saturating_sub(held_cost(held));
-        self.fact(number, Record::Over(number))
+    /// Completes a message: it was delivered, its notice was acknowledged, or it is not wanted any more.
+    pub fn complete(&mut self, number: u32) -> Result<(), JournalError> {
+        let Some(pending) = self.state.pending.get(&number) else { return Ok(()) };
+        self.message_bytes = self.message_bytes.saturating_sub(pending_cost(pending));
+        self.write_event(number, Record::Completed(number))
     }
 
-    /// The list of endpoints was told, or what changed in it.
-    pub fn targets(&mut self, update: &Update) -> Result<(), JournalError> {
-        let (set, gone, destinations) = self.image.changes(update);
+    /// Records a listing of endpoints, or the changes of one.
+    pub fn update_listing(&mut self, update: &ListingUpdate) -> Result<(), JournalError> {
+        let (set, gone, destinations) = self.state.listing_changes(update);
         let mut records = Vec::new();
-        records.extend(parts(destinations, DESTINATIONS).map(Record::Destinations));
-        let removed = |gone| Record::List { rev: None, set: Vec::new(), gone };
-        records.extend(parts(gone, ENTRIES).map(removed));
-        let listed = |set| Record::List { rev: None, set, gone: Vec::new() };
-        records.extend(parts(set, ENTRIES).map(listed));
-        // The version comes last: a start before that asks for all of it once more.
+        records.extend(into_chunks(destinations, DESTINATIONS_PER_RECORD).map(Record::Destinations));
+        let removed = |gone| Record::Listing { rev: None, set: Vec::new(), gone };
+        records.extend(into_chunks(gone, ENTRIES_PER_RECORD).map(removed));
+        let listed = |set| Record::Listing { rev: None, set, gone: Vec::new() };
+        records.extend(into_chunks(set, ENTRIES_PER_RECORD).map(listed));
+        // The revision comes last: after a crash before it, the courier asks discovery for the whole listing again.
         match records.last_mut() {
-            Some(Record::List { rev, set, .. }) if !set.is_empty() => *rev = Some(update.rev),
-            _ => records.push(Record::List { rev: Some(update.rev), set: Vec::new(), gone: Vec::new() }),
+            Some(Record::Listing { rev, set, .. }) if !set.is_empty() => *rev = Some(update.rev),
+            _ => records.push(Record::Listing { rev: Some(update.rev), set: Vec::new(), gone: Vec::new() }),
         }
-        self.state_records(records)
+        self.write_shared_state(records)
     }
 
-    /// Destinations that messages may be taken on for, besides those of the list.
-    pub fn destinations(&mut self, destinations: impl IntoIterator<Item = u32>) -> Result<(), JournalError> {
-        let known = &self.image.destinations;
-        let more: Vec<u32> = destinations.into_iter().filter(|number| !known.contains(number)).collect();
-        self.state_records(
-            more.chunks(DESTINATIONS).map(|part| Record::Destinations(part.to_vec())).collect(),
+    /// Adds destinations for which messages may be accepted, besides those of the listing.
+    pub fn add_destinations(
+        &mut self,
+        destinations: impl IntoIterator<Item = u32>,
+    ) -> Result<(), JournalError> {
+        let known = &self.state.destinations;
+        let new: Vec<u32> = destinations.into_iter().filter(|number| !known.contains(number)).collect();
+        self.write_shared_state(
+            new.chunks(DESTINATIONS_PER_RECORD).map(|chunk| Record::Destinations(chunk.to_vec())).collect(),
         )
     }
 
-    /// Something that was told has not been written: all of it has to be told once more.
+    /// Whether a reported change could not be written. Then all current outages have to be passed to
+    /// [`Journal::set_outages`] again.
     pub fn is_behind(&self) -> bool {
-        self.state.stale || self.log.is_suspect() || !self.unwritten.is_empty()
+        self.shared_state.is_stale || self.log.has_unwanted_tail() || !self.unwritten_messages.is_empty()
     }
 
-    /// All that is to be remembered of outages now.
-    pub fn outages(&mut self, notes: &[OutageNote]) -> Result<(), JournalError> {
-        if !self.is_behind() && self.image.has_outages(notes) {
+    /// Records the current outages of all destinations.
+    pub fn set_outages(&mut self, outages: &[PersistedOutage]) -> Result<(), JournalError> {
+        if !self.is_behind() && self.state.outages_match(outages) {
             return Ok(());
         }
-        let changes = self.image.outage_changes(notes);
+        let changes = self.state.outage_changes(outages);
         self.write_outages(changes)
     }
 
-    /// All that is to be remembered now of the outages of some destinations, where those of all others are as they were told.
-    pub fn outages_of(&mut self, destinations: &[u32], notes: &[OutageNote]) -> Result<(), JournalError> {
-        let changes = self.image.outage_changes_of(destinations, notes);
+    /// Records the current outages of some destinations; those of all others have not changed.
+    pub fn set_outages_of(
+        &mut self,
+        destinations: &[u32],
+        outages: &[PersistedOutage],
+    ) -> Result<(), JournalError> {
+        let changes = self.state.outage_changes_of(destinations, outages);
         if changes.set.is_empty() && changes.gone.is_empty() {
             return Ok(());
         }
@@ -364,408 +398,467 @@
 
     fn write_outages(&mut self, OutageChanges { set, gone }: OutageChanges) -> Result<(), JournalError> {
         let mut records: Vec<Record> = Vec::new();
-        records.extend(parts(gone, ENTRIES).map(|gone| Record::Outages { set: Vec::new(), gone }));
-        records.extend(parts(set, ENTRIES).map(|set| Record::Outages { set, gone: Vec::new() }));
-        self.state_records(records)
+        let removed = |gone| Record::Outages { set: Vec::new(), gone };
+        records.extend(into_chunks(gone, ENTRIES_PER_RECORD).map(removed));
+        let changed = |set| Record::Outages { set, gone: Vec::new() };
+        records.extend(into_chunks(set, ENTRIES_PER_RECORD).map(changed));
+        self.write_shared_state(records)
     }
 
-    /// An endpoint is out by an operator's word, or back. Nothing has changed where this fails.
-    pub fn suspend(&mut self, uid: &str, is_out: bool) -> Result<(), JournalError> {
-        if self.image.suspended.contains(uid) == is_out {
+    /// Records that an operator suspended or resumed an endpoint. If this fails, nothing has changed.
+    pub fn set_suspended(&mut self, uid: &str, is_suspended: bool) -> Result<(), JournalError> {
+        if self.state.suspended_uids.contains(uid) == is_suspended {
             return Ok(());
         }
-        if is_out && self.image.suspended.len() >= MOST_SUSPENDED {
+        if is_suspended && self.state.suspended_uids.len() >= MAX_SUSPENDED_ENDPOINTS {
             return Err(JournalError::Full);
         }
         let uids = vec![uid.to_owned()];
-        let record = match is_out {
+        let record = match is_suspended {
             true => Record::Suspended { set: uids, gone: Vec::new() },
             false => Record::Suspended { set: Vec::new(), gone: uids },
         };
-        let written = self.write(Purpose::Progress, record)?;
-        self.tend(written);
+        let written = self.write(RecordPurpose::Progress, record)?;
+        self.maintain(written);
         Ok(())
     }
 
-    /// All that was written outlasts what it is to outlast: before anything that it promises leaves the process. A
-    /// failure is final, as nobody can know what is on the disk; the process has to end.
+    /// Makes all written records durable, as configured. This has to come before any effect that relies on them leaves the
+    /// process. A failure is final: it is unknown what is on the disk, so the process has to end.
     pub fn commit(&mut self) -> Result<(), JournalError> {
         self.log.commit()
     }
 
-    /// What went wrong while room was made, if anything did since the last time.
-    pub fn trouble(&mut self) -> Option<JournalError> {
-        self.trouble.take()
+    /// Returns the last error of compaction since the previous call, if there was one.
+    pub fn take_maintenance_error(&mut self) -> Option<JournalError> {
+        self.maintenance_error.take()
     }
 
-    fn room(&self) -> Room {
-        let need = self.log.oldest().map(|oldest| {
-            let state = if self.state.since <= oldest.sequence { self.state.bytes } else { 0 };
-            self.ledger.live(oldest.sequence) + state
+    fn usage(&self) -> SpaceUsage {
+        let oldest_live_bytes = self.log.oldest().map(|oldest| {
+            let shared_state = &self.shared_state;
+            let shared_state_bytes =
+                if shared_state.oldest_segment <= oldest.sequence { shared_state.bytes } else { 0 };
+            self.index.live_bytes(oldest.sequence) + shared_state_bytes
         });
-        Room {
-            used: self.log.used(),
-            aside: self.log.aside(),
-            need,
-            held: self.image.held.len() as u64,
-            live: self.live + self.state.bytes,
-            is_tight: self.log.is_tight(),
+        SpaceUsage {
+            used_bytes: self.log.used_bytes(),
+            preallocated_bytes: self.log.preallocated_bytes(),
+            oldest_live_bytes,
+            pending_messages: self.state.pending.len() as u64,
+            live_bytes: self.message_bytes + self.shared_state.bytes,
+            is_disk_full: self.log.is_disk_full(),
         }
     }
 
-    /// Something that has happened, whether it can be written or not: it is written later if not now.
-    fn fact(&mut self, number: u32, record: Record) -> Result<(), JournalError> {
-        match self.write(Purpose::End, record.clone()) {
+    /// Records an event that has already happened. The state changes even if the record cannot be written now; it is
+    /// written later.
+    fn write_event(&mut self, number: u32, record: Record) -> Result<(), JournalError> {
+        match self.write(RecordPurpose::Completion, record.clone()) {
             Ok(written) => {
-                self.tend(written);
+                self.maintain(written);
                 Ok(())
             }
             Err(error) => {
-                if matches!(record, Record::Over(_)) {
-                    self.ledger.forget(number);
+                if matches!(record, Record::Completed(_)) {
+                    self.index.remove(number);
                 }
-                self.image.apply(record);
-                self.unwritten.insert(number);
+                self.state.apply(record);
+                self.unwritten_messages.insert(number);
                 Err(error)
             }
         }
     }
 
-    fn state_records(&mut self, records: Vec<Record>) -> Result<(), JournalError> {
+    /// Writes changes of the shared state. After a failure the state changes all the same, and a snapshot becomes due.
+    fn write_shared_state(&mut self, records: Vec<Record>) -> Result<(), JournalError> {
         let mut result = Ok(0);
         for record in records {
             if let Ok(before) = result {
-                result = self.write(Purpose::Progress, record.clone()).map(|written| before + written);
+                result = self.write(RecordPurpose::Progress, record.clone()).map(|written| before + written);
             }
             if result.is_err() {
-                // Known all the same, and written anew from the beginning as soon as that can be.
+                let (uids, outages) = &mut self.shared_state.unwritten_removals;
                 match &record {
-                    Record::List { gone, .. } => self.state.gone.0.extend(gone.iter().cloned()),
-                    Record::Outages { gone, .. } => self.state.gone.1.extend(gone.iter().cloned()),
+                    Record::Listing { gone, .. } => uids.extend(gone.iter().cloned()),
+                    Record::Outages { gone, .. } => outages.extend(gone.iter().cloned()),
                     _ => {}
                 }
-                self.image.apply(record);
-                self.state.stale = true;
-                self.state.pass = None;
+                self.state.apply(record);
+                self.shared_state.is_stale = true;
+                self.shared_state.snapshot = None;
             }
         }
         let written = result?;
-        self.tend(written);
+        self.maintain(written);
         Ok(())
     }
 
-    /// Writes what was not written when it happened, then a record; its bytes. Where there is no room for it, some is
-    /// made first.
-    fn write(&mut self, purpose: Purpose, record: Record) -> Result<u64, JournalError> {
-        self.catch_up()?;
+    /// Writes records that could not be written before, then `record`; returns the size of the latter. If there is no
+    /// space, compacts first.
+    fn write(&mut self, purpose: RecordPurpose, record: Record) -> Result<u64, JournalError> {
+        self.write_missed_records()?;
         let mut payload = self.encode(&record)?;
-        let bytes = payload.len() as u64 + FRAME;
-        if !self.plan.may_write(&self.room(), purpose, bytes) {
+        let bytes = payload.len() as u64 + FRAME_BYTES;
+        if !self.plan.may_write(&self.usage(), purpose, bytes) {
             self.payload = payload;
-            self.clean(self.plan.hurry());
-            self.log.prepare(self.image.held.len() as u64);
+            self.compact(self.plan.forced_step_bytes());
+            self.log.prepare_spare(self.state.pending.len() as u64);
             payload = self.encode(&record)?;
         }
         let written = self.append(purpose, record, payload)?;
-        self.figures.appended += written;
+        self.stats.appended_bytes += written;
         Ok(written)
     }
 
-    fn catch_up(&mut self) -> Result<(), JournalError> {
-        while let Some(number) = self.unwritten.first().copied() {
-            let record = match self.image.held.get(&number) {
-                Some(held) => Record::Whole(number, held.clone()),
-                None => Record::Over(number),
+    /// Writes the current state of each message of which a record could not be written.
+    fn write_missed_records(&mut self) -> Result<(), JournalError> {
+        while let Some(number) = self.unwritten_messages.first().copied() {
+            let record = match self.state.pending.get(&number) {
+                Some(pending) => Record::FullMessage(number, pending.clone()),
+                None => Record::Completed(number),
             };
             let payload = self.encode(&record)?;
-            let bytes = self.append(Purpose::End, record, payload)?;
-            self.figures.appended += bytes;
-            self.unwritten.remove(&number);
+            let bytes = self.append(RecordPurpose::Completion, record, payload)?;
+            self.stats.appended_bytes += bytes;
+            self.unwritten_messages.remove(&number);
         }
         Ok(())
     }
 
-    /// A record's payload, in the buffer that is kept for it.
+    /// Encodes a record into the reused buffer.
     fn encode(&mut self, record: &Record) -> Result<Vec<u8>, JournalError> {
         let mut buffer = std::mem::take(&mut self.payload);
         buffer.clear();
         Ok(postcard::to_extend(record, buffer)?)
     }
 
-    /// Appends a record if its purpose may, and takes it into the image.
-    fn append(&mut self, purpose: Purpose, record: Record, payload: Vec<u8>) -> Result<u64, JournalError> {
-        let bytes = payload.len() as u64 + FRAME;
-        let result = match self.plan.may_write(&self.room(), purpose, bytes) {
+    /// Appends an encoded record if space allows it for this purpose, and applies it to the state.
+    fn append(
+        &mut self,
+        purpose: RecordPurpose,
+        record: Record,
+        payload: Vec<u8>,
+    ) -> Result<u64, JournalError> {
+        let bytes = payload.len() as u64 + FRAME_BYTES;
+        let result = match self.plan.may_write(&self.usage(), purpose, bytes) {
             true => self.log.append(&payload),
             false => Err(JournalError::Full),
         };
         self.payload = payload;
         let appended = result?;
-        if appended.begun {
-            self.ledger.open(appended.segment);
+        if appended.is_new_segment {
+            self.index.add_segment(appended.segment);
         }
         match &record {
-            Record::Take(number, _) | Record::Whole(number, _) => {
-                self.ledger.settle(*number, appended.segment, appended.bytes);
+            Record::Accepted(number, _) | Record::FullMessage(number, _) => {
+                self.index.insert(*number, appended.segment, appended.bytes);
             }
-            Record::Over(number) => self.ledger.forget(*number),
-            Record::List { .. }
+            Record::Completed(number) => self.index.remove(*number),
+            Record::Listing { .. }
             | Record::Destinations(_)
             | Record::Outages { .. }
             | Record::Suspended { .. }
-            | Record::Former(_) => {
-                self.state.bytes += appended.bytes;
+            | Record::FormerUids(_) => {
+                self.shared_state.bytes += appended.bytes;
             }
             _ => {}
         }
-        self.image.apply(record);
+        self.state.apply(record);
         Ok(appended.bytes)
     }
 
-    fn move_on(&mut self, record: Record) -> Result<u64, JournalError> {
+    /// Appends a record for compaction, and counts it as rewritten.
+    fn append_rewritten(&mut self, record: Record) -> Result<u64, JournalError> {
         let payload = self.encode(&record)?;
-        let written = self.append(Purpose::Move, record, payload)?;
-        self.figures.rewritten += written;
+        let written = self.append(RecordPurpose::Rewrite, record, payload)?;
+        self.stats.rewritten_bytes += written;
         Ok(written)
     }
 
-    /// After something was written: makes room in a small step where that is due, and sets the next segment aside.
-    fn tend(&mut self, written: u64) {
-        self.free_dead();
-        let behind = self.log.current().saturating_sub(self.state.since) * self.plan.segment();
-        let changed = self.state.bytes.saturating_sub(self.state.bytes_anew);
-        let due = self.state.stale
-            || behind > (STATE_BEHIND * self.state.bytes).max(8 * self.plan.segment())
-            || changed > (2 * self.state.bytes_anew).max(STATE_CHANGES);
-        if due || self.state.pass.is_some() {
-            if let Err(error) = self.pass() {
-                self.trouble = Some(error);
+    /// Maintenance after `written` bytes were written: frees segments, compacts a small step if one is due, and prepares
+    /// the next segment.
+    fn maintain(&mut self, written: u64) {
+        self.free_dead_segments();
+        let shared_state = &self.shared_state;
+        let distance = self.log.current_sequence().saturating_sub(shared_state.oldest_segment)
+            * self.plan.segment_bytes();
+        let changed = shared_state.bytes.saturating_sub(shared_state.snapshot_bytes);
+        let is_snapshot_due = shared_state.is_stale
+            || distance > (MAX_SNAPSHOT_DISTANCE * shared_state.bytes).max(8 * self.plan.segment_bytes())
+            || changed > (2 * shared_state.snapshot_bytes).max(MIN_SNAPSHOT_CHANGES_BYTES);
+        if is_snapshot_due || shared_state.snapshot.is_some() {
+            if let Err(error) = self.write_snapshot_part() {
+                self.maintenance_error = Some(error);
             }
         }
-        let room = self.room();
-        let step = self.plan.step(&room, written);
-        // Small steps are saved up: what several messages need goes out in one write.
-        self.due = if step > 0 { self.due + step } else { 0 };
-        if self.due > 0 && self.plan.is_due(&room, self.due) {
-            let due = std::mem::take(&mut self.due);
-            self.clean(due);
+        let usage = self.usage();
+        let step = self.plan.step_bytes(&usage, written);
+        // Small steps are accumulated, so that one write moves several messages.
+        self.due_bytes = if step > 0 { self.due_bytes + step } else { 0 };
+        if self.due_bytes > 0 && self.plan.is_step_due(&usage, self.due_bytes) {
+            let due_bytes = std::mem::take(&mut self.due_bytes);
+            self.compact(due_bytes);
         }
-        self.log.prepare(self.image.held.len() as u64);
+        self.log.prepare_spare(self.state.pending.len() as u64);
     }
 
-    /// Frees the oldest segments while nothing in them is needed.
-    fn free_dead(&mut self) {
+    /// Frees the oldest segments as long as they have no live data.
+    fn free_dead_segments(&mut self) {
         while let Some(oldest) = self.log.oldest() {
-            let is_needed = self.ledger.live(oldest.sequence) > 0 || self.state.since <= oldest.sequence;
-            // An end that could not be written goes first.
-            if is_needed || !self.unwritten.is_empty() {
+            let is_needed = self.index.live_bytes(oldest.sequence) > 0
+                || self.shared_state.oldest_segment <= oldest.sequence;
+            // Completions that could not be written have to be written before their messages' segment is freed.
+            if is_needed || !self.unwritten_messages.is_empty() {
                 return;
             }
-            if let Err(error) = self.free(oldest.sequence) {
-                self.trouble = Some(error);
+            if let Err(error) = self.free_oldest(oldest.sequence) {
+                self.maintenance_error = Some(error);
                 return;
             }
         }
     }
 
-    fn free(&mut self, segment: u64) -> Result<(), JournalError> {
-        if !self.is_dead {
-            self.move_on(Record::Freed { below: segment + 1, last: self.image.last })?;
-            self.is_dead = true;
+    fn free_oldest(&mut self, sequence: u64) -> Result<(), JournalError> {
+        if !self.is_oldest_freed {
+            let record = Record::Freed { below: sequence + 1, last: self.state.last_number };
+            self.append_rewritten(record)?;
+            self.is_oldest_freed = true;
         }
         self.log.free_oldest()?;
-        self.ledger.free();
-        self.is_dead = false;
-        self.place = 0;
-        self.figures.freed += 1;
+        self.index.remove_oldest();
+        self.is_oldest_freed = false;
+        self.compaction_position = 0;
+        self.stats.freed_segments += 1;
         Ok(())
     }
 
-    /// Rewrites about so much of what is live in the oldest segments, and frees them.
-    fn clean(&mut self, budget: u64) {
-        if let Err(error) = self.clean_some(budget) {
-            self.trouble = Some(error);
+    /// Rewrites about `budget_bytes` of live data of the oldest segments, and frees those without live data.
+    fn compact(&mut self, budget_bytes: u64) {
+        if let Err(error) = self.try_compact(budget_bytes) {
+            self.maintenance_error = Some(error);
         }
     }
 
-    fn clean_some(&mut self, mut budget: u64) -> Result<(), JournalError> {
-        self.catch_up()?;
-        while let Some(oldest) = self.log.oldest().filter(|_| budget > 0) {
-            let written = match self.ledger.next(oldest.sequence, &mut self.place) {
-                Next::Message(number) => {
-                    let place = self.place;
-                    let result = self.move_messages(oldest.sequence, number, budget);
+    fn try_compact(&mut self, mut budget_bytes: u64) -> Result<(), JournalError> {
+        self.write_missed_records()?;
+        while let Some(oldest) = self.log.oldest().filter(|_| budget_bytes > 0) {
+            let cost = match self.index.next_live(oldest.sequence, &mut self.compaction_position) {
+                Scan::Live(number) => {
+                    let position = self.compaction_position;
+                    let result = self.rewrite_messages(oldest.sequence, number, budget_bytes);
                     if result.is_err() {
-                        // They are still to be rewritten.
-                        self.place = place - 1;
+                        // The message is still to be rewritten.
+                        self.compaction_position = position - 1;
                     }
                     result?
                 }
-                Next::Later => WALKED,
-                Next::End if self.state.since <= oldest.sequence => self.pass()?,
-                Next::End => {
-                    self.free(oldest.sequence)?;
-                    FREED
+                Scan::Paused => SCAN_COST_BYTES,
+                Scan::End if self.shared_state.oldest_segment <= oldest.sequence => {
+                    self.write_snapshot_part()?
+                }
+                Scan::End => {
+                    self.free_oldest(oldest.sequence)?;
+                    FREE_SEGMENT_COST_BYTES
                 }
             };
-            budget = budget.saturating_sub(written);
+            budget_bytes = budget_bytes.saturating_sub(cost);
         }
         Ok(())
     }
 
-    /// Rewrites a message of the oldest segment, and those behind it as far as the budget goes and one write can take them.
-    fn move_messages(&mut self, segment: u64, first: u32, budget: u64) -> Result<u64, JournalError> {
-        let fits = |held: &Held| held_cost(held) + FRAME;
-        let run = self.log.run();
+    /// Rewrites a message of the oldest segment, and the live ones after it as far as the budget and one batched write
+    /// allow. Returns the bytes written.
+    fn rewrite_messages(
+        &mut self,
+        sequence: u64,
+        first: u32,
+        budget_bytes: u64,
+    ) -> Result<u64, JournalError> {
+        let record_cost = |pending: &PendingMessage| pending_cost(pending) + FRAME_BYTES;
+        let capacity = self.log.batch_capacity();
         let mut batch = Vec::new();
-        let (mut number, mut expected) = (first, 0);
-        while let Some(held) = self.image.held.get(&number) {
-            let before = self.place;
-            expected += fits(held);
+        let (mut number, mut expected_bytes) = (first, 0);
+        while let Some(pending) = self.state.pending.get(&number) {
+            let position = self.compaction_position;
+            expected_bytes += record_cost(pending);
             batch.push(number);
-            if expected >= budget {
+            if expected_bytes >= budget_bytes {
                 break;
             }
-            let next = match self.ledger.next(segment, &mut self.place) {
-                Next::Message(next) => self.image.held.get(&next).map(|held| (next, expected + fits(held))),
-                Next::Later | Next::End => None,
+            let next = match self.index.next_live(sequence, &mut self.compaction_position) {
+                Scan::Live(next) => {
+                    let pending = self.state.pending.get(&next);
+                    pending.map(|pending| (next, expected_bytes + record_cost(pending)))
+                }
+                Scan::Paused | Scan::End => None,
             };
             match next {
-                Some((next, together)) if together <= run => number = next,
+                Some((next, total)) if total <= capacity => number = next,
                 _ => {
-                    self.place = before;
+                    self.compaction_position = position;
                     break;
                 }
             }
         }
         if batch.len() < 2 {
-            let Some(held) = self.image.held.get(&first).cloned() else { return Ok(0) };
-            return self.move_on(Record::Whole(first, held));
+            let Some(pending) = self.state.pending.get(&first).cloned() else { return Ok(0) };
+            return self.append_rewritten(Record::FullMessage(first, pending));
         }
         let (mut payloads, mut lengths) =
             (std::mem::take(&mut self.payload), Vec::with_capacity(batch.len()));
         payloads.clear();
         for number in &batch {
-            let Some(held) = self.image.held.get(number) else { continue };
+            let Some(pending) = self.state.pending.get(number) else { continue };
             let begin = payloads.len();
-            payloads = postcard::to_extend(&Record::Whole(*number, held.clone()), payloads)?;
+            payloads = postcard::to_extend(&Record::FullMessage(*number, pending.clone()), payloads)?;
             lengths.push(payloads.len() - begin);
         }
-        let bytes = payloads.len() as u64 + lengths.len() as u64 * FRAME;
-        let result = match self.plan.may_write(&self.room(), Purpose::Move, bytes) {
-            true => self.log.append_run(&payloads, &lengths),
+        let bytes = payloads.len() as u64 + lengths.len() as u64 * FRAME_BYTES;
+        let result = match self.plan.may_write(&self.usage(), RecordPurpose::Rewrite, bytes) {
+            true => self.log.append_batch(&payloads, &lengths),
             false => Err(JournalError::Full),
         };
         self.payload = payloads;
-        let to = result?;
+        let segment = result?;
         for (number, length) in batch.into_iter().zip(lengths) {
-            self.ledger.settle(number, to, length as u64 + FRAME);
+            self.index.insert(number, segment, length as u64 + FRAME_BYTES);
         }
-        self.figures.rewritten += bytes;
+        self.stats.rewritten_bytes += bytes;
         Ok(bytes)
     }
 
-    /// What went and could not be written when it did; what came back meanwhile is written with the rest.
-    fn next_gone(&mut self) -> Option<Record> {
-        let (uids, places) = &mut self.state.gone;
-        uids.retain(|uid| !self.image.targets.contains_key(uid));
-        places.retain(|place| !self.image.outages.contains_key(place));
+    /// The next record of removals that could not be written. Entries that exist again are dropped: the snapshot has them.
+    fn next_unwritten_removals(&mut self) -> Option<Record> {
+        let (uids, outages) = &mut self.shared_state.unwritten_removals;
+        uids.retain(|uid| !self.state.targets.contains_key(uid));
+        outages.retain(|key| !self.state.outages.contains_key(key));
         if !uids.is_empty() {
-            let gone = uids.iter().take(ENTRIES).cloned().collect();
-            return Some(Record::List { rev: None, set: Vec::new(), gone });
+            let gone = uids.iter().take(ENTRIES_PER_RECORD).cloned().collect();
+            return Some(Record::Listing { rev: None, set: Vec::new(), gone });
         }
-        let gone: Vec<OutagePlace> = places.iter().take(ENTRIES).cloned().collect();
+        let gone: Vec<OutageKey> = outages.iter().take(ENTRIES_PER_RECORD).cloned().collect();
         (!gone.is_empty()).then(|| Record::Outages { set: Vec::new(), gone })
     }
 
-    /// Writes the next part of list, destinations and outages anew. Changes meanwhile are written behind it as ever, so
-    /// that the last word on each is always the right one.
-    fn pass(&mut self) -> Result<u64, JournalError> {
-        if let Some(record) = self.next_gone() {
-            let bytes = self.move_on(record.clone())?;
-            let (uids, places) = &mut self.state.gone;
+    /// Writes the next record of a snapshot of the shared state, and begins a snapshot if none is in progress. Changes
+    /// meanwhile are appended as usual, so the last record of each entry is always the current one. Returns the bytes
+    /// written.
+    fn write_snapshot_part(&mut self) -> Result<u64, JournalError> {
+        if let Some(record) = self.next_unwritten_removals() {
+            let bytes = self.append_rewritten(record.clone())?;
+            let (uids, outages) = &mut self.shared_state.unwritten_removals;
             match record {
-                Record::List { gone, .. } => uids.retain(|uid| !gone.contains(uid)),
-                Record::Outages { gone, .. } => places.retain(|place| !gone.contains(place)),
+                Record::Listing { gone, .. } => uids.retain(|uid| !gone.contains(uid)),
+                Record::Outages { gone, .. } => outages.retain(|key| !gone.contains(key)),
                 _ => {}
             }
             return Ok(bytes);
         }
-        let began = self.log.current();
-        let pass = self.state.pass.get_or_insert(Pass { began, bytes: 0, at: At::Targets(None) });
-        let image = &self.image;
-        let (record, next) = match pass.at.clone() {
-            At::Targets(after) => {
-                let set: Vec<_> = from(&image.targets, after).take(ENTRIES).map(|(_, t)| t.clone()).collect();
-                let last = set.len() < ENTRIES;
+        let first_segment = self.log.current_sequence();
+        let snapshot = self.shared_state.snapshot.get_or_insert(SnapshotInProgress {
+            first_segment,
+            bytes: 0,
+            position: SnapshotPosition::Targets(None),
+        });
+        let state = &self.state;
+        let (record, next) = match snapshot.position.clone() {
+            SnapshotPosition::Targets(after) => {
+                let set: Vec<_> = entries_after(&state.targets, after)
+                    .take(ENTRIES_PER_RECORD)
+                    .map(|(_, target)| target.clone())
+                    .collect();
+                let is_last = set.len() < ENTRIES_PER_RECORD;
                 let next = match set.last() {
-                    Some(target) if !last => At::Targets(Some(target.uid.clone())),
-                    _ => At::Destinations(None),
+                    Some(target) if !is_last => SnapshotPosition::Targets(Some(target.uid.clone())),
+                    _ => SnapshotPosition::Destinations(None),
                 };
-                (Record::List { rev: last.then_some(image.rev), set, gone: Vec::new() }, Some(next))
+                let rev = is_last.then_some(state.listing_rev);
+                (Record::Listing { rev, set, gone: Vec::new() }, Some(next))
             }
-            At::Destinations(after) => {
+            SnapshotPosition::Destinations(after) => {
                 let range = (after.map_or(Bound::Unbounded, Bound::Excluded), Bound::Unbounded);
-                let part: Vec<u32> = image.destinations.range(range).take(DESTINATIONS).copied().collect();
-                let next = match part.last() {
-                    Some(number) if part.len() == DESTINATIONS => At::Destinations(Some(*number)),
-                    _ => At::Outages(None),
+                let numbers: Vec<u32> =
+                    state.destinations.range(range).take(DESTINATIONS_PER_RECORD).copied().collect();
+                let next = match numbers.last() {
+                    Some(number) if numbers.len() == DESTINATIONS_PER_RECORD => {
+                        SnapshotPosition::Destinations(Some(*number))
+                    }
+                    _ => SnapshotPosition::Outages(None),
                 };
-                (Record::Destinations(part), Some(next))
+                (Record::Destinations(numbers), Some(next))
             }
-            At::Outages(after) => {
-                let part: Vec<_> = from(&image.outages, after).take(ENTRIES).collect();
-                let next = match part.last() {
-                    Some((place, _)) if part.len() == ENTRIES => At::Outages(Some((*place).clone())),
-                    _ => At::Suspended(None),
+            SnapshotPosition::Outages(after) => {
+                let entries: Vec<_> = entries_after(&state.outages, after).take(ENTRIES_PER_RECORD).collect();
+                let next = match entries.last() {
+                    Some((key, _)) if entries.len() == ENTRIES_PER_RECORD => {
+                        SnapshotPosition::Outages(Some((*key).clone()))
+                    }
+                    _ => SnapshotPosition::Suspended(None),
                 };
-                let set = part.into_iter().map(|(_, note)| note.clone()).collect();
+                let set = entries.into_iter().map(|(_, outage)| outage.clone()).collect();
                 (Record::Outages { set, gone: Vec::new() }, Some(next))
             }
-            At::Suspended(after) => {
+            SnapshotPosition::Suspended(after) => {
                 let range = (after.map_or(Bound::Unbounded, Bound::Excluded), Bound::Unbounded);
-                let set: Vec<String> = image.suspended.range(range).take(ENTRIES).cloned().collect();
+                let set: Vec<String> =
+                    state.suspended_uids.range(range).take(ENTRIES_PER_RECORD).cloned().collect();
                 let next = match set.last() {
-                    Some(uid) if set.len() == ENTRIES => At::Suspended(Some(uid.clone())),
-                    _ => At::Former(0),
+                    Some(uid) if set.len() == ENTRIES_PER_RECORD => {
+                        SnapshotPosition::Suspended(Some(uid.clone()))
+                    }
+                    _ => SnapshotPosition::FormerUids(0),
                 };
                 (Record::Suspended { set, gone: Vec::new() }, Some(next))
             }
-            // What is forgotten meanwhile moves the others forward: some are then written by a later pass only.
-            At::Former(written) => {
-                let part: Vec<String> = image.former.iter().skip(written).take(ENTRIES).cloned().collect();
-                let next = (part.len() == ENTRIES).then_some(At::Former(written + ENTRIES));
-                (Record::Former(part), next)
+            // Uids that are dropped meanwhile move the others forward, so some may be left to the next snapshot.
+            SnapshotPosition::FormerUids(written) => {
+                let uids: Vec<String> =
+                    state.former_uids.iter().skip(written).take(ENTRIES_PER_RECORD).cloned().collect();
+                let next = (uids.len() == ENTRIES_PER_RECORD)
+                    .then_some(SnapshotPosition::FormerUids(written + ENTRIES_PER_RECORD));
+                (Record::FormerUids(uids), next)
             }
         };
-        let bytes = self.move_on(record)?;
-        let Some(pass) = &mut self.state.pass else { return Ok(bytes) };
-        pass.bytes += bytes;
+        let bytes = self.append_rewritten(record)?;
+        let Some(snapshot) = &mut self.shared_state.snapshot else { return Ok(bytes) };
+        snapshot.bytes += bytes;
         match next {
-            Some(next) => pass.at = next,
+            Some(next) => snapshot.position = next,
             None => {
-                // A change that was not written while the pass went on may have come behind it.
-                let (since, bytes) = (pass.began, pass.bytes);
-                self.state = State { since, bytes, bytes_anew: bytes, ..State::default() };
+                // Resets `is_stale` and the removals too: the snapshot has all changes that could not be written before, and
+                // a failure during a snapshot starts it anew.
+                let (oldest_segment, snapshot_bytes) = (snapshot.first_segment, snapshot.bytes);
+                self.shared_state = SharedStateLocation {
+                    oldest_segment,
+                    bytes: snapshot_bytes,
+                    snapshot_bytes,
+                    ..SharedStateLocation::default()
+                };
             }
         }
         Ok(bytes)
     }
 }
 
-/// What it counts as to have passed over messages that are not there any more, and to have freed a segment.
-const WALKED: u64 = 512;
-const FREED: u64 = 2048;
+/// Charged against the compaction budget for a scan over dead messages.
+const SCAN_COST_BYTES: u64 = 512;
+/// Charged against the compaction budget for freeing a segment.
+const FREE_SEGMENT_COST_BYTES: u64 = 2048;
 
-fn from<K: Ord + Clone, V>(map: &BTreeMap<K, V>, after: Option<K>) -> impl Iterator<Item = (&K, &V)> {
+fn entries_after<K: Ord + Clone, V>(
+    map: &BTreeMap<K, V>,
+    after: Option<K>,
+) -> impl Iterator<Item = (&K, &V)> {
     map.range((after.map_or(Bound::Unbounded, Bound::Excluded), Bound::Unbounded))
 }
 
-fn taken_cost(taken: &Taken) -> u64 {
-    let texts = taken.id.len() + taken.class.len() + taken.idempotency_key.as_ref().map_or(0, String::len);
-    cost(texts, taken.body.len())
+fn accepted_cost(message: &AcceptedMessage) -> u64 {
+    let string_bytes =
+        message.id.len() + message.class.len() + message.idempotency_key.as_ref().map_or(0, String::len);
+    message_cost(string_bytes, message.body.len())
 }
 
-fn held_cost(held: &Held) -> u64 {
-    taken_cost(&held.taken)
+fn pending_cost(pending: &PendingMessage) -> u64 {
+    accepted_cost(&pending.message)
 }
--- a/crates/gullcart-journal/src/legacy.rs
+++ b/crates/gullcart-journal/src/legacy.rs
@@ -1,72 +1,83 @@
-//! The single file of releases before 0.2, as far as reading it goes: records with length and checksum, cut off at the
-//! first that is damaged. It counts as the oldest segment, and is freed like any other once what is live of it has
-//! been rewritten; so nothing has to be converted in one go, and a crash on the way changes nothing.
+//! Reads the single journal file of releases before 0.2: records with length and checksum, of which the first damaged one
+//! ends the file.
+//!
+//! The file counts as the oldest segment, and is freed like any other once its live records have been rewritten. So there
+//! is no conversion in one go, and a crash on the way does no harm.
 
-use crate::error::Wrong;
-use crate::image::{Held, OutageNote, Record, Sent};
+use crate::buffered_reader::BufferedReader;
+use crate::error::DamageKind;
+use crate::state::{PendingMessage, PersistedOutage, Record, SentAttempt};
 use crate::store::Store;
-use crate::window::Window;
-use gullcart_message::{Taken, Update, Verdict};
+use gullcart_message::{AcceptedMessage, ListingUpdate, Verdict};
 use serde::{Deserialize, Serialize};
 use std::io;
 
-/// Its name; while it was compacted there was another.
-pub(crate) const NAME: &str = "journal";
-pub(crate) const HALF_MADE: &str = "journal.new";
-const FRAME: u64 = 8;
-const LONGEST: u32 = 4 << 20;
+/// Name of the journal file.
+pub(crate) const FILE_NAME: &str = "journal";
+/// Name of the file into which those releases compacted it.
+pub(crate) const COMPACTION_FILE_NAME: &str = "journal.new";
+const FRAME_BYTES: u64 = 8;
+const MAX_PAYLOAD_BYTES: u32 = 4 << 20;
 
-/// Its records, in the order in which that release numbered them.
+/// Records of the file. Variants are stored by their index, in the order that those releases gave them.
 #[derive(Serialize, Deserialize)]
-enum Old {
-    Take(u32, Taken),
-    Start(u32, Sent),
-    Outcome(u32, bool),
-    Owe(u32, Verdict),
-    Over(u32),
-    Whole(u32, Held),
-    Targets(Update),
-    Outages(Vec<OutageNote>),
+enum LegacyRecord {
+    Accepted(u32, AcceptedMessage),
+    AttemptStarted(u32, SentAttempt),
+    AttemptFinished(u32, bool),
+    VerdictSet(u32, Verdict),
+    Completed(u32),
+    FullMessage(u32, PendingMessage),
+    Listing(ListingUpdate),
+    Outages(Vec<PersistedOutage>),
     Destinations(Vec<u32>),
 }
 
-impl From<Old> for Record {
-    fn from(old: Old) -> Record {
-        match old {
-            Old::Take(number, taken) => Record::Take(number, taken),
-            Old::Start(number, sent) => Record::Start(number, sent),
-            Old::Outcome(number, may_have_run) => Record::Outcome(number, may_have_run),
-            Old::Owe(number, verdict) => Record::Owe(number, verdict),
-            Old::Over(number) => Record::Over(number),
-            Old::Whole(number, held) => Record::Whole(number, held),
-            Old::Targets(update) => Record::Told(update),
-            Old::Outages(notes) => Record::Remembered(notes),
-            Old::Destinations(destinations) => Record::Destinations(destinations),
+impl From<LegacyRecord> for Record {
+    fn from(legacy: LegacyRecord) -> Record {
+        match legacy {
+            LegacyRecord::Accepted(number, message) => Record::Accepted(number, message),
+            LegacyRecord::AttemptStarted(number, sent) => Record::AttemptStarted(number, sent),
+            LegacyRecord::AttemptFinished(number, may_have_run) => {
+                Record::AttemptFinished(number, may_have_run)
+            }
+            LegacyRecord::VerdictSet(number, verdict) => Record::VerdictSet(number, verdict),
+            LegacyRecord::Completed(number) => Record::Completed(number),
+            LegacyRecord::FullMessage(number, pending) => Record::FullMessage(number, pending),
+            LegacyRecord::Listing(update) => Record::LegacyListing(update),
+            LegacyRecord::Outages(outages) => Record::LegacyOutages(outages),
+            LegacyRecord::Destinations(destinations) => Record::Destinations(destinations),
         }
     }
 }
 
-/// The record at a place, and its bytes with the frame.
-pub(crate) fn record<S: Store>(
-    window: &mut Window<'_, S>,
+/// Reads the record at `offset`; returns it with its size, frame included.
+pub(crate) fn read_record<S: Store>(
+    reader: &mut BufferedReader<'_, S>,
     offset: u64,
     end: u64,
-) -> io::Result<Result<(Record, u64), Wrong>> {
-    if offset + FRAME > end {
-        return Ok(Err(Wrong::Short));
+) -> io::Result<Result<(Record, u64), DamageKind>> {
+    if offset + FRAME_BYTES > end {
+        return Ok(Err(DamageKind::Truncated));
     }
-    let Some(frame) = window.get(offset, FRAME as usize)? else { return Ok(Err(Wrong::Short)) };
-    let (mut length, mut sum) = ([0; 4], [0; 4]);
+    let Some(frame) = reader.get(offset, FRAME_BYTES as usize)? else {
+        return Ok(Err(DamageKind::Truncated));
+    };
+    let (mut length, mut checksum) = ([0; 4], [0; 4]);
     length.copy_from_slice(&frame[..4]);
-    sum.copy_from_slice(&frame[4..8]);
+    checksum.copy_from_slice(&frame[4..8]);
     let length = u32::from_le_bytes(length);
-    if length == 0 || length > LONGEST || offset + FRAME + u64::from(length) > end {
-        return Ok(Err(Wrong::Record));
+    if length == 0 || length > MAX_PAYLOAD_BYTES || offset + FRAME_BYTES + u64::from(length) > end {
+        return Ok(Err(DamageKind::UnreadableRecord));
     }
-    let Some(payload) = window.get(offset + FRAME, length as usize)? else { return Ok(Err(Wrong::Short)) };
-    if crc32fast::hash(payload) != u32::from_le_bytes(sum) {
-        return Ok(Err(Wrong::Record));
+    let Some(payload) = reader.get(offset + FRAME_BYTES, length as usize)? else {
+        return Ok(Err(DamageKind::Truncated));
+    };
+    if crc32fast::hash(payload) != u32::from_le_bytes(checksum) {
+        return Ok(Err(DamageKind::UnreadableRecord));
     }
-    let old: Result<Old, _> = postcard::from_bytes(payload);
-    Ok(old.map(|old| (old.into(), FRAME + u64::from(length))).map_err(|_| Wrong::Record))
+    let record: Result<LegacyRecord, _> = postcard::from_bytes(payload);
+    Ok(record
+        .map(|record| (record.into(), FRAME_BYTES + u64::from(length)))
+        .map_err(|_| DamageKind::UnreadableRecord))
 }
--- a/crates/gullcart-journal/src/lib.rs
+++ b/crates/gullcart-journal/src/lib.rs
@@ -1,39 +1,41 @@
-//! The journal of gullcart: what outlasts the process.
+//! The journal of gullcart: a segmented write-ahead log that keeps pending messages over restarts.
 //!
-//! A log of segments whose records add up to an [`Image`]: messages that are owed an end, the list of endpoints, what
-//! is remembered of outages. Records are written before what they promise. Room is made while traffic flows, in small
-//! steps: what is live of the oldest segment is written behind all others, and the segment removed.
+//! Its records replay to a [`JournalState`]: pending messages, the listing of endpoints, and outages. A record is written
+//! before any effect that relies on it leaves the process. The log is compacted in small steps while traffic flows: live
+//! records of the oldest segment are rewritten to the end of the log, and the segment is removed.
 //!
-//! `frame` and `image` are the vocabulary; `plan` and `ledger` decide and know no I/O; `store` is the folder; `replay`
-//! reads; `log` writes; [`Journal`] is all of it together. `docs/journal-format.md` has the bytes, and
-//! `docs/design/journal.md` what was weighed.
+//! `frame` and `state` define bytes and records; `space_plan` and `segment_index` decide what to write and to rewrite,
+//! without I/O; `store` is the folder; `replay` reads segments; `segment_log` writes them; [`Journal`] combines them.
+//! `docs/journal-format.md` describes the bytes, and `docs/design/journal.md` the design and its alternatives.
 #![forbid(unsafe_code)]
 
+mod buffered_reader;
+mod chunks;
 mod error;
+mod folder_scan;
 mod frame;
-mod image;
 mod journal;
-mod ledger;
 mod legacy;
-mod log;
-pub mod notes;
 mod options;
-mod parts;
-mod plan;
 mod repair;
 mod repaired_folder;
 mod replay;
 mod salvage;
+mod segment_index;
+mod segment_log;
 pub mod simulated;
+mod space_plan;
+mod state;
+pub mod state_log;
 mod store;
-mod survey;
-mod window;
 
-pub use error::{Damage, JournalError, Wrong};
-pub use image::{Held, Image, OutageNote, Sent, MOST_FORMER, MOST_SUSPENDED};
-pub use journal::{Figures, Journal};
+pub use error::{Damage, DamageKind, JournalError};
+pub use journal::{Journal, JournalStats};
 pub use options::{Durability, Options, OptionsError};
-pub use plan::Plan;
-pub use repair::{repair, Repaired};
-pub use salvage::{look, Report, SegmentReport};
+pub use repair::{repair, RepairOutcome};
+pub use salvage::{inspect, JournalReport, SegmentReport};
+pub use space_plan::SpacePlan;
+pub use state::{
+    JournalState, PendingMessage, PersistedOutage, SentAttempt, MAX_FORMER_UIDS, MAX_SUSPENDED_ENDPOINTS,
+};
 pub use store::{Folder, Store};
--- a/crates/gullcart-journal/src/options.rs
+++ b/crates/gullcart-journal/src/options.rs
@@ -1,75 +1,75 @@
-//! The operators' file: how long what is written has to last, and how large segments are.
+//! The journal's options file for operators: durability and segment size.
 
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// What has to outlast what.
+/// Which crashes written records have to survive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Durability {
-    /// What was written outlasts the process: nothing is synced.
+    /// Records survive a crash of the process: nothing is synced.
     #[default]
     Process,
-    /// What was promised outlasts the machine: all that a turn of the loop wrote is synced before any of it is
-    /// answered.
+    /// Records survive a crash of the machine: all that one iteration of the event loop wrote is synced before any of its
+    /// replies is sent.
     Machine,
 }
 
-/// How a journal is kept.
+/// Options of a journal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Options {
-    /// What has to outlast what.
+    /// Which crashes written records have to survive.
     pub durability: Durability,
-    /// Bytes of a segment; worked out from the disk if not given.
-    pub segment: Option<u64>,
+    /// Size of a segment; follows from the disk size if not given.
+    pub segment_bytes: Option<u64>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct File {
+struct OptionsFile {
     #[serde(default)]
     durability: Durability,
     segment_kib: Option<u64>,
 }
 
-/// Why an operators' file cannot be used.
+/// Why an options file cannot be used.
 #[derive(Debug, Error)]
 pub enum OptionsError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{}: {error}", path.display())]
     Read {
-        /// Which file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why not.
+        /// The cause.
         error: std::io::Error,
     },
-    /// It means nothing.
-    #[error("{}: {what}", path.display())]
+    /// The file's contents are invalid.
+    #[error("{}: {message}", path.display())]
     Parse {
-        /// Which file.
+        /// Path of the file.
         path: PathBuf,
-        /// Where and why.
-        what: String,
+        /// Position and cause of the error.
+        message: String,
     },
 }
 
 impl Options {
-    /// Reads an operators' file.
+    /// Reads an options file.
     pub fn read(path: &Path) -> Result<Self, OptionsError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| OptionsError::Read { path: path.to_owned(), error })?;
-        Self::parse(&text).map_err(|what| OptionsError::Parse { path: path.to_owned(), what })
+        Self::parse(&text).map_err(|message| OptionsError::Parse { path: path.to_owned(), message })
     }
 
-    /// Reads the text of one.
+    /// Parses the text of an options file.
     pub fn parse(text: &str) -> Result<Self, String> {
-        let file: File = toml::from_str(text).map_err(|error| error.to_string())?;
+        let file: OptionsFile = toml::from_str(text).map_err(|error| error.to_string())?;
         let kib = file.segment_kib;
         if let Some(kib) = kib.filter(|kib| !(3..=1 << 20).contains(kib)) {
-            return Err(format!("segment_kib is {kib}; it has to lie between 3 and 1048576"));
+            return Err(format!("segment_kib is {kib}; it has to be between 3 and 1048576"));
         }
-        Ok(Options { durability: file.durability, segment: kib.map(|kib| kib << 10) })
+        Ok(Options { durability: file.durability, segment_bytes: kib.map(|kib| kib << 10) })
     }
 }
 
--- a/crates/gullcart-journal/src/repaired_folder.rs
+++ b/crates/gullcart-journal/src/repaired_folder.rs
@@ -1,12 +1,12 @@
-//! The folder in which a repair puts the new journal together.
+//! The folder in which a repair puts the complete new journal before it moves the files into place.
 
 use std::path::{Path, PathBuf};
 
-/// Its name, once the new journal is complete.
-pub(crate) const BUILT: &str = "journal.repaired";
+/// Name of the folder. It gets this name only once the new journal is complete.
+pub(crate) const REPAIRED_FOLDER: &str = "journal.repaired";
 
-/// The folder of a repair that was not finished.
+/// The repaired folder of a journal, if a repair was interrupted before it had moved all files out of it.
 pub(crate) fn unfinished_repair(folder: &Path) -> Option<PathBuf> {
-    let built = folder.join(BUILT);
-    built.is_dir().then_some(built)
+    let repaired = folder.join(REPAIRED_FOLDER);
+    repaired.is_dir().then_some(repaired)
 }
--- a/crates/gullcart-journal/src/replay.rs
+++ b/crates/gullcart-journal/src/replay.rs
@@ -1,163 +1,175 @@
-//! Reading segments back: record by record, with one buffer, telling a torn end from damage.
+//! Reads the records of a segment in order, and tells an incomplete last write from damage.
 
-use crate::error::Wrong;
-use crate::frame::{Frame, Place, FRAME, HEADER, LONGEST};
-use crate::image::Record;
+use crate::buffered_reader::{BufferedReader, CHUNK_BYTES};
+use crate::error::DamageKind;
+use crate::frame::{Frame, SegmentId, FRAME_BYTES, HEADER_BYTES, MAX_PAYLOAD_BYTES};
 use crate::legacy;
+use crate::state::Record;
 use crate::store::Store;
-use crate::window::{Window, CHUNK};
 use std::io;
 
-/// Bytes whose sums are tried behind a bad record; more of them can only be made on purpose.
-const MOST_TRIED: u64 = 64 << 20;
+/// Most payload bytes that are checksummed in the search for valid records behind a bad one. Only data that was made up on
+/// purpose needs more.
+const MAX_CHECKSUMMED_BYTES: u64 = 64 << 20;
 
-/// How a segment ended.
+/// How reading a segment ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum End {
-    /// All up to here is good, and nothing that was promised stood behind it.
-    Whole(u64),
-    /// It is damaged here.
-    Damaged(u64, Wrong),
+pub(crate) enum SegmentEnd {
+    /// All records up to this offset are valid, and nothing that was durable comes after it.
+    Valid(u64),
+    /// The segment is damaged at this offset.
+    Damaged(u64, DamageKind),
 }
 
-/// What a segment is read as.
+/// File format of a segment.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Form {
-    /// A segment of this format.
-    Segment(Place),
+pub(crate) enum SegmentFormat {
+    /// A segment of the current format.
+    Segment(SegmentId),
     /// The single file of releases before 0.2.
     Legacy,
 }
 
-/// A record that was read.
-pub(crate) struct Found {
+/// A record read from a segment.
+pub(crate) struct FoundRecord {
     pub offset: u64,
+    /// Size with the frame.
     pub bytes: u64,
     pub record: Record,
 }
 
-/// Reads a segment that ends at `end`; if another follows it, it has to be good up to there.
-pub(crate) fn read<S: Store>(
-    window: &mut Window<'_, S>,
-    form: Form,
+/// Reads a segment that ends at `end`. Unless it is the last one, all bytes up to there have to be valid.
+pub(crate) fn read_segment<S: Store>(
+    reader: &mut BufferedReader<'_, S>,
+    format: SegmentFormat,
     end: u64,
     is_last: bool,
-    each: impl FnMut(Found),
-) -> io::Result<End> {
-    let from = match form {
-        Form::Segment(_) => HEADER,
-        Form::Legacy => 0,
+    each: impl FnMut(FoundRecord),
+) -> io::Result<SegmentEnd> {
+    let from = match format {
+        SegmentFormat::Segment(_) => HEADER_BYTES,
+        SegmentFormat::Legacy => 0,
     };
-    read_at(window, form, from, end, is_last, each)
+    read_records(reader, format, from, end, is_last, each)
 }
 
-/// Reads a segment from a record on that is known to be good.
-pub(crate) fn read_from<S: Store>(
-    window: &mut Window<'_, S>,
-    place: Place,
+/// Reads a segment from the offset of a record that is known to be valid.
+pub(crate) fn read_segment_from<S: Store>(
+    reader: &mut BufferedReader<'_, S>,
+    segment: SegmentId,
     from: u64,
     end: u64,
     is_last: bool,
-    each: impl FnMut(Found),
-) -> io::Result<End> {
-    read_at(window, Form::Segment(place), from, end, is_last, each)
+    each: impl FnMut(FoundRecord),
+) -> io::Result<SegmentEnd> {
+    read_records(reader, SegmentFormat::Segment(segment), from, end, is_last, each)
 }
 
-fn read_at<S: Store>(
-    window: &mut Window<'_, S>,
-    form: Form,
+fn read_records<S: Store>(
+    reader: &mut BufferedReader<'_, S>,
+    format: SegmentFormat,
     mut offset: u64,
     end: u64,
     is_last: bool,
-    mut each: impl FnMut(Found),
-) -> io::Result<End> {
-    let wrong = loop {
+    mut each: impl FnMut(FoundRecord),
+) -> io::Result<SegmentEnd> {
+    let damage = loop {
         if offset == end {
-            return Ok(End::Whole(offset));
+            return Ok(SegmentEnd::Valid(offset));
         }
-        match record(window, form, offset, end)? {
+        match read_record(reader, format, offset, end)? {
             Ok((record, bytes)) => {
-                each(Found { offset, bytes, record });
+                each(FoundRecord { offset, bytes, record });
                 offset += bytes;
             }
-            Err(wrong) => break wrong,
+            Err(damage) => break damage,
         }
     };
-    match form {
-        // Its end was cut off wherever it was damaged.
-        Form::Legacy if is_last => Ok(End::Whole(offset)),
-        Form::Segment(place) if is_last && wrong != Wrong::Unknown => {
-            let promised = survives(window, place, offset, end)?;
-            Ok(if promised { End::Damaged(offset, wrong) } else { End::Whole(offset) })
+    match format {
+        // Releases before 0.2 cut the file off at the first damaged record, whatever came after it.
+        SegmentFormat::Legacy if is_last => Ok(SegmentEnd::Valid(offset)),
+        SegmentFormat::Segment(segment) if is_last && damage != DamageKind::UnknownRecordKind => {
+            let was_durable = was_durable(reader, segment, offset, end)?;
+            Ok(if was_durable { SegmentEnd::Damaged(offset, damage) } else { SegmentEnd::Valid(offset) })
         }
-        _ => Ok(End::Damaged(offset, wrong)),
+        _ => Ok(SegmentEnd::Damaged(offset, damage)),
     }
 }
 
-/// The record at a place, and its bytes with the frame.
-fn record<S: Store>(
-    window: &mut Window<'_, S>,
-    form: Form,
+/// Reads the record at `offset`; returns it with its size, frame included.
+fn read_record<S: Store>(
+    reader: &mut BufferedReader<'_, S>,
+    format: SegmentFormat,
     offset: u64,
     end: u64,
-) -> io::Result<Result<(Record, u64), Wrong>> {
-    let Form::Segment(place) = form else { return legacy::record(window, offset, end) };
-    let Some(frame) = frame(window, offset, end)? else { return Ok(Err(Wrong::Short)) };
+) -> io::Result<Result<(Record, u64), DamageKind>> {
+    let SegmentFormat::Segment(segment) = format else { return legacy::read_record(reader, offset, end) };
+    let Some(frame) = read_frame(reader, offset, end)? else { return Ok(Err(DamageKind::Truncated)) };
     if !frame.is_plausible(offset, end) {
-        return Ok(Err(Wrong::Record));
+        return Ok(Err(DamageKind::UnreadableRecord));
     }
-    let Some(payload) = window.get(offset + FRAME, frame.length as usize)? else {
-        return Ok(Err(Wrong::Short));
+    let Some(payload) = reader.get(offset + FRAME_BYTES, frame.length as usize)? else {
+        return Ok(Err(DamageKind::Truncated));
     };
-    if !frame.fits(place, offset, payload) {
-        return Ok(Err(Wrong::Record));
+    if !frame.matches(segment, offset, payload) {
+        return Ok(Err(DamageKind::UnreadableRecord));
     }
-    let record = postcard::from_bytes(payload).map_err(|_| Wrong::Unknown);
-    Ok(record.map(|record| (record, FRAME + u64::from(frame.length))))
+    let record = postcard::from_bytes(payload).map_err(|_| DamageKind::UnknownRecordKind);
+    Ok(record.map(|record| (record, FRAME_BYTES + u64::from(frame.length))))
 }
 
-fn frame<S: Store>(window: &mut Window<'_, S>, offset: u64, end: u64) -> io::Result<Option<Frame>> {
-    if offset + FRAME > end {
+fn read_frame<S: Store>(
+    reader: &mut BufferedReader<'_, S>,
+    offset: u64,
+    end: u64,
+) -> io::Result<Option<Frame>> {
+    if offset + FRAME_BYTES > end {
         return Ok(None);
     }
-    let bytes = window.get(offset, FRAME as usize)?;
+    let bytes = reader.get(offset, FRAME_BYTES as usize)?;
     Ok(bytes.and_then(|bytes| bytes.try_into().ok()).map(Frame::decode))
 }
 
-/// Whether a good record behind a hole says that what stood in the hole had been promised.
-fn survives<S: Store>(window: &mut Window<'_, S>, place: Place, hole: u64, end: u64) -> io::Result<bool> {
-    let mut found = false;
-    good_after(window, place, hole + 1, end, |_, frame| {
-        found = u64::from(frame.settled) > hole;
-        found
+/// Whether a valid record after the unreadable bytes at `damaged_at` says that those bytes had been durable.
+fn was_durable<S: Store>(
+    reader: &mut BufferedReader<'_, S>,
+    segment: SegmentId,
+    damaged_at: u64,
+    end: u64,
+) -> io::Result<bool> {
+    let mut was_durable = false;
+    find_valid_records(reader, segment, damaged_at + 1, end, |_, frame| {
+        was_durable = u64::from(frame.durable_size) > damaged_at;
+        was_durable
     })?;
-    Ok(found)
+    Ok(was_durable)
 }
 
-/// Good records wherever they stand, from some place on, until `stop` says that it is enough. Where more is tried than
-/// a journal can hold by chance, what comes is taken for good: a hole before it is then looked at by somebody.
-pub(crate) fn good_after<S: Store>(
-    window: &mut Window<'_, S>,
-    place: Place,
+/// Searches for valid records at any offset from `from` on, until `stop` returns true. After [`MAX_CHECKSUMMED_BYTES`],
+/// which a journal cannot need by chance, plausible frames count as valid without a check: unreadable bytes before them are
+/// then reported as damage rather than dropped.
+pub(crate) fn find_valid_records<S: Store>(
+    reader: &mut BufferedReader<'_, S>,
+    segment: SegmentId,
     from: u64,
     end: u64,
     mut stop: impl FnMut(u64, Frame) -> bool,
 ) -> io::Result<()> {
-    let mut tried = 0;
+    let mut checksummed_bytes = 0;
     let mut offset = from;
-    while let Some(found) = frame(window, offset, end)? {
+    while let Some(frame) = read_frame(reader, offset, end)? {
         let mut next = offset + 1;
-        if found.is_plausible(offset, end) {
-            tried += u64::from(found.length);
-            let good = tried > MOST_TRIED
-                || window
-                    .get(offset + FRAME, found.length as usize)?
-                    .is_some_and(|payload| found.fits(place, offset, payload));
-            if good {
-                if stop(offset, found) {
+        if frame.is_plausible(offset, end) {
+            checksummed_bytes += u64::from(frame.length);
+            let is_valid = checksummed_bytes > MAX_CHECKSUMMED_BYTES
+                || reader
+                    .get(offset + FRAME_BYTES, frame.length as usize)?
+                    .is_some_and(|payload| frame.matches(segment, offset, payload));
+            if is_valid {
+                if stop(offset, frame) {
                     return Ok(());
                 }
-                next = offset + FRAME + u64::from(found.length);
+                next = offset + FRAME_BYTES + u64::from(frame.length);
             }
         }
         offset = next;
@@ -165,4 +177,4 @@
     Ok(())
 }
 
-const _: () = assert!(LONGEST as usize >= CHUNK);
+const _: () = assert!(MAX_PAYLOAD_BYTES as usize >= CHUNK_BYTES);
--- a/crates/gullcart-journal/src/salvage.rs
+++ b/crates/gullcart-journal/src/salvage.rs
@@ -1,284 +1,302 @@
-//! Reading a journal that may be damaged: all records that can be proven, and what is in doubt for those that cannot.
+//! Reads a journal that may be damaged: all records that can be verified, and which messages are in doubt because of those
+//! that cannot.
 
-use crate::error::{doing, Damage, JournalError, Wrong};
-use crate::frame::{Place, HEADER};
-use crate::image::{Image, Record};
-use crate::ledger::Ledger;
-use crate::log::name;
-use crate::plan::on_disk;
-use crate::replay::{good_after, read, End, Form};
+use crate::buffered_reader::BufferedReader;
+use crate::error::{io_error, Damage, DamageKind, JournalError};
+use crate::folder_scan::{scan_folder, SegmentFile};
+use crate::frame::{SegmentId, HEADER_BYTES};
+use crate::replay::{find_valid_records, read_segment, read_segment_from, SegmentEnd, SegmentFormat};
+use crate::segment_index::SegmentIndex;
+use crate::segment_log::segment_file_name;
+use crate::space_plan::on_disk;
+use crate::state::{JournalState, Record};
 use crate::store::Store;
-use crate::survey::{survey, Present};
-use crate::window::Window;
 use serde::Serialize;
 use std::collections::BTreeSet;
 
-/// A message of which something may be lost is held to have been tried so long before its time was up: a day, so that
-/// no window that a partner remembers keys for is still open.
-const LONG_AGO_MS: u64 = 86_400_000;
+/// A message in doubt counts as attempted this long before its deadline. After a day, no destination still keeps its
+/// idempotency key, so the message is not sent again within an assumed repeat window.
+const DOUBT_BACKDATE_MS: u64 = 86_400_000;
 
 /// What was found in a segment.
 #[derive(Clone, Debug, Serialize)]
 pub struct SegmentReport {
-    /// Its file.
+    /// File name.
     pub file: String,
-    /// Its place in the order; 0 is the single file of old releases.
+    /// Sequence number; 0 is the single file of releases before 0.2.
     pub sequence: u64,
-    /// What the file counts as on the disk.
+    /// Size of the file on disk.
     pub on_disk: u64,
-    /// Bytes of header and good records.
-    pub size: u64,
-    /// Good records.
+    /// Size of the header and all valid records.
+    #[serde(rename = "size")]
+    pub valid_bytes: u64,
+    /// Number of valid records.
     pub records: u64,
-    /// Bytes of messages that stand in it and are held.
-    pub live: u64,
+    /// Bytes of the latest full records of pending messages.
+    #[serde(rename = "live")]
+    pub live_bytes: u64,
 }
 
-/// What was found in a folder.
+/// What was found in a journal's folder.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Report {
-    /// Oldest first.
+pub struct JournalReport {
+    /// The segments, oldest first.
     pub segments: Vec<SegmentReport>,
-    /// All files as they count.
-    pub used: u64,
-    /// Messages that are owed an end.
-    pub held: u64,
-    /// ... with an attempt out.
-    pub out: u64,
-    /// ... whose end is known and was not heard yet.
-    pub ending: u64,
-    /// Endpoints in the list.
+    /// Size of all files on disk.
+    #[serde(rename = "used")]
+    pub used_bytes: u64,
+    /// Number of pending messages.
+    #[serde(rename = "held")]
+    pub pending: u64,
+    /// Number of pending messages with an attempt in flight.
+    #[serde(rename = "out")]
+    pub in_flight: u64,
+    /// Number of pending messages with a verdict that the client has not acknowledged.
+    #[serde(rename = "ending")]
+    pub unacknowledged: u64,
+    /// Number of endpoints in the listing.
     pub endpoints: u64,
-    /// The list's version.
+    /// Revision of the listing.
     pub rev: u64,
-    /// Destinations that messages are taken on for.
+    /// Number of destinations for which messages are accepted.
     pub destinations: u64,
-    /// Outages that are remembered.
+    /// Number of outages.
     pub outages: u64,
-    /// Bytes at the end that a crash left behind, and that promised nothing.
-    pub torn: u64,
-    /// Damage to what was promised, in words and places.
+    /// Bytes of an incomplete last write that a crash left behind. Nothing relied on them.
+    #[serde(rename = "torn")]
+    pub torn_bytes: u64,
+    /// Descriptions of damage to durable records, with file and offset.
     pub damage: Vec<String>,
-    /// Messages that are held and of which something may be lost: they count as having run.
+    /// Pending messages of which a record may be lost: they count as attempted.
     pub in_doubt: Vec<u32>,
-    /// Messages that later records speak of and that cannot be found.
+    /// Messages to which records after the damage refer, but whose contents are lost.
     pub lost: Vec<u32>,
 }
 
-impl Report {
-    /// Whether all that was promised is there.
-    pub fn is_sound(&self) -> bool {
+impl JournalReport {
+    /// Whether no durable record is damaged.
+    pub fn is_undamaged(&self) -> bool {
         self.damage.is_empty()
     }
 }
 
-/// All that can be proven of a journal.
+/// All that can be verified of a journal.
 pub(crate) struct Salvage {
-    pub report: Report,
-    pub image: Image,
+    pub report: JournalReport,
+    pub state: JournalState,
 }
 
-/// Reads a folder, and changes nothing.
-pub fn look<S: Store>(store: &S) -> Result<Report, JournalError> {
+/// Inspects the journal of a folder without changing any file.
+pub fn inspect<S: Store>(store: &S) -> Result<JournalReport, JournalError> {
     Ok(salvage(store)?.report)
 }
 
-/// Reads a folder as far as it can be read, and changes nothing.
+/// Reads all that can be verified of a folder's journal without changing any file.
 pub(crate) fn salvage<S: Store>(store: &S) -> Result<Salvage, JournalError> {
-    let files = survey(store)?;
-    let all: Vec<Present> = files.before_gap.iter().chain(&files.segments).copied().collect();
-    let mut needed = files.lowest;
+    let files = scan_folder(store)?;
+    let all: Vec<SegmentFile> = files.before_gap.iter().chain(&files.segments).copied().collect();
+    let mut oldest_needed = files.oldest_needed;
     loop {
-        let used = all.iter().map(|segment| on_disk(segment.length)).sum::<u64>() + files.others;
-        let reading = Reading::new(store, files.identity, &all, needed, used)?;
-        // What says that a segment is not needed any more may come long after it.
-        if reading.freed <= needed {
-            return Ok(reading.finish());
+        let used_bytes =
+            all.iter().map(|segment| on_disk(segment.length)).sum::<u64>() + files.other_files_bytes;
+        let reader = SalvageReader::read(store, files.journal_id, &all, oldest_needed, used_bytes)?;
+        // The record that frees a segment may come long after it: then read again without that segment.
+        if reader.freed_below <= oldest_needed {
+            return Ok(reader.finish());
         }
-        needed = reading.freed;
+        oldest_needed = reader.freed_below;
     }
 }
 
-struct Reading {
-    report: Report,
-    image: Image,
-    ledger: Ledger,
+/// Reads segments and collects what is valid, in doubt and lost.
+struct SalvageReader {
+    report: JournalReport,
+    state: JournalState,
+    index: SegmentIndex,
     /// Messages of which a record may be lost.
-    doubt: BTreeSet<u32>,
-    /// Messages spoken of after damage that are not known.
+    in_doubt: BTreeSet<u32>,
+    /// Unknown messages to which records after the damage refer.
     lost: BTreeSet<u32>,
-    damaged: bool,
-    freed: u64,
+    is_damaged: bool,
+    /// Segments with sequence numbers less than this have been freed.
+    freed_below: u64,
 }
 
-impl Reading {
-    fn new<S: Store>(
+impl SalvageReader {
+    /// Reads all segments from `oldest_needed` on.
+    fn read<S: Store>(
         store: &S,
-        identity: Option<u64>,
-        all: &[Present],
-        needed: u64,
-        used: u64,
+        journal_id: Option<u64>,
+        all: &[SegmentFile],
+        oldest_needed: u64,
+        used_bytes: u64,
     ) -> Result<Self, JournalError> {
-        let mut reading = Reading {
-            report: Report { used, ..Report::default() },
-            image: Image::default(),
-            ledger: Ledger::default(),
-            doubt: BTreeSet::new(),
+        let mut reader = SalvageReader {
+            report: JournalReport { used_bytes, ..JournalReport::default() },
+            state: JournalState::default(),
+            index: SegmentIndex::default(),
+            in_doubt: BTreeSet::new(),
             lost: BTreeSet::new(),
-            damaged: false,
-            freed: 0,
+            is_damaged: false,
+            freed_below: 0,
         };
-        let wanted: Vec<&Present> = all.iter().filter(|segment| segment.sequence >= needed).collect();
-        let mut expected = needed;
-        for (at, segment) in wanted.iter().enumerate() {
-            // The first segment of a journal that never had an old file is 1.
+        let needed: Vec<&SegmentFile> =
+            all.iter().filter(|segment| segment.sequence >= oldest_needed).collect();
+        let mut expected = oldest_needed;
+        for (at, segment) in needed.iter().enumerate() {
+            // A journal without a legacy file, which would be segment 0, begins with segment 1.
             let is_first_ever = expected == 0 && segment.sequence == 1;
             for missing in expected..segment.sequence {
                 if !is_first_ever {
-                    reading.damage(&name(missing), 0, Wrong::Missing);
+                    reader.add_damage(&segment_file_name(missing), 0, DamageKind::Missing);
                 }
-                reading.ledger.open(missing);
+                reader.index.add_segment(missing);
             }
             expected = segment.sequence + 1;
-            let next = wanted.get(at + 1);
-            reading.segment(
-                store,
-                identity,
-                segment,
-                next.and_then(|next| next.previous_size),
-                next.is_none(),
-            )?;
+            let next = needed.get(at + 1);
+            let size = next.and_then(|next| next.previous_size);
+            reader.read_segment(store, journal_id, segment, size, next.is_none())?;
         }
-        Ok(reading)
+        Ok(reader)
     }
 
-    fn damage(&mut self, file: &str, offset: u64, what: Wrong) {
-        let damage = Damage { file: file.to_owned(), offset, what };
+    fn add_damage(&mut self, file: &str, offset: u64, kind: DamageKind) {
+        let damage = Damage { file: file.to_owned(), offset, kind };
         self.report.damage.push(damage.to_string());
-        // Whatever was known up to here may have gone on in what is lost.
-        self.doubt.extend(self.image.held.keys());
-        self.damaged = true;
+        // The lost records may concern any message that is pending at this point.
+        self.in_doubt.extend(self.state.pending.keys());
+        self.is_damaged = true;
     }
 
-    fn segment<S: Store>(
+    /// Reads one segment; `size` is its size according to its successor.
+    fn read_segment<S: Store>(
         &mut self,
         store: &S,
-        identity: Option<u64>,
-        segment: &Present,
+        journal_id: Option<u64>,
+        segment: &SegmentFile,
         size: Option<u64>,
         is_last: bool,
     ) -> Result<(), JournalError> {
-        let file = name(segment.sequence);
-        let handle = store.open(&file).map_err(doing("open", &file))?;
-        let mut window = Window::new(store, &handle);
-        let place = Place { identity: identity.unwrap_or_default(), sequence: segment.sequence };
-        self.ledger.open(segment.sequence);
-        if segment.form.is_none() {
-            self.damage(&file, 0, Wrong::Header);
+        let name = segment_file_name(segment.sequence);
+        let file = store.open(&name).map_err(io_error("open", &name))?;
+        let mut reader = BufferedReader::new(store, &file);
+        let id = SegmentId { journal_id: journal_id.unwrap_or_default(), sequence: segment.sequence };
+        self.index.add_segment(segment.sequence);
+        if segment.format.is_none() {
+            self.add_damage(&name, 0, DamageKind::InvalidHeader);
         }
-        let form = segment.form.unwrap_or(Form::Segment(place));
+        let format = segment.format.unwrap_or(SegmentFormat::Segment(id));
         let end = size.unwrap_or(segment.length);
-        let (mut records, mut good) = (0, 0);
-        let mut result = read(&mut window, form, end, is_last, |found| {
+        let (mut records, mut valid_bytes) = (0, 0);
+        let mut result = read_segment(&mut reader, format, end, is_last, |found| {
             records += 1;
-            good = found.offset + found.bytes;
-            self.take_in(segment.sequence, found.bytes, found.record);
+            valid_bytes = found.offset + found.bytes;
+            self.add_record(segment.sequence, found.bytes, found.record);
         })
-        .map_err(doing("read", &file))?;
-        while let End::Damaged(offset, what) = result.clone() {
-            self.damage(&file, offset, what);
-            if matches!(form, Form::Legacy) {
+        .map_err(io_error("read", &name))?;
+        while let SegmentEnd::Damaged(offset, kind) = result.clone() {
+            self.add_damage(&name, offset, kind);
+            if matches!(format, SegmentFormat::Legacy) {
                 break;
             }
-            // On from the next record that is good wherever it stands.
+            // Continues at the next valid record, at whichever offset it is.
             let mut from = None;
-            good_after(&mut window, place, offset.max(HEADER) + 1, segment.length, |at, _| {
-                from = Some(at);
+            let search_from = offset.max(HEADER_BYTES) + 1;
+            find_valid_records(&mut reader, id, search_from, segment.length, |offset, _| {
+                from = Some(offset);
                 true
             })
-            .map_err(doing("read", &file))?;
+            .map_err(io_error("read", &name))?;
             let Some(from) = from else { break };
-            result = crate::replay::read_from(&mut window, place, from, end.max(from), is_last, |found| {
+            result = read_segment_from(&mut reader, id, from, end.max(from), is_last, |found| {
                 records += 1;
-                good = found.offset + found.bytes;
-                self.take_in(segment.sequence, found.bytes, found.record);
+                valid_bytes = found.offset + found.bytes;
+                self.add_record(segment.sequence, found.bytes, found.record);
             })
-            .map_err(doing("read", &file))?;
+            .map_err(io_error("read", &name))?;
         }
-        if let (End::Whole(size), true) = (&result, is_last) {
-            self.report.torn = torn(&mut window, *size, segment.length).map_err(doing("read", &file))?;
+        if let (SegmentEnd::Valid(size), true) = (&result, is_last) {
+            let torn_bytes = count_torn_bytes(&mut reader, *size, segment.length);
+            self.report.torn_bytes = torn_bytes.map_err(io_error("read", &name))?;
         }
         self.report.segments.push(SegmentReport {
-            file,
+            file: name,
             sequence: segment.sequence,
             on_disk: on_disk(segment.length),
-            size: good,
+            valid_bytes,
             records,
-            live: 0,
+            live_bytes: 0,
         });
         Ok(())
     }
 
-    fn take_in(&mut self, segment: u64, bytes: u64, record: Record) {
+    fn add_record(&mut self, sequence: u64, bytes: u64, record: Record) {
         match &record {
-            Record::Take(number, _) | Record::Whole(number, _) => {
-                // All of it stands here.
-                self.doubt.remove(number);
+            Record::Accepted(number, _) | Record::FullMessage(number, _) => {
+                // The record has all that is known of the message, so records lost before it do not matter.
+                self.in_doubt.remove(number);
                 self.lost.remove(number);
-                self.ledger.settle(*number, segment, bytes);
+                self.index.insert(*number, sequence, bytes);
             }
-            Record::Over(number) => {
-                self.doubt.remove(number);
+            Record::Completed(number) => {
+                self.in_doubt.remove(number);
                 self.lost.remove(number);
-                self.ledger.forget(*number);
+                self.index.remove(*number);
             }
-            Record::Start(number, _) | Record::Outcome(number, _) | Record::Owe(number, _)
-                if self.damaged && !self.image.held.contains_key(number) =>
+            Record::AttemptStarted(number, _)
+            | Record::AttemptFinished(number, _)
+            | Record::VerdictSet(number, _)
+                if self.is_damaged && !self.state.pending.contains_key(number) =>
             {
                 self.lost.insert(*number);
             }
-            Record::Freed { below, .. } => self.freed = self.freed.max(*below),
+            Record::Freed { below, .. } => self.freed_below = self.freed_below.max(*below),
             _ => {}
         }
-        self.image.apply(record);
+        self.state.apply(record);
     }
 
+    /// Marks the messages in doubt as attempted, and completes the report.
     fn finish(mut self) -> Salvage {
-        for number in &self.doubt {
-            let Some(held) = self.image.held.get_mut(number) else { continue };
-            let long_ago = held.taken.deadline_ms.saturating_sub(LONG_AGO_MS);
-            held.outcome(true);
-            held.maybe_ran = held.maybe_ran.or(Some((long_ago, 0)));
-            held.attempts = held.attempts.max(1);
+        for number in &self.in_doubt {
+            let Some(pending) = self.state.pending.get_mut(number) else { continue };
+            let assumed_ms = pending.message.deadline_ms.saturating_sub(DOUBT_BACKDATE_MS);
+            pending.finish_attempt(true);
+            pending.may_have_run = pending.may_have_run.or(Some((assumed_ms, 0)));
+            pending.attempts = pending.attempts.max(1);
         }
         for segment in &mut self.report.segments {
-            segment.live = self.ledger.live(segment.sequence);
+            segment.live_bytes = self.index.live_bytes(segment.sequence);
         }
-        let held = self.image.held.values();
-        self.report.held = held.len() as u64;
-        self.report.out = held.clone().filter(|held| held.out.is_some()).count() as u64;
-        self.report.ending = held.filter(|held| held.verdict.is_some()).count() as u64;
-        self.report.endpoints = self.image.targets.len() as u64;
-        self.report.rev = self.image.rev;
-        self.report.destinations = self.image.destinations.len() as u64;
-        self.report.outages = self.image.outages.len() as u64;
-        self.report.in_doubt =
-            self.doubt.iter().copied().filter(|number| self.image.held.contains_key(number)).collect();
+        let pending = self.state.pending.values();
+        self.report.pending = pending.len() as u64;
+        self.report.in_flight = pending.clone().filter(|pending| pending.in_flight.is_some()).count() as u64;
+        self.report.unacknowledged = pending.filter(|pending| pending.verdict.is_some()).count() as u64;
+        self.report.endpoints = self.state.targets.len() as u64;
+        self.report.rev = self.state.listing_rev;
+        self.report.destinations = self.state.destinations.len() as u64;
+        self.report.outages = self.state.outages.len() as u64;
+        let is_pending = |number: &u32| self.state.pending.contains_key(number);
+        self.report.in_doubt = self.in_doubt.iter().copied().filter(is_pending).collect();
         self.report.lost = self.lost.into_iter().collect();
-        Salvage { report: self.report, image: self.image }
+        Salvage { report: self.report, state: self.state }
     }
 }
 
-/// Bytes behind the last record that are not blank.
-fn torn<S: Store>(window: &mut Window<'_, S>, from: u64, end: u64) -> std::io::Result<u64> {
-    let (mut at, mut last) = (from, from);
-    while at < end {
-        let length = (end - at).min(4096) as usize;
-        let Some(bytes) = window.get(at, length)? else { break };
-        if let Some(place) = bytes.iter().rposition(|byte| *byte != 0) {
-            last = at + place as u64 + 1;
+/// Number of bytes from `from` up to the last one that is not zero; the rest of a segment is preallocated with zeros.
+fn count_torn_bytes<S: Store>(
+    reader: &mut BufferedReader<'_, S>,
+    from: u64,
+    end: u64,
+) -> std::io::Result<u64> {
+    let (mut offset, mut last) = (from, from);
+    while offset < end {
+        let length = (end - offset).min(4096) as usize;
+        let Some(bytes) = reader.get(offset, length)? else { break };
+        if let Some(position) = bytes.iter().rposition(|byte| *byte != 0) {
+            last = offset + position as u64 + 1;
         }
-        at += length as u64;
+        offset += length as u64;
     }
     Ok(last - from)
 }
--- a/crates/gullcart-journal/src/simulated.rs
+++ b/crates/gullcart-journal/src/simulated.rs
@@ -1,385 +1,404 @@
-//! A folder in memory that can be cut off at any operation, run full, fail, and lose what was not synced. For tests of
-//! this package and for fleets in virtual time; it is not used by the daemon.
+//! A simulated folder in memory that can crash at any operation, run full, fail, and lose data that was not synced. Tests
+//! of this package and simulations in virtual time use it; the daemon does not.
 
-use crate::plan::on_disk;
+use crate::space_plan::on_disk;
 use crate::store::Store;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
 use std::rc::Rc;
 
-const SECTOR: usize = 512;
+/// Unsynced writes are lost or kept in units of this size.
+const SECTOR_BYTES: usize = 512;
 
-/// What goes wrong with an operation.
+/// How an operation fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It fails, and nothing of it happens.
+    /// It fails without any effect.
     Error,
-    /// It fails, and a part of it happened; one that has no parts happened whole.
-    Partly,
-    /// There is no room for it.
-    NoRoom,
+    /// It fails after a part of it was done; an operation that has no parts is done entirely.
+    Partial,
+    /// It fails because the disk is full.
+    NoSpace,
 }
 
-/// How a crash leaves what was written.
+/// What a crash leaves of the data that was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Crash {
-    /// The process ends: what was written is there.
+    /// A crash of the process: everything that was written is kept.
     Process,
-    /// The machine ends: what was not synced is there in any part and any order.
+    /// A crash of the machine: of data that was not synced, any part may be kept, in any order.
     Machine,
 }
 
+/// A change of a file's contents.
 #[derive(Clone, Debug)]
-enum Change {
+enum FileChange {
+    /// Writes bytes at an offset.
     Write(usize, Vec<u8>),
-    Length(usize),
+    /// Truncates or extends the file.
+    SetLength(usize),
 }
 
-impl Change {
+impl FileChange {
     fn apply(&self, bytes: &mut Vec<u8>) {
         match self {
-            Change::Write(at, data) => {
+            FileChange::Write(at, data) => {
                 if bytes.len() < at + data.len() {
                     bytes.resize(at + data.len(), 0);
                 }
                 bytes[*at..at + data.len()].copy_from_slice(data);
             }
-            Change::Length(length) => bytes.resize(*length, 0),
+            FileChange::SetLength(length) => bytes.resize(*length, 0),
         }
     }
 }
 
+/// A change of the names in the folder.
 #[derive(Clone, Debug)]
-enum Naming {
+enum DirectoryChange {
+    /// Gives a name to the file with this index.
     Set(String, usize),
     Rename(String, String),
     Remove(String),
 }
 
-impl Naming {
+impl DirectoryChange {
     fn apply(&self, names: &mut BTreeMap<String, usize>) {
         match self {
-            Naming::Set(name, file) => drop(names.insert(name.clone(), *file)),
-            Naming::Rename(from, to) => {
+            DirectoryChange::Set(name, file) => drop(names.insert(name.clone(), *file)),
+            DirectoryChange::Rename(from, to) => {
                 if let Some(file) = names.remove(from) {
                     names.insert(to.clone(), file);
                 }
             }
-            Naming::Remove(name) => drop(names.remove(name)),
+            DirectoryChange::Remove(name) => drop(names.remove(name)),
         }
     }
 }
 
 #[derive(Clone, Debug, Default)]
-struct Content {
-    now: Vec<u8>,
+struct FileContent {
+    current: Vec<u8>,
     synced: Vec<u8>,
-    since: Vec<Change>,
+    unsynced_changes: Vec<FileChange>,
 }
 
 #[derive(Clone, Debug)]
-struct Inner {
-    /// Shared with the folders that crashes left, until one of them writes.
-    files: Vec<Rc<Content>>,
+struct DiskState {
+    /// Contents are shared with captured copies of the folder until one of them changes a file.
+    files: Vec<Rc<FileContent>>,
+    /// Indexes of files by name.
     names: BTreeMap<String, usize>,
-    names_synced: BTreeMap<String, usize>,
-    names_since: Vec<Naming>,
-    capacity: u64,
-    most_used: u64,
+    synced_names: BTreeMap<String, usize>,
+    unsynced_name_changes: Vec<DirectoryChange>,
+    capacity_bytes: u64,
+    max_used_bytes: u64,
     operations: u64,
+    /// Faults by the number of the operation that fails.
     faults: BTreeMap<u64, Fault>,
-    is_refusing: bool,
+    is_refusing_changes: bool,
     crash: Crash,
-    captures: usize,
+    /// Number of crashes that are simulated in each operation.
+    captures_per_operation: usize,
     captured: Vec<Disk>,
     rng: fastrand::Rng,
 }
 
-/// A folder in memory. Clones are the same folder.
+/// A simulated folder in memory. Clones refer to the same folder.
 #[derive(Clone, Debug)]
-pub struct Disk(Rc<RefCell<Inner>>);
+pub struct Disk(Rc<RefCell<DiskState>>);
 
 impl Disk {
-    /// An empty folder with room for so much, all files counted in whole sectors.
-    pub fn new(capacity: u64, crash: Crash, seed: u64) -> Self {
-        Disk(Rc::new(RefCell::new(Inner {
+    /// An empty folder on a disk of `capacity_bytes`. File sizes count in whole sectors.
+    pub fn new(capacity_bytes: u64, crash: Crash, seed: u64) -> Self {
+        Disk(Rc::new(RefCell::new(DiskState {
             files: Vec::new(),
             names: BTreeMap::new(),
-            names_synced: BTreeMap::new(),
-            names_since: Vec::new(),
-            capacity,
-            most_used: 0,
+            synced_names: BTreeMap::new(),
+            unsynced_name_changes: Vec::new(),
+            capacity_bytes,
+            max_used_bytes: 0,
             operations: 0,
             faults: BTreeMap::new(),
-            is_refusing: false,
+            is_refusing_changes: false,
             crash,
-            captures: 0,
+            captures_per_operation: 0,
             captured: Vec::new(),
             rng: fastrand::Rng::with_seed(seed),
         })))
     }
 
-    /// Operations that changed something, or tried to.
+    /// Number of operations so far that changed something or tried to.
     pub fn operations(&self) -> u64 {
         self.0.borrow().operations
     }
 
-    /// The most that all files ever counted as.
-    pub fn most_used(&self) -> u64 {
-        self.0.borrow().most_used
+    /// Largest total size on disk that all files ever had.
+    pub fn max_used_bytes(&self) -> u64 {
+        self.0.borrow().max_used_bytes
     }
 
-    /// What goes wrong with the operation of that number, from 1 on.
-    pub fn fail(&self, operation: u64, fault: Fault) {
+    /// Injects a fault into the operation with this number; the first operation has number 1.
+    pub fn inject_fault(&self, operation: u64, fault: Fault) {
         self.0.borrow_mut().faults.insert(operation, fault);
     }
 
-    /// Nothing goes wrong any more.
-    pub fn mend(&self) {
+    /// Removes all injected faults.
+    pub fn clear_faults(&self) {
         self.0.borrow_mut().faults.clear();
     }
 
-    /// From now on nothing can be changed, or everything again.
-    pub fn refuse(&self, is_refusing: bool) {
-        self.0.borrow_mut().is_refusing = is_refusing;
+    /// Makes all changes fail as on a full disk, or stops that.
+    pub fn refuse_changes(&self, is_refusing: bool) {
+        self.0.borrow_mut().is_refusing_changes = is_refusing;
     }
 
-    /// Gives the folder other room.
-    pub fn resize(&self, capacity: u64) {
-        self.0.borrow_mut().capacity = capacity;
+    /// Changes the size of the disk.
+    pub fn set_capacity(&self, capacity_bytes: u64) {
+        self.0.borrow_mut().capacity_bytes = capacity_bytes;
     }
 
-    /// From now on, keeps so many folders as crashes in each operation would leave them.
-    pub fn capture(&self, each: usize) {
-        self.0.borrow_mut().captures = each;
+    /// From now on, simulates this many crashes in each operation, and keeps the folders that they leave.
+    pub fn capture_crashes(&self, per_operation: usize) {
+        self.0.borrow_mut().captures_per_operation = per_operation;
     }
 
-    /// The folders that were kept since the last time.
-    pub fn captured(&self) -> Vec<Disk> {
+    /// Takes the folders that simulated crashes have left since the last call.
+    pub fn take_captured(&self) -> Vec<Disk> {
         std::mem::take(&mut self.0.borrow_mut().captured)
     }
 
-    /// The folder as a crash now would leave it.
-    pub fn crashed(&self) -> Disk {
-        let mut inner = self.0.borrow_mut();
-        inner.crashed(None)
+    /// The folder as a crash between two operations would leave it now.
+    pub fn after_crash(&self) -> Disk {
+        let mut state = self.0.borrow_mut();
+        state.after_crash(None)
     }
 
-    /// A file's bytes, if there is one of that name.
-    pub fn bytes(&self, name: &str) -> Option<Vec<u8>> {
-        let inner = self.0.borrow();
-        inner.names.get(name).map(|file| inner.files[*file].now.clone())
+    /// Contents of the file with this name, if there is one.
+    pub fn file_bytes(&self, name: &str) -> Option<Vec<u8>> {
+        let state = self.0.borrow();
+        state.names.get(name).map(|file| state.files[*file].current.clone())
     }
 
-    /// Puts a file there, synced.
-    pub fn put(&self, name: &str, bytes: Vec<u8>) {
-        let mut inner = self.0.borrow_mut();
-        inner.files.push(Rc::new(Content { now: bytes.clone(), synced: bytes, since: Vec::new() }));
-        let file = inner.files.len() - 1;
-        inner.names.insert(name.to_owned(), file);
-        inner.names_synced.insert(name.to_owned(), file);
+    /// Adds or replaces a file, as if it were synced already.
+    pub fn put_file(&self, name: &str, bytes: Vec<u8>) {
+        let mut state = self.0.borrow_mut();
+        state.files.push(Rc::new(FileContent {
+            current: bytes.clone(),
+            synced: bytes,
+            unsynced_changes: Vec::new(),
+        }));
+        let file = state.files.len() - 1;
+        state.names.insert(name.to_owned(), file);
+        state.synced_names.insert(name.to_owned(), file);
     }
 
     /// Names of all files.
-    pub fn names(&self) -> Vec<String> {
+    pub fn file_names(&self) -> Vec<String> {
         self.0.borrow().names.keys().cloned().collect()
     }
 
-    fn change(&self, file: usize, change: Change) -> io::Result<()> {
-        let mut inner = self.0.borrow_mut();
-        let fault = inner.begin(Some((file, &change)), None);
-        let room = inner.room_for(file, &change);
+    fn change_file(&self, file: usize, change: FileChange) -> io::Result<()> {
+        let mut state = self.0.borrow_mut();
+        let fault = state.begin(Some((file, &change)), None);
+        let has_space = state.has_space_for(file, &change);
         match fault {
             Some(Fault::Error) => return Err(io::Error::other("a simulated error")),
-            Some(Fault::NoRoom) => return Err(full()),
-            Some(Fault::Partly) => {
-                let part = inner.part(&change);
-                inner.make(file, part);
-                return Err(io::Error::other("a simulated error in the midst"));
+            Some(Fault::NoSpace) => return Err(disk_full()),
+            Some(Fault::Partial) => {
+                let part = state.partial(&change);
+                state.apply_file_change(file, part);
+                return Err(io::Error::other("a simulated error after a part of the write"));
             }
             None => {}
         }
-        if !room {
-            // As much as fits.
-            if let Change::Write(at, data) = &change {
+        if !has_space {
+            // Writes as much as fits, in steps of 64 bytes.
+            if let FileChange::Write(at, data) = &change {
                 let fits = (0..=data.len())
                     .rev()
                     .step_by(64)
-                    .find(|part| inner.room_for(file, &Change::Write(*at, data[..*part].to_vec())));
-                let part = Change::Write(*at, data[..fits.unwrap_or(0)].to_vec());
+                    .find(|part| state.has_space_for(file, &FileChange::Write(*at, data[..*part].to_vec())));
+                let part = FileChange::Write(*at, data[..fits.unwrap_or(0)].to_vec());
                 if fits.is_some_and(|fits| fits > 0) {
-                    inner.make(file, part);
+                    state.apply_file_change(file, part);
                 }
             }
-            return Err(full());
+            return Err(disk_full());
         }
-        inner.make(file, change);
+        state.apply_file_change(file, change);
         Ok(())
     }
 
-    fn name(&self, naming: Naming) -> io::Result<()> {
-        let mut inner = self.0.borrow_mut();
-        let fault = inner.begin(None, Some(&naming));
+    fn change_directory(&self, change: DirectoryChange) -> io::Result<()> {
+        let mut state = self.0.borrow_mut();
+        let fault = state.begin(None, Some(&change));
         match fault {
             Some(Fault::Error) => return Err(io::Error::other("a simulated error")),
-            Some(Fault::NoRoom) => return Err(full()),
+            Some(Fault::NoSpace) => return Err(disk_full()),
             _ => {}
         }
-        inner.give(naming);
+        state.apply_directory_change(change);
         match fault {
-            Some(_) => Err(io::Error::other("a simulated error after the fact")),
+            Some(_) => Err(io::Error::other("a simulated error after the change")),
             None => Ok(()),
         }
     }
 }
 
-fn full() -> io::Error {
+fn disk_full() -> io::Error {
     io::Error::new(io::ErrorKind::StorageFull, "a simulated full disk")
 }
 
-impl Inner {
-    /// Counts an operation, keeps the folders that crashes in it would leave, and tells what goes wrong with it.
-    fn begin(&mut self, change: Option<(usize, &Change)>, naming: Option<&Naming>) -> Option<Fault> {
+impl DiskState {
+    /// Counts an operation, captures the folders that crashes in it would leave, and returns the fault injected into it.
+    fn begin(
+        &mut self,
+        file_change: Option<(usize, &FileChange)>,
+        directory_change: Option<&DirectoryChange>,
+    ) -> Option<Fault> {
         self.operations += 1;
-        for _ in 0..self.captures {
-            let disk = self.crashed(change.map(|(file, change)| (file, change.clone())));
-            // Done, but not synced yet: the next crash may still undo it.
-            if let Some(naming) = naming.filter(|_| self.rng.bool()) {
-                disk.0.borrow_mut().give(naming.clone());
+        for _ in 0..self.captures_per_operation {
+            let disk = self.after_crash(file_change.map(|(file, change)| (file, change.clone())));
+            // Done but not synced: the next crash may still undo it.
+            if let Some(change) = directory_change.filter(|_| self.rng.bool()) {
+                disk.0.borrow_mut().apply_directory_change(change.clone());
             }
             self.captured.push(disk);
         }
-        if self.is_refusing {
-            return Some(Fault::NoRoom);
+        if self.is_refusing_changes {
+            return Some(Fault::NoSpace);
         }
         self.faults.get(&self.operations).copied()
     }
 
-    /// The folder as a crash leaves it in the midst of a change.
-    fn crashed(&mut self, under_way: Option<(usize, Change)>) -> Disk {
+    /// The folder as a crash leaves it, in the middle of a change if one is given.
+    fn after_crash(&mut self, interrupted: Option<(usize, FileChange)>) -> Disk {
         let mut after = self.clone();
         after.captured.clear();
-        after.captures = 0;
+        after.captures_per_operation = 0;
         after.faults.clear();
-        // A folder that nothing can be written to stays so over a restart.
+        // `is_refusing_changes` is kept: a folder that cannot be written stays so over a restart.
         after.rng = self.rng.fork();
-        if let Some((file, change)) = under_way {
-            let part = after.part(&change);
-            after.make(file, part);
+        if let Some((file, change)) = interrupted {
+            let part = after.partial(&change);
+            after.apply_file_change(file, part);
         }
         if after.crash == Crash::Machine {
-            after.lose();
+            after.lose_unsynced();
         }
         for file in &mut after.files {
             if after.crash == Crash::Machine {
                 let file = Rc::make_mut(file);
-                file.synced = file.now.clone();
-                file.since.clear();
+                file.synced = file.current.clone();
+                file.unsynced_changes.clear();
             }
         }
-        after.names_synced = after.names.clone();
-        after.names_since.clear();
+        after.synced_names = after.names.clone();
+        after.unsynced_name_changes.clear();
         Disk(Rc::new(RefCell::new(after)))
     }
 
-    /// A part of a change, from nothing to all of it.
-    fn part(&mut self, change: &Change) -> Change {
+    /// A random part of a change, from nothing to all of it.
+    fn partial(&mut self, change: &FileChange) -> FileChange {
         match change {
-            Change::Write(at, data) => {
+            FileChange::Write(at, data) => {
                 let part = match self.rng.u8(..8) {
                     0 => 0,
                     1 => data.len(),
                     _ => self.rng.usize(..=data.len()),
                 };
-                Change::Write(*at, data[..part].to_vec())
+                FileChange::Write(*at, data[..part].to_vec())
             }
-            Change::Length(length) if self.rng.bool() => Change::Length(*length),
-            Change::Length(_) => Change::Write(0, Vec::new()),
+            FileChange::SetLength(length) if self.rng.bool() => FileChange::SetLength(*length),
+            FileChange::SetLength(_) => FileChange::Write(0, Vec::new()),
         }
     }
 
-    /// Loses some of what was not synced, sector by sector and name by name.
-    fn lose(&mut self) {
+    /// Loses a random part of the data that was not synced, sector by sector, and of the last name changes.
+    fn lose_unsynced(&mut self) {
         let mut rng = self.rng.fork();
-        // Often all or nothing, which is what machines do most of the time.
-        let odds = [0.0, 0.2, 0.5, 0.8, 1.0][rng.usize(..5)];
+        // All or nothing is likely, as it is the most common case on real machines.
+        let keep_probability = [0.0, 0.2, 0.5, 0.8, 1.0][rng.usize(..5)];
         for file in &mut self.files {
-            if file.since.is_empty() {
+            if file.unsynced_changes.is_empty() {
                 continue;
             }
             let file = Rc::make_mut(file);
             let mut bytes = file.synced.clone();
-            for change in &file.since {
+            for change in &file.unsynced_changes {
                 match change {
-                    Change::Length(_) => {
-                        if rng.f64() < odds {
+                    FileChange::SetLength(_) => {
+                        if rng.f64() < keep_probability {
                             change.apply(&mut bytes);
                         }
                     }
-                    Change::Write(at, data) => {
+                    FileChange::Write(at, data) => {
                         let mut from = 0;
                         while from < data.len() {
-                            let to = ((at + from) / SECTOR + 1) * SECTOR - at;
+                            let to = ((at + from) / SECTOR_BYTES + 1) * SECTOR_BYTES - at;
                             let to = to.min(data.len());
-                            if rng.f64() < odds {
-                                Change::Write(at + from, data[from..to].to_vec()).apply(&mut bytes);
+                            if rng.f64() < keep_probability {
+                                FileChange::Write(at + from, data[from..to].to_vec()).apply(&mut bytes);
                             }
                             from = to;
                         }
                     }
                 }
             }
-            file.now = bytes;
+            file.current = bytes;
         }
-        self.names = self.names_synced.clone();
-        // File systems keep the order of what is done to names.
-        let kept = rng.usize(..=self.names_since.len());
-        for naming in &self.names_since[..kept] {
-            naming.apply(&mut self.names);
+        self.names = self.synced_names.clone();
+        // File systems keep the order of name changes.
+        let kept_changes = rng.usize(..=self.unsynced_name_changes.len());
+        for change in &self.unsynced_name_changes[..kept_changes] {
+            change.apply(&mut self.names);
         }
     }
 
-    fn used(&self) -> u64 {
-        self.names.values().map(|file| on_disk(self.files[*file].now.len() as u64)).sum()
+    fn used_bytes(&self) -> u64 {
+        self.names.values().map(|file| on_disk(self.files[*file].current.len() as u64)).sum()
     }
 
-    fn room_for(&self, file: usize, change: &Change) -> bool {
-        let now = self.files[file].now.len();
-        let then = match change {
-            Change::Write(at, data) => now.max(at + data.len()),
-            Change::Length(length) => *length,
+    fn has_space_for(&self, file: usize, change: &FileChange) -> bool {
+        let length = self.files[file].current.len();
+        let new_length = match change {
+            FileChange::Write(at, data) => length.max(at + data.len()),
+            FileChange::SetLength(length) => *length,
         };
-        then <= now || self.used() - on_disk(now as u64) + on_disk(then as u64) <= self.capacity
+        new_length <= length
+            || self.used_bytes() - on_disk(length as u64) + on_disk(new_length as u64) <= self.capacity_bytes
     }
 
-    fn make(&mut self, file: usize, change: Change) {
+    fn apply_file_change(&mut self, file: usize, change: FileChange) {
         let content = Rc::make_mut(&mut self.files[file]);
-        change.apply(&mut content.now);
+        change.apply(&mut content.current);
         if self.crash == Crash::Machine {
-            content.since.push(change);
+            content.unsynced_changes.push(change);
         }
-        self.most_used = self.most_used.max(self.used());
+        self.max_used_bytes = self.max_used_bytes.max(self.used_bytes());
     }
 
-    fn give(&mut self, naming: Naming) {
-        naming.apply(&mut self.names);
+    fn apply_directory_change(&mut self, change: DirectoryChange) {
+        change.apply(&mut self.names);
         if self.crash == Crash::Machine {
-            self.names_since.push(naming);
+            self.unsynced_name_changes.push(change);
         } else {
-            self.drop_nameless();
+            self.drop_unnamed_files();
         }
     }
 
-    /// Files that nobody can open any more take no memory; the one made last gets its name in a moment.
-    fn drop_nameless(&mut self) {
+    /// Releases the contents of files that have no name any more. The file created last is kept, as it is about to get a
+    /// name.
+    fn drop_unnamed_files(&mut self) {
         let last = self.files.len().saturating_sub(1);
         for (number, file) in self.files.iter_mut().enumerate() {
             let is_named = |names: &BTreeMap<String, usize>| names.values().any(|named| *named == number);
             if number != last
-                && !file.now.is_empty()
+                && !file.current.is_empty()
                 && !is_named(&self.names)
-                && !is_named(&self.names_synced)
+                && !is_named(&self.synced_names)
             {
                 *file = Rc::default();
             }
@@ -391,21 +410,21 @@
     type File = usize;
 
     fn list(&self) -> io::Result<Vec<(String, u64)>> {
-        let inner = self.0.borrow();
-        Ok(inner
+        let state = self.0.borrow();
+        Ok(state
             .names
             .iter()
-            .map(|(name, file)| (name.clone(), inner.files[*file].now.len() as u64))
+            .map(|(name, file)| (name.clone(), state.files[*file].current.len() as u64))
             .collect())
     }
 
     fn create(&self, name: &str) -> io::Result<usize> {
         let file = {
-            let mut inner = self.0.borrow_mut();
-            inner.files.push(Rc::default());
-            inner.files.len() - 1
+            let mut state = self.0.borrow_mut();
+            state.files.push(Rc::default());
+            state.files.len() - 1
         };
-        self.name(Naming::Set(name.to_owned(), file))?;
+        self.change_directory(DirectoryChange::Set(name.to_owned(), file))?;
         Ok(file)
     }
 
@@ -414,14 +433,14 @@
         found.ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
-    fn set_aside(&self, file: &usize, length: u64) -> io::Result<()> {
-        let now = self.0.borrow().files[*file].now.len();
-        self.change(*file, Change::Length(now.max(length as usize)))
+    fn preallocate(&self, file: &usize, length: u64) -> io::Result<()> {
+        let current_length = self.0.borrow().files[*file].current.len();
+        self.change_file(*file, FileChange::SetLength(current_length.max(length as usize)))
     }
 
     fn read_at(&self, file: &usize, buffer: &mut [u8], offset: u64) -> io::Result<usize> {
-        let inner = self.0.borrow();
-        let bytes = &inner.files[*file].now;
+        let state = self.0.borrow();
+        let bytes = &state.files[*file].current;
         let from = (offset as usize).min(bytes.len());
         let length = buffer.len().min(bytes.len() - from);
         buffer[..length].copy_from_slice(&bytes[from..from + length]);
@@ -429,34 +448,34 @@
     }
 
     fn write_at(&self, file: &usize, bytes: &[u8], offset: u64) -> io::Result<()> {
-        self.change(*file, Change::Write(offset as usize, bytes.to_vec()))
+        self.change_file(*file, FileChange::Write(offset as usize, bytes.to_vec()))
     }
 
     fn set_length(&self, file: &usize, length: u64) -> io::Result<()> {
-        self.change(*file, Change::Length(length as usize))
+        self.change_file(*file, FileChange::SetLength(length as usize))
     }
 
     fn sync(&self, file: &usize) -> io::Result<()> {
-        let mut inner = self.0.borrow_mut();
-        match inner.begin(None, None) {
-            Some(_) => Err(io::Error::other("a simulated error of a sync")),
+        let mut state = self.0.borrow_mut();
+        match state.begin(None, None) {
+            Some(_) => Err(io::Error::other("a simulated sync error")),
             None => {
-                let content = Rc::make_mut(&mut inner.files[*file]);
-                content.synced = content.now.clone();
-                content.since.clear();
+                let content = Rc::make_mut(&mut state.files[*file]);
+                content.synced = content.current.clone();
+                content.unsynced_changes.clear();
                 Ok(())
             }
         }
     }
 
-    fn sync_names(&self) -> io::Result<()> {
-        let mut inner = self.0.borrow_mut();
-        match inner.begin(None, None) {
-            Some(_) => Err(io::Error::other("a simulated error of a sync")),
+    fn sync_directory(&self) -> io::Result<()> {
+        let mut state = self.0.borrow_mut();
+        match state.begin(None, None) {
+            Some(_) => Err(io::Error::other("a simulated sync error")),
             None => {
-                inner.names_synced = inner.names.clone();
-                inner.names_since.clear();
-                inner.drop_nameless();
+                state.synced_names = state.names.clone();
+                state.unsynced_name_changes.clear();
+                state.drop_unnamed_files();
                 Ok(())
             }
         }
@@ -466,13 +485,13 @@
         if !self.0.borrow().names.contains_key(from) {
             return Err(io::ErrorKind::NotFound.into());
         }
-        self.name(Naming::Rename(from.to_owned(), to.to_owned()))
+        self.change_directory(DirectoryChange::Rename(from.to_owned(), to.to_owned()))
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
         if !self.0.borrow().names.contains_key(name) {
             return Err(io::ErrorKind::NotFound.into());
         }
-        self.name(Naming::Remove(name.to_owned()))
+        self.change_directory(DirectoryChange::Remove(name.to_owned()))
     }
 }
--- a/crates/gullcart-journal/src/store.rs
+++ b/crates/gullcart-journal/src/store.rs
@@ -1,70 +1,74 @@
-//! The folder that lasts, as the journal uses it. All I/O of this package goes through [`Store`], so that tests can cut
-//! it off at every operation.
+//! The persistent folder. All file operations of this package go through [`Store`], so that tests can simulate a crash at
+//! each of them.
 
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io;
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-/// A folder of files. Operations either happen or fail; one that fails may have happened in part.
+/// A folder of files. An operation that fails may have happened in part.
 pub trait Store {
-    /// A file that is open.
+    /// An open file.
     type File;
 
-    /// Names and lengths of all files, in no order.
+    /// Names and lengths of all files, in no particular order.
     fn list(&self) -> io::Result<Vec<(String, u64)>>;
-    /// Makes an empty file that can be written, in the place of one of that name.
+    /// Creates an empty file for reading and writing; an existing one is truncated.
     fn create(&self, name: &str) -> io::Result<Self::File>;
-    /// Opens a file to read and write.
+    /// Opens an existing file for reading and writing.
     fn open(&self, name: &str) -> io::Result<Self::File>;
-    /// Sets room aside for a file, which is then at least so long; the new part reads as zeros.
-    fn set_aside(&self, file: &Self::File, length: u64) -> io::Result<()>;
-    /// Reads some bytes from a place; none at the end.
+    /// Preallocates disk space for a file, which is then at least `length` bytes long; the new part reads as zeros.
+    fn preallocate(&self, file: &Self::File, length: u64) -> io::Result<()>;
+    /// Reads bytes at an offset into the buffer; returns how many, which is 0 at the end of the file.
     fn read_at(&self, file: &Self::File, buffer: &mut [u8], offset: u64) -> io::Result<usize>;
-    /// Writes all bytes at a place.
+    /// Writes all bytes at an offset.
     fn write_at(&self, file: &Self::File, bytes: &[u8], offset: u64) -> io::Result<()>;
-    /// Cuts a file, or makes it longer.
+    /// Truncates or extends a file.
     fn set_length(&self, file: &Self::File, length: u64) -> io::Result<()>;
-    /// What was written to it outlasts the machine.
+    /// Makes the contents of a file durable over a crash of the machine.
     fn sync(&self, file: &Self::File) -> io::Result<()>;
-    /// What was done to names outlasts the machine.
-    fn sync_names(&self) -> io::Result<()>;
-    /// Gives a file another name, in the place of one that has it.
+    /// Makes created, renamed and removed names durable over a crash of the machine.
+    fn sync_directory(&self) -> io::Result<()>;
+    /// Renames a file; an existing file of the new name is replaced.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     fn remove(&self, name: &str) -> io::Result<()>;
 }
 
-/// The file that says that a folder is in use.
-const LOCK: &str = "journal.lock";
+/// Name of the file that is locked while a process uses the folder.
+pub(crate) const LOCK_FILE_NAME: &str = "journal.lock";
 
-/// A real folder, locked while this is there.
+/// A folder on disk, locked against other processes as long as this value exists.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
-    folder: File,
+    directory: File,
     _lock: File,
 }
 
 impl Folder {
-    /// Opens a folder that nobody else uses. A process that dies gives it up.
+    /// Locks and opens a folder. It is an error if another process uses it. The lock ends with the process.
     pub fn lock(path: &Path) -> io::Result<Self> {
-        let lock =
-            OpenOptions::new().create(true).truncate(false).write(true).open(path.join(LOCK)).map_err(
-                |e| io::Error::new(e.kind(), format!("cannot open {}: {e}", path.join(LOCK).display())),
-            )?;
+        let lock = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(path.join(LOCK_FILE_NAME))
+            .map_err(|e| {
+                io::Error::new(e.kind(), format!("cannot open {}: {e}", path.join(LOCK_FILE_NAME).display()))
+            })?;
         match lock.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => {
-                let what = format!("{} is in use by another process", path.display());
-                return Err(io::Error::new(io::ErrorKind::ResourceBusy, what));
+                let message = format!("{} is in use by another process", path.display());
+                return Err(io::Error::new(io::ErrorKind::ResourceBusy, message));
             }
             Err(TryLockError::Error(error)) => return Err(error),
         }
-        Ok(Folder { path: path.to_owned(), folder: File::open(path)?, _lock: lock })
+        Ok(Folder { path: path.to_owned(), directory: File::open(path)?, _lock: lock })
     }
 
-    /// Where it is.
+    /// Path of the folder.
     pub fn path(&self) -> &Path {
         &self.path
     }
@@ -74,15 +78,15 @@
     type File = File;
 
     fn list(&self) -> io::Result<Vec<(String, u64)>> {
-        let mut all = Vec::new();
+        let mut files = Vec::new();
         for entry in fs::read_dir(&self.path)? {
             let entry = entry?;
-            let about = entry.metadata()?;
-            if let (true, Ok(name)) = (about.is_file(), entry.file_name().into_string()) {
-                all.push((name, about.len()));
+            let metadata = entry.metadata()?;
+            if let (true, Ok(name)) = (metadata.is_file(), entry.file_name().into_string()) {
+                files.push((name, metadata.len()));
             }
         }
-        Ok(all)
+        Ok(files)
     }
 
     fn create(&self, name: &str) -> io::Result<File> {
@@ -93,10 +97,10 @@
         OpenOptions::new().read(true).write(true).open(self.path.join(name))
     }
 
-    fn set_aside(&self, file: &File, length: u64) -> io::Result<()> {
+    fn preallocate(&self, file: &File, length: u64) -> io::Result<()> {
         use rustix::io::Errno;
         match rustix::fs::fallocate(file, rustix::fs::FallocateFlags::empty(), 0, length) {
-            // Not every file system can; then the length is set, and room is not certain.
+            // Not all file systems support this. Then only the length is set, and a later write may still find the disk full.
             Err(Errno::OPNOTSUPP | Errno::NOSYS) => file.set_len(length),
             other => Ok(other?),
         }
@@ -118,8 +122,8 @@
         file.sync_data()
     }
 
-    fn sync_names(&self) -> io::Result<()> {
-        self.folder.sync_all()
+    fn sync_directory(&self) -> io::Result<()> {
+        self.directory.sync_all()
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
--- a/crates/gullcart-journal/tests/common/mod.rs
+++ b/crates/gullcart-journal/tests/common/mod.rs
@@ -1,55 +1,58 @@
-//! A model of the journal, and a workload that drives both.
+//! A reference model of the journal, and a random workload that drives both.
 #![allow(dead_code)]
 
 use bytes::Bytes;
-use gullcart_journal::{Held, Journal, JournalError, OutageNote, Store};
-use gullcart_message::{Taken, Target, Update, Verdict};
+use gullcart_journal::{Journal, JournalError, PendingMessage, PersistedOutage, Store};
+use gullcart_message::{AcceptedMessage, ListingUpdate, Target, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a journal should hold.
+/// The state that a journal should have.
 #[derive(Clone, Debug, Default)]
 pub struct Model {
-    held: BTreeMap<u32, Held>,
+    pending: BTreeMap<u32, PendingMessage>,
     targets: BTreeMap<String, Target>,
-    rev: u64,
+    listing_rev: u64,
     destinations: BTreeSet<u32>,
-    outages: Vec<OutageNote>,
-    /// A change of the list or of outages is under way, of which a part may be there.
-    in_parts: bool,
+    outages: Vec<PersistedOutage>,
+    /// A change of the listing or of outages may have been written in part.
+    is_partial: bool,
 }
 
 impl Model {
-    /// Everything has been written: nothing may be there in part.
-    pub fn whole(&mut self) {
-        self.in_parts = false;
+    /// Marks all changes as written completely.
+    pub fn mark_complete(&mut self) {
+        self.is_partial = false;
     }
 
-    pub fn is_in_parts(&self) -> bool {
-        self.in_parts
+    /// Whether a change may have been written in part.
+    pub fn is_partial(&self) -> bool {
+        self.is_partial
     }
 
-    pub fn is<S: Store>(&self, journal: &Journal<S>) -> bool {
+    /// Whether the journal has this state.
+    pub fn matches<S: Store>(&self, journal: &Journal<S>) -> bool {
         self.difference(journal) == "nothing"
     }
 
+    /// Describes the first difference between the journal and this state.
     pub fn difference<S: Store>(&self, journal: &Journal<S>) -> String {
-        let image = journal.image();
-        let outages: Vec<OutageNote> = image.outages().cloned().collect();
-        if image.held != self.held {
-            for (number, held) in &self.held {
-                match image.held.get(number) {
-                    Some(there) if there == held => {}
-                    other => return format!("message {number}: {other:?} in place of {held:?}"),
+        let state = journal.state();
+        let outages: Vec<PersistedOutage> = state.outages().cloned().collect();
+        if state.pending != self.pending {
+            for (number, pending) in &self.pending {
+                match state.pending.get(number) {
+                    Some(found) if found == pending => {}
+                    other => return format!("message {number}: {other:?} in place of {pending:?}"),
                 }
             }
-            let more = image.held.keys().find(|number| !self.held.contains_key(number));
-            return format!("a message came back: {more:?}");
+            let unexpected = state.pending.keys().find(|number| !self.pending.contains_key(number));
+            return format!("a completed message is pending again: {unexpected:?}");
         }
-        if !self.in_parts {
-            if (&image.targets, image.rev) != (&self.targets, self.rev) {
-                return format!("the list: {:?} in place of {:?}", image.targets, self.targets);
+        if !self.is_partial {
+            if (&state.targets, state.listing_rev) != (&self.targets, self.listing_rev) {
+                return format!("the listing: {:?} in place of {:?}", state.targets, self.targets);
             }
-            if !self.destinations.is_subset(&image.destinations) {
+            if !self.destinations.is_subset(&state.destinations) {
                 return "the destinations".to_owned();
             }
             if outages != self.outages {
@@ -60,87 +63,90 @@
     }
 }
 
-pub fn taken(number: u64, body: Bytes) -> Taken {
-    Taken {
+/// A message with deterministic fields that differ by number.
+pub fn message(number: u64, body: Bytes) -> AcceptedMessage {
+    AcceptedMessage {
         id: format!("{number:016x}"),
-        key: number % 7,
+        order_key: number % 7,
         class: "pay-notice".to_owned(),
         destination: (number % 12) as u32,
         idempotency_key: number.is_multiple_of(3).then(|| format!("{number:08x}")),
         deadline_ms: 1_790_000_000_000 + number,
-        again: false,
+        from_failed_courier: false,
         body,
     }
 }
 
-/// What happens, drawn from a seed.
+/// Random events, drawn from a seed.
 pub struct Workload {
     rng: fastrand::Rng,
-    numbers: u64,
+    last_message: u64,
 }
 
 impl Workload {
     pub fn new(seed: u64) -> Self {
-        Workload { rng: fastrand::Rng::with_seed(seed), numbers: 0 }
+        Workload { rng: fastrand::Rng::with_seed(seed), last_message: 0 }
     }
 
-    /// One that goes on from some state.
-    pub fn after(seed: u64, _model: &Model) -> Self {
-        Workload { rng: fastrand::Rng::with_seed(seed), numbers: 1 << 32 }
+    /// A workload that continues on a journal with existing messages: its messages differ from theirs.
+    pub fn continuing(seed: u64, _model: &Model) -> Self {
+        Workload { rng: fastrand::Rng::with_seed(seed), last_message: 1 << 32 }
     }
 
-    /// One event that has to succeed, or be refused for lack of room.
+    /// Applies one event, which has to succeed or to be refused for lack of space.
     pub fn step<S: Store>(&mut self, journal: &mut Journal<S>, allowed: &mut Vec<Model>) {
-        match self.any(journal, allowed) {
+        match self.apply_event(journal, allowed) {
             Ok(()) | Err(JournalError::Full) => {}
             Err(error) => panic!("{error}"),
         }
     }
 
-    /// One event that may fail in any way.
+    /// Applies one event, which may fail in any way.
     pub fn step_failing<S: Store>(&mut self, journal: &mut Journal<S>, allowed: &mut Vec<Model>) {
-        let _ = self.any(journal, allowed);
+        let _ = self.apply_event(journal, allowed);
     }
 
-    /// Events until all that could not be written is.
-    pub fn settle<S: Store>(&mut self, journal: &mut Journal<S>, allowed: &mut Vec<Model>) {
+    /// Applies events until everything that could not be written before has been written.
+    pub fn write_missed<S: Store>(&mut self, journal: &mut Journal<S>, allowed: &mut Vec<Model>) {
         for _ in 0..200 {
-            let number = journal.image().held.keys().next().copied();
+            let number = journal.state().pending.keys().next().copied();
             let _ = match number {
-                Some(number) if journal.figures().unwritten > 0 => self.start(journal, allowed, number),
-                _ => self.take(journal, allowed).map(|_| ()),
+                Some(number) if journal.stats().unwritten_changes > 0 => {
+                    self.start_attempt(journal, allowed, number)
+                }
+                _ => self.accept(journal, allowed).map(|_| ()),
             };
             let outages = allowed.last().unwrap().outages.clone();
-            self.outages(journal, allowed, outages).unwrap();
-            if journal.figures().unwritten == 0 {
-                allowed.last_mut().unwrap().whole();
+            self.set_outages(journal, allowed, outages).unwrap();
+            if journal.stats().unwritten_changes == 0 {
+                allowed.last_mut().unwrap().mark_complete();
                 return;
             }
         }
-        panic!("it was never written: {:?}", journal.trouble());
+        panic!("missed records were never written: {:?}", journal.take_maintenance_error());
     }
 
-    fn any<S: Store>(
+    fn apply_event<S: Store>(
         &mut self,
         journal: &mut Journal<S>,
         allowed: &mut Vec<Model>,
     ) -> Result<(), JournalError> {
-        let held: Vec<u32> = journal.image().held.keys().copied().collect();
-        // Mostly young messages, and a few that stay for long.
-        let pick = match held.len() {
+        let pending: Vec<u32> = journal.state().pending.keys().copied().collect();
+        // Mostly recent messages, so that a few stay pending for long.
+        let pick = match pending.len() {
             0 => None,
-            some if self.rng.u8(..8) == 0 => Some(held[self.rng.usize(..some)]),
-            some => Some(held[some - 1 - self.rng.usize(..some.min(6))]),
+            count if self.rng.u8(..8) == 0 => Some(pending[self.rng.usize(..count)]),
+            count => Some(pending[count - 1 - self.rng.usize(..count.min(6))]),
         };
         match (self.rng.u8(..100), pick) {
-            (0..35, _) | (_, None) => self.take(journal, allowed).map(|_| ()),
-            (35..55, Some(number)) => self.start(journal, allowed, number),
+            (0..35, _) | (_, None) => self.accept(journal, allowed).map(|_| ()),
+            (35..55, Some(number)) => self.start_attempt(journal, allowed, number),
             (55..70, Some(number)) => {
                 let may_have_run = self.rng.bool();
                 let mut next = allowed.last().unwrap().clone();
-                next.held.get_mut(&number).unwrap().outcome(may_have_run);
+                next.pending.get_mut(&number).unwrap().finish_attempt(may_have_run);
                 allowed.push(next);
-                journal.outcome(number, may_have_run)
+                journal.finish_attempt(number, may_have_run)
             }
             (70..75, Some(number)) => {
                 let verdict = match self.rng.bool() {
@@ -148,45 +154,46 @@
                     false => Verdict::Returned { after_ms: self.rng.u64(..5000) },
                 };
                 let mut next = allowed.last().unwrap().clone();
-                next.held.get_mut(&number).unwrap().verdict = Some(verdict);
+                next.pending.get_mut(&number).unwrap().verdict = Some(verdict);
                 allowed.push(next);
-                journal.owe(number, verdict)
+                journal.set_verdict(number, verdict)
             }
-            (75..96, Some(number)) => self.end(journal, allowed, number),
-            (96..98, _) => self.list(journal, allowed),
+            (75..96, Some(number)) => self.complete(journal, allowed, number),
+            (96..98, _) => self.update_listing(journal, allowed),
             (_, _) => {
                 let count = self.rng.u16(..5);
-                let notes = (0..count).map(|n| OutageNote {
+                let outages = (0..count).map(|n| PersistedOutage {
                     destination: u32::from(n) * 2,
                     uid: None,
                     since_ms: self.rng.u64(..1000),
-                    evidence: 3,
-                    lost: Some(true),
-                    returned_ms: None,
-                    share: 0.25,
+                    failure_weight: 3,
+                    calls_were_lost: Some(true),
+                    slow_start_since_ms: None,
+                    served_per_second: 0.25,
                 });
-                let notes = notes.collect();
-                self.outages(journal, allowed, notes)
+                let outages = outages.collect();
+                self.set_outages(journal, allowed, outages)
             }
         }
     }
 
-    pub fn take<S: Store>(
+    /// Accepts a new message.
+    pub fn accept<S: Store>(
         &mut self,
         journal: &mut Journal<S>,
         allowed: &mut Vec<Model>,
     ) -> Result<u32, JournalError> {
-        self.numbers += 1;
+        self.last_message += 1;
         let size = match self.rng.u8(..10) {
             0 => 2500,
             1 => 0,
             _ => self.rng.usize(..400),
         };
-        let message = taken(self.numbers, Bytes::from(vec![self.rng.u8(..); size]));
+        let message = message(self.last_message, Bytes::from(vec![self.rng.u8(..); size]));
         let mut next = allowed.last().unwrap().clone();
-        let number = journal.image().last + 1;
-        next.held.insert(number, Held::new(message.clone()));
-        let result = journal.take(message);
+        let number = journal.state().last_number + 1;
+        next.pending.insert(number, PendingMessage::new(message.clone()));
+        let result = journal.accept(message);
         if result.is_ok() {
             assert_eq!(result.as_ref().ok(), Some(&number));
             allowed.push(next);
@@ -194,7 +201,7 @@
         result
     }
 
-    fn start<S: Store>(
+    fn start_attempt<S: Store>(
         &mut self,
         journal: &mut Journal<S>,
         allowed: &mut Vec<Model>,
@@ -202,40 +209,41 @@
     ) -> Result<(), JournalError> {
         let sent = (self.rng.u64(..100_000), self.rng.u8(..3));
         let mut next = allowed.last().unwrap().clone();
-        next.held.get_mut(&number).unwrap().start(sent);
-        let result = journal.start(number, sent);
+        next.pending.get_mut(&number).unwrap().start_attempt(sent);
+        let result = journal.start_attempt(number, sent);
         if result.is_ok() {
             allowed.push(next);
         }
         result
     }
 
-    pub fn end<S: Store>(
+    /// Completes a message.
+    pub fn complete<S: Store>(
         &mut self,
         journal: &mut Journal<S>,
         allowed: &mut Vec<Model>,
         number: u32,
     ) -> Result<(), JournalError> {
         let mut next = allowed.last().unwrap().clone();
-        next.held.remove(&number);
+        next.pending.remove(&number);
         allowed.push(next);
-        journal.over(number)
+        journal.complete(number)
     }
 
-    fn outages<S: Store>(
+    fn set_outages<S: Store>(
         &mut self,
         journal: &mut Journal<S>,
         allowed: &mut Vec<Model>,
-        notes: Vec<OutageNote>,
+        outages: Vec<PersistedOutage>,
     ) -> Result<(), JournalError> {
         let mut next = allowed.last().unwrap().clone();
-        let result = journal.outages(&notes);
-        next.outages = notes;
-        in_parts(allowed, next, result.is_ok());
+        let result = journal.set_outages(&outages);
+        next.outages = outages;
+        push_partial(allowed, next, result.is_ok());
         result
     }
 
-    fn list<S: Store>(
+    fn update_listing<S: Store>(
         &mut self,
         journal: &mut Journal<S>,
         allowed: &mut Vec<Model>,
@@ -257,29 +265,30 @@
             }
         };
         let targets: Vec<Target> = (0..count).map(|_| target(&mut self.rng)).collect();
-        next.rev += 1;
+        next.listing_rev += 1;
         if all {
             next.targets.clear();
         }
         for target in &targets {
             next.destinations.insert(target.pod_group);
-            match target.is_gone() {
+            match target.is_deleted() {
                 true => next.targets.remove(&target.uid),
                 false => next.targets.insert(target.uid.clone(), target.clone()),
             };
         }
-        let result = journal.targets(&Update { rev: next.rev, all, targets });
-        in_parts(allowed, next, result.is_ok());
+        let result = journal.update_listing(&ListingUpdate { rev: next.listing_rev, all, targets });
+        push_partial(allowed, next, result.is_ok());
         result
     }
 }
 
-/// A change that may be there in part after a crash in the midst of it, or until what failed of it is written.
-fn in_parts(allowed: &mut Vec<Model>, next: Model, is_whole: bool) {
-    let mut half = next.clone();
-    half.in_parts = true;
-    allowed.push(half);
-    if is_whole {
+/// Adds the states after a change of several records: after a crash a part of it may be there, and also after a failure
+/// until the rest is written.
+fn push_partial(allowed: &mut Vec<Model>, next: Model, is_complete: bool) {
+    let mut partial = next.clone();
+    partial.is_partial = true;
+    allowed.push(partial);
+    if is_complete {
         allowed.push(next);
     }
 }
