--- a/crates/gullcart-journal/tests/notes.rs
+++ b/crates/gullcart-journal/tests/notes.rs
@@ -1,134 +1,140 @@
-//! Notes are cut off at every operation, in recoveries too; what was noted is there, in its order, and nothing else.
+//! Crash tests of the state log: simulated crashes at every file operation, during recovery too. Afterwards the log has the
+//! entries that were appended, in order, and nothing else.
 
-use gullcart_journal::notes::{Notes, NotesError};
 use gullcart_journal::simulated::{Crash, Disk, Fault};
+use gullcart_journal::state_log::{StateLog, StateLogError};
 
-const MOST: u64 = 8 << 10;
+const MAX_LOG_BYTES: u64 = 8 << 10;
 
-/// What is noted: its sum is what a rewrite writes down.
-fn note(number: u64) -> Vec<u8> {
+/// The entry with this number. The state that a rewrite stores is the last entry.
+fn entry(number: u64) -> Vec<u8> {
     let mut bytes = number.to_le_bytes().to_vec();
     bytes.resize(8 + (number % 90) as usize, number as u8);
     bytes
 }
 
-fn last(entries: &[Vec<u8>]) -> u64 {
+/// Number of the last entry.
+fn last_number(entries: &[Vec<u8>]) -> u64 {
     entries.last().map_or(0, |bytes| u64::from_le_bytes(bytes[..8].try_into().unwrap()))
 }
 
-/// What is there is the last rewrite and all that was noted since.
-fn check(entries: &[Vec<u8>], least: u64, most: u64) {
-    let end = last(entries);
-    assert!((least..=most).contains(&end), "{end} is there, {least} to {most} was noted");
-    for (place, bytes) in entries.iter().enumerate() {
-        assert_eq!(*bytes, note(end - (entries.len() - 1 - place) as u64));
+/// Checks that the entries are consecutive and end with a number from `min` to `max`.
+fn check(entries: &[Vec<u8>], min: u64, max: u64) {
+    let last = last_number(entries);
+    assert!((min..=max).contains(&last), "the last entry is {last}, expected {min} to {max}");
+    for (position, bytes) in entries.iter().enumerate() {
+        assert_eq!(*bytes, entry(last - (entries.len() - 1 - position) as u64));
     }
 }
 
-fn recover(disk: &Disk, least: u64, most: u64, deeper: bool) -> u64 {
-    disk.capture(usize::from(deeper));
-    let (mut notes, entries) = Notes::open(disk.clone(), MOST).unwrap();
-    check(&entries, least, most);
+/// Opens a folder that a crash left, and continues there; with `nested`, also after crashes during that recovery. Returns
+/// how many crashes were tried.
+fn recover(disk: &Disk, min: u64, max: u64, nested: bool) -> u64 {
+    disk.capture_crashes(usize::from(nested));
+    let (mut log, entries) = StateLog::open(disk.clone(), MAX_LOG_BYTES).unwrap();
+    check(&entries, min, max);
     let mut tried = 1;
-    let there = last(&entries);
-    for crashed in disk.captured() {
-        tried += recover(&crashed, there, there, false);
+    let last = last_number(&entries);
+    for crashed in disk.take_captured() {
+        tried += recover(&crashed, last, last, false);
     }
-    disk.capture(0);
-    // It goes on where it was.
-    notes.append(&note(there + 1)).unwrap();
-    drop(notes);
-    check(&Notes::open(disk.clone(), MOST).unwrap().1, there + 1, there + 1);
+    disk.capture_crashes(0);
+    // The log continues after its last entry.
+    log.append(&entry(last + 1)).unwrap();
+    drop(log);
+    check(&StateLog::open(disk.clone(), MAX_LOG_BYTES).unwrap().1, last + 1, last + 1);
     tried
 }
 
 #[test]
-fn what_was_noted_outlasts_a_crash_at_every_operation() {
+fn appended_entries_survive_a_crash_at_every_operation() {
     let mut tried = 0;
     for seed in 0..12 {
         let disk = Disk::new(64 << 10, Crash::Machine, seed);
-        disk.capture(3);
-        let (mut notes, _) = Notes::open(disk.clone(), MOST).unwrap();
+        disk.capture_crashes(3);
+        let (mut log, _) = StateLog::open(disk.clone(), MAX_LOG_BYTES).unwrap();
         let mut rewrites = 0;
         for number in 1..150 {
-            notes.append(&note(number)).unwrap();
-            for crashed in disk.captured() {
+            log.append(&entry(number)).unwrap();
+            for crashed in disk.take_captured() {
                 tried += recover(&crashed, number - 1, number, true);
             }
-            if notes.is_long() {
+            if log.needs_rewrite() {
                 rewrites += 1;
-                notes.rewrite(&note(number)).unwrap();
-                for crashed in disk.captured() {
+                log.rewrite(&entry(number)).unwrap();
+                for crashed in disk.take_captured() {
                     tried += recover(&crashed, number, number, true);
                 }
             }
         }
         assert!(rewrites > 2);
     }
-    println!("{tried} crashes");
+    println!("{tried} crashes tried");
     assert!(tried > 10_000);
 }
 
 #[test]
-fn each_operation_that_fails_breaks_no_promise() {
-    for fault in [Fault::Error, Fault::Partly, Fault::NoRoom] {
+fn a_failed_operation_loses_no_appended_entry() {
+    for fault in [Fault::Error, Fault::Partial, Fault::NoSpace] {
         for operation in 0..400 {
             let disk = Disk::new(64 << 10, Crash::Machine, operation);
-            let Ok((mut notes, _)) = Notes::open(disk.clone(), MOST) else { panic!("a new folder opens") };
-            disk.fail(disk.operations() + operation, fault);
-            let mut noted = 0;
+            let Ok((mut log, _)) = StateLog::open(disk.clone(), MAX_LOG_BYTES) else {
+                panic!("a new folder opens")
+            };
+            disk.inject_fault(disk.operations() + operation, fault);
+            let mut appended = 0;
             for number in 1..120 {
-                if notes.append(&note(number)).is_err() {
-                    // Nothing is promised after that.
-                    assert!(matches!(notes.append(&note(number)), Err(NotesError::Broken)));
+                if log.append(&entry(number)).is_err() {
+                    // No further entry is accepted after a failure.
+                    assert!(matches!(log.append(&entry(number)), Err(StateLogError::WriteFailed)));
                     break;
                 }
-                noted = number;
-                if notes.is_long() && notes.rewrite(&note(number)).is_err() {
+                appended = number;
+                if log.needs_rewrite() && log.rewrite(&entry(number)).is_err() {
                     break;
                 }
             }
-            drop(notes);
-            disk.mend();
-            let left = disk.crashed();
-            let (_, entries) = Notes::open(left, MOST).unwrap();
-            check(&entries, noted, noted + 1);
+            drop(log);
+            disk.clear_faults();
+            let left = disk.after_crash();
+            let (_, entries) = StateLog::open(left, MAX_LOG_BYTES).unwrap();
+            check(&entries, appended, appended + 1);
         }
     }
 }
 
 #[test]
-fn damage_before_whole_entries_is_no_torn_end() {
+fn damage_before_valid_entries_is_not_an_incomplete_write() {
     let disk = Disk::new(64 << 10, Crash::Process, 1);
-    let (mut notes, _) = Notes::open(disk.clone(), MOST).unwrap();
-    (1..10).for_each(|number| notes.append(&note(number)).unwrap());
-    drop(notes);
-    let name = disk.names().into_iter().find(|name| name.starts_with("notes-")).unwrap();
-    let whole = disk.bytes(&name).unwrap();
-    let mut damaged = whole.clone();
+    let (mut log, _) = StateLog::open(disk.clone(), MAX_LOG_BYTES).unwrap();
+    (1..10).for_each(|number| log.append(&entry(number)).unwrap());
+    drop(log);
+    let name = disk.file_names().into_iter().find(|name| name.starts_with("notes-")).unwrap();
+    let undamaged = disk.file_bytes(&name).unwrap();
+    let mut damaged = undamaged.clone();
     damaged[60] ^= 1;
-    disk.put(&name, damaged);
-    assert!(matches!(Notes::open(disk.clone(), MOST), Err(NotesError::Damaged { .. })));
-    let mut torn = whole.clone();
-    torn.truncate(whole.len() - 3);
-    disk.put(&name, torn);
-    check(&Notes::open(disk.clone(), MOST).unwrap().1, 8, 8);
-    let mut other = whole;
-    other[7] = b'9';
-    disk.put(&name, other);
-    assert!(matches!(Notes::open(disk, MOST), Err(NotesError::Version(_))));
+    disk.put_file(&name, damaged);
+    assert!(matches!(StateLog::open(disk.clone(), MAX_LOG_BYTES), Err(StateLogError::Damaged { .. })));
+    let mut torn = undamaged.clone();
+    torn.truncate(undamaged.len() - 3);
+    disk.put_file(&name, torn);
+    check(&StateLog::open(disk.clone(), MAX_LOG_BYTES).unwrap().1, 8, 8);
+    let mut other_version = undamaged;
+    other_version[7] = b'9';
+    disk.put_file(&name, other_version);
+    assert!(matches!(StateLog::open(disk, MAX_LOG_BYTES), Err(StateLogError::UnknownVersion(_))));
 }
 
 #[test]
-fn there_is_never_more_than_may_be() {
+fn the_log_stays_within_its_size_limit() {
     let disk = Disk::new(64 << 10, Crash::Process, 1);
-    let (mut notes, _) = Notes::open(disk.clone(), MOST).unwrap();
+    let (mut log, _) = StateLog::open(disk.clone(), MAX_LOG_BYTES).unwrap();
     let mut number = 1;
-    while notes.append(&note(number)).is_ok() {
+    while log.append(&entry(number)).is_ok() {
         number += 1;
     }
-    assert!(disk.most_used() <= MOST + 512);
-    // It is refused, not broken.
-    assert!(matches!(notes.append(&note(number)), Err(NotesError::Full { .. })));
-    check(&Notes::open(disk, MOST).unwrap().1, number - 1, number - 1);
+    assert!(disk.max_used_bytes() <= MAX_LOG_BYTES + 512);
+    // The entry is refused, and the log remains usable.
+    assert!(matches!(log.append(&entry(number)), Err(StateLogError::Full { .. })));
+    check(&StateLog::open(disk, MAX_LOG_BYTES).unwrap().1, number - 1, number - 1);
 }
--- a/crates/gullcart-message/src/lib.rs
+++ b/crates/gullcart-message/src/lib.rs
@@ -1,54 +1,76 @@
-//! What a message, its end and an entry of the list are. This lies below all packages that hold, write or send them.
+//! Types that several packages share: an accepted message, how an undelivered message ends, and service discovery's
+//! listing of endpoints. They are kept in the journal and sent between processes.
 #![forbid(unsafe_code)]
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// A message as it was taken on.
+/// A message as a courier accepted it from a client.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Taken {
+pub struct AcceptedMessage {
+    /// The client's id of the message.
     pub id: String,
-    /// Zero in classes without order.
-    pub key: u64,
-    /// By name: its place in the settings may differ after a restart.
+    /// Messages with the same key are delivered in order. Zero in classes without order.
+    pub order_key: u64,
+    /// The name of its class. An index would not do: settings may list classes in another order after a restart.
     pub class: String,
+    /// The destination that it is to be delivered to.
     pub destination: u32,
+    /// With a key, the destination recognizes a repeated attempt as long as its repeat window lasts.
     pub idempotency_key: Option<String>,
-    /// Wall time, Unix milliseconds, as are all times here.
+    /// When the message expires: wall-clock time in Unix milliseconds.
     pub deadline_ms: u64,
-    pub again: bool,
+    /// The client enqueued it again after the courier that held it failed, so an attempt may have run there.
+    pub from_failed_courier: bool,
+    /// The payload that is sent to an endpoint.
     pub body: Bytes,
 }
 
 /// How a message ends that was not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
+    /// Delivery failed for good.
     Failed,
-    Returned { after_ms: u64 },
+    /// The message goes back to the client unsent; the client may enqueue it again.
+    Returned {
+        /// How long the client should wait before it enqueues the message again, in milliseconds.
+        after_ms: u64,
+    },
 }
 
-/// An entry of the list.
+/// An endpoint in service discovery's listing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Target {
+    /// Unique id of the endpoint.
     pub uid: String,
+    /// Network address of the endpoint.
     pub endpoint: String,
+    /// Availability zone.
     pub az: String,
+    /// Hardware or service model, as discovery names it.
     pub model: String,
+    /// The destination that the endpoint serves.
     pub pod_group: u32,
+    /// Lifecycle state, as discovery names it, for example `SERVING`, `DRAINING` or `DELETED`.
     pub state: String,
+    /// Relative capacity, as discovery announces it.
     pub capacity_hint: f64,
 }
 
 impl Target {
-    pub fn is_gone(&self) -> bool {
+    /// Whether discovery has removed the endpoint from the listing.
+    pub fn is_deleted(&self) -> bool {
         self.state == "DELETED"
     }
 }
 
-/// The whole list, or what changed in it.
+/// A listing from service discovery: all endpoints, or those that changed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Update {
+pub struct ListingUpdate {
+    /// Revision of the listing after this update.
     pub rev: u64,
+    /// Whether `targets` is the whole listing; otherwise it holds the changed entries only.
     pub all: bool,
+    /// The endpoints of the listing, or those that changed.
     pub targets: Vec<Target>,
 }
