--- a/crates/gullcart-journal/benches/backends.rs
+++ b/crates/gullcart-journal/benches/backends.rs
@@ -63,16 +63,16 @@
         SegmentedJournal(Journal::open(folder, disk_bytes, Options::default()).expect("the journal opens"))
     }
     fn accept(&mut self, number: u64) -> u32 {
-        self.0.accept(message(number)).expect("there is room")
+        self.0.accept(message(number)).expect("there is space")
     }
     fn start_attempt(&mut self, number: u32) {
-        self.0.start_attempt(number, (1, 0)).expect("there is room");
+        self.0.start_attempt(number, (1, 0)).expect("there is space");
     }
     fn finish_attempt(&mut self, number: u32) {
-        self.0.finish_attempt(number, true).expect("there is room");
+        self.0.finish_attempt(number, true).expect("there is space");
     }
     fn complete(&mut self, number: u32) {
-        self.0.complete(number).expect("there is room");
+        self.0.complete(number).expect("there is space");
     }
     fn written_bytes(&self) -> Option<(u64, u64)> {
         let stats = self.0.stats();
@@ -102,7 +102,7 @@
     }
     fn complete(&mut self, number: u32) {
         self.0.complete(number);
-        self.0 .0.commit().expect("it can be synced");
+        self.0 .0.commit().expect("the journal can be synced");
     }
     fn written_bytes(&self) -> Option<(u64, u64)> {
         self.0.written_bytes()
@@ -119,16 +119,16 @@
         SingleFileJournal(legacy_journal::Journal::open(folder, disk_bytes).expect("the journal opens"))
     }
     fn accept(&mut self, number: u64) -> u32 {
-        self.0.accept(message(number)).expect("there is room")
+        self.0.accept(message(number)).expect("there is space")
     }
     fn start_attempt(&mut self, number: u32) {
-        self.0.start_attempt(number, (1, 0)).expect("there is room");
+        self.0.start_attempt(number, (1, 0)).expect("there is space");
     }
     fn finish_attempt(&mut self, number: u32) {
-        self.0.finish_attempt(number, true).expect("there is room");
+        self.0.finish_attempt(number, true).expect("there is space");
     }
     fn complete(&mut self, number: u32) {
-        self.0.complete(number).expect("there is room");
+        self.0.complete(number).expect("there is space");
     }
 }
 
@@ -144,25 +144,26 @@
     fn update(&mut self, number: u32, change: impl FnOnce(&mut PendingMessage)) {
         let mut write = self.store.begin_write().expect("a transaction begins");
         // Not synced, like the journal.
-        write.set_durability(redb::Durability::None).expect("it may be set");
+        write.set_durability(redb::Durability::None).expect("the durability can be set");
         {
             let mut table = write.open_table(TABLE).expect("the table opens");
-            let pending = table.get(number).expect("it can be read").map(|bytes| decode(bytes.value()));
+            let pending =
+                table.get(number).expect("the message can be read").map(|bytes| decode(bytes.value()));
             if let Some(mut pending) = pending {
                 change(&mut pending);
-                table.insert(number, encode(&pending).as_slice()).expect("it can be written");
+                table.insert(number, encode(&pending).as_slice()).expect("the message can be written");
             }
         }
-        write.commit().expect("it commits");
+        write.commit().expect("the transaction commits");
     }
 }
 
 fn encode(pending: &PendingMessage) -> Vec<u8> {
-    postcard::to_stdvec(pending).expect("it can be encoded")
+    postcard::to_stdvec(pending).expect("the message can be encoded")
 }
 
 fn decode(bytes: &[u8]) -> PendingMessage {
-    postcard::from_bytes(bytes).expect("it can be decoded")
+    postcard::from_bytes(bytes).expect("the message can be decoded")
 }
 
 impl Backend for Redb {
@@ -174,13 +175,13 @@
     fn accept(&mut self, number: u64) -> u32 {
         self.last_number += 1;
         let mut write = self.store.begin_write().expect("a transaction begins");
-        write.set_durability(redb::Durability::None).expect("it may be set");
+        write.set_durability(redb::Durability::None).expect("the durability can be set");
         {
             let mut table = write.open_table(TABLE).expect("the table opens");
             let bytes = encode(&PendingMessage::new(message(number)));
-            table.insert(self.last_number, bytes.as_slice()).expect("it can be written");
+            table.insert(self.last_number, bytes.as_slice()).expect("the message can be written");
         }
-        write.commit().expect("it commits");
+        write.commit().expect("the transaction commits");
         self.last_number
     }
     fn start_attempt(&mut self, number: u32) {
@@ -191,9 +192,9 @@
     }
     fn complete(&mut self, number: u32) {
         let mut write = self.store.begin_write().expect("a transaction begins");
-        write.set_durability(redb::Durability::None).expect("it may be set");
-        write.open_table(TABLE).expect("the table opens").remove(number).expect("it can be removed");
-        write.commit().expect("it commits");
+        write.set_durability(redb::Durability::None).expect("the durability can be set");
+        write.open_table(TABLE).expect("the table opens").remove(number).expect("the message can be removed");
+        write.commit().expect("the transaction commits");
     }
 }
 
@@ -207,10 +208,10 @@
 impl Fjall {
     fn update(&mut self, number: u32, change: impl FnOnce(&mut PendingMessage)) {
         let key = number.to_be_bytes();
-        let pending = self.pending.get(key).expect("it can be read").map(|bytes| decode(&bytes));
+        let pending = self.pending.get(key).expect("the message can be read").map(|bytes| decode(&bytes));
         if let Some(mut pending) = pending {
             change(&mut pending);
-            self.pending.insert(key, encode(&pending)).expect("it can be written");
+            self.pending.insert(key, encode(&pending)).expect("the message can be written");
         }
     }
 }
@@ -226,7 +227,7 @@
     fn accept(&mut self, number: u64) -> u32 {
         self.last_number += 1;
         let bytes = encode(&PendingMessage::new(message(number)));
-        self.pending.insert(self.last_number.to_be_bytes(), bytes).expect("it can be written");
+        self.pending.insert(self.last_number.to_be_bytes(), bytes).expect("the message can be written");
         self.last_number
     }
     fn start_attempt(&mut self, number: u32) {
@@ -236,6 +237,6 @@
         self.update(number, |pending| pending.finish_attempt(true));
     }
     fn complete(&mut self, number: u32) {
-        self.pending.remove(number.to_be_bytes()).expect("it can be removed");
+        self.pending.remove(number.to_be_bytes()).expect("the message can be removed");
     }
 }
--- a/crates/gullcart-journal/benches/journal.rs
+++ b/crates/gullcart-journal/benches/journal.rs
@@ -16,7 +16,7 @@
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("gullcart-bench-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
-        std::fs::create_dir_all(&path).expect("a folder can be made");
+        std::fs::create_dir_all(&path).expect("the folder can be created");
         TempFolder(path)
     }
 }
--- a/crates/gullcart-journal/examples/measure.rs
+++ b/crates/gullcart-journal/examples/measure.rs
@@ -19,9 +19,9 @@
 fn main() {
     if std::env::args().nth(1).as_deref() == Some("dead") {
         let folder = std::env::temp_dir().join(format!("gullcart-measure-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder can be made");
+        std::fs::create_dir_all(&folder).expect("the folder can be created");
         println!("{}", replay_dead(&folder));
-        std::fs::remove_dir_all(&folder).expect("it can be removed");
+        std::fs::remove_dir_all(&folder).expect("the folder can be removed");
         return;
     }
     let sizes: Vec<u64> = std::env::args().skip(1).filter_map(|word| word.parse().ok()).collect();
@@ -30,17 +30,17 @@
         println!("| live MB | kind | cycles/s | step p50 us | step p99.9 us | longest us | written over asked | replay ms | RSS after replay MB |");
         println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     }
-    for live in sizes {
-        let messages = live * 1_000_000 / (BODY_BYTES as u64 + 100);
+    for live_mb in sizes {
+        let messages = live_mb * 1_000_000 / (BODY_BYTES as u64 + 100);
         for kind in ["segments", "segments, synced", "one file", "redb", "fjall"] {
             // Each kind runs in a process of its own, so that memory is measured separately.
             if std::env::var("MEASURE").is_err() {
-                let own = std::env::current_exe().expect("this program is a file");
+                let own = std::env::current_exe().expect("the path of this program is known");
                 let status = std::process::Command::new(own)
-                    .arg(live.to_string())
+                    .arg(live_mb.to_string())
                     .env("MEASURE", kind)
                     .status()
-                    .expect("it can be started again");
+                    .expect("the program can be started again");
                 assert!(status.success());
                 continue;
             }
@@ -48,16 +48,16 @@
                 continue;
             }
             let folder = std::env::temp_dir().join(format!("gullcart-measure-{}", std::process::id()));
-            std::fs::create_dir_all(&folder).expect("a folder can be made");
+            std::fs::create_dir_all(&folder).expect("the folder can be created");
             let row = match kind {
-                "segments" => measure::<SegmentedJournal>(&folder, live, messages),
-                "segments, synced" => measure::<SyncedJournal>(&folder, live, messages),
-                "one file" => measure::<SingleFileJournal>(&folder, live, messages),
-                "redb" => measure::<Redb>(&folder, live, messages),
-                _ => measure::<Fjall>(&folder, live, messages),
+                "segments" => measure::<SegmentedJournal>(&folder, live_mb, messages),
+                "segments, synced" => measure::<SyncedJournal>(&folder, live_mb, messages),
+                "one file" => measure::<SingleFileJournal>(&folder, live_mb, messages),
+                "redb" => measure::<Redb>(&folder, live_mb, messages),
+                _ => measure::<Fjall>(&folder, live_mb, messages),
             };
-            println!("| {live} | {kind} | {row} |");
-            std::fs::remove_dir_all(&folder).expect("it can be removed");
+            println!("| {live_mb} | {kind} | {row} |");
+            std::fs::remove_dir_all(&folder).expect("the folder can be removed");
         }
     }
 }
@@ -86,8 +86,9 @@
     )
 }
 
-fn measure<B: Backend>(folder: &std::path::Path, live: u64, messages: u64) -> String {
-    let disk_bytes = (live as f64 * 1e6 * B::DISK_PER_LIVE) as u64;
+/// Measures one backend with `live_mb` MB of pending messages; returns a row of the table.
+fn measure<B: Backend>(folder: &std::path::Path, live_mb: u64, messages: u64) -> String {
+    let disk_bytes = (live_mb as f64 * 1e6 * B::DISK_PER_LIVE) as u64;
     let mut backend = B::open(folder, disk_bytes);
     let mut pending: Vec<u32> = (0..messages).map(|number| backend.accept(number)).collect();
     let mut rng = fastrand::Rng::with_seed(1);
@@ -149,6 +150,7 @@
     )
 }
 
+/// Resident memory of this process, in MB.
 fn rss_mb() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:").map(str::to_owned));
--- a/crates/gullcart-journal/src/journal.rs
+++ b/crates/gullcart-journal/src/journal.rs
@@ -1,5 +1,6 @@
-//! The journal as its users see it: records are written before any effect that relies on them, and replay to the current
-//! state.
+//! The journal's interface: it appends records, keeps the state to which they replay, and compacts the log in small steps.
+//!
+//! A record is written before any effect that relies on it leaves the process.
 
 use crate::buffered_reader::BufferedReader;
 use crate::chunks::into_chunks;
@@ -266,7 +267,7 @@
         let record = |chunk: &[String]| Record::FormerUids(chunk.to_vec());
         self.write_shared_state(former.chunks(ENTRIES_PER_RECORD).map(record).collect())?;
         let suspended: Vec<String> = state.suspended_uids.into_iter().collect();
-        let record = |chunk: &[String]| Record::Suspended { set: chunk.to_vec(), gone: Vec::new() };
+        let record = |chunk: &[String]| Record::Suspended { set: chunk.to_vec(), removed: Vec::new() };
         self.write_shared_state(suspended.chunks(ENTRIES_PER_RECORD).map(record).collect())?;
         for (number, pending) in state.pending {
             self.message_bytes += pending_cost(&pending);
@@ -341,17 +342,19 @@
 
     /// Records a listing of endpoints, or the changes of one.
     pub fn update_listing(&mut self, update: &ListingUpdate) -> Result<(), JournalError> {
-        let (set, gone, destinations) = self.state.listing_changes(update);
+        let (set, removed, destinations) = self.state.listing_changes(update);
         let mut records = Vec::new();
         records.extend(into_chunks(destinations, DESTINATIONS_PER_RECORD).map(Record::Destinations));
-        let removed = |gone| Record::Listing { rev: None, set: Vec::new(), gone };
-        records.extend(into_chunks(gone, ENTRIES_PER_RECORD).map(removed));
-        let listed = |set| Record::Listing { rev: None, set, gone: Vec::new() };
-        records.extend(into_chunks(set, ENTRIES_PER_RECORD).map(listed));
+        let removals = |removed| Record::Listing { rev: None, set: Vec::new(), removed };
+        records.extend(into_chunks(removed, ENTRIES_PER_RECORD).map(removals));
+        let additions = |set| Record::Listing { rev: None, set, removed: Vec::new() };
+        records.extend(into_chunks(set, ENTRIES_PER_RECORD).map(additions));
         // The revision comes last: after a crash before it, the courier asks discovery for the whole listing again.
         match records.last_mut() {
             Some(Record::Listing { rev, set, .. }) if !set.is_empty() => *rev = Some(update.rev),
-            _ => records.push(Record::Listing { rev: Some(update.rev), set: Vec::new(), gone: Vec::new() }),
+            _ => {
+                records.push(Record::Listing { rev: Some(update.rev), set: Vec::new(), removed: Vec::new() })
+            }
         }
         self.write_shared_state(records)
     }
@@ -390,18 +393,18 @@
         outages: &[PersistedOutage],
     ) -> Result<(), JournalError> {
         let changes = self.state.outage_changes_of(destinations, outages);
-        if changes.set.is_empty() && changes.gone.is_empty() {
+        if changes.set.is_empty() && changes.removed.is_empty() {
             return Ok(());
         }
         self.write_outages(changes)
     }
 
-    fn write_outages(&mut self, OutageChanges { set, gone }: OutageChanges) -> Result<(), JournalError> {
+    fn write_outages(&mut self, OutageChanges { set, removed }: OutageChanges) -> Result<(), JournalError> {
         let mut records: Vec<Record> = Vec::new();
-        let removed = |gone| Record::Outages { set: Vec::new(), gone };
-        records.extend(into_chunks(gone, ENTRIES_PER_RECORD).map(removed));
-        let changed = |set| Record::Outages { set, gone: Vec::new() };
-        records.extend(into_chunks(set, ENTRIES_PER_RECORD).map(changed));
+        let removals = |removed| Record::Outages { set: Vec::new(), removed };
+        records.extend(into_chunks(removed, ENTRIES_PER_RECORD).map(removals));
+        let changes = |set| Record::Outages { set, removed: Vec::new() };
+        records.extend(into_chunks(set, ENTRIES_PER_RECORD).map(changes));
         self.write_shared_state(records)
     }
 
@@ -415,8 +418,8 @@
         }
         let uids = vec![uid.to_owned()];
         let record = match is_suspended {
-            true => Record::Suspended { set: uids, gone: Vec::new() },
-            false => Record::Suspended { set: Vec::new(), gone: uids },
+            true => Record::Suspended { set: uids, removed: Vec::new() },
+            false => Record::Suspended { set: Vec::new(), removed: uids },
         };
         let written = self.write(RecordPurpose::Progress, record)?;
         self.maintain(written);
@@ -480,8 +483,8 @@
             if result.is_err() {
                 let (uids, outages) = &mut self.shared_state.unwritten_removals;
                 match &record {
-                    Record::Listing { gone, .. } => uids.extend(gone.iter().cloned()),
-                    Record::Outages { gone, .. } => outages.extend(gone.iter().cloned()),
+                    Record::Listing { removed, .. } => uids.extend(removed.iter().cloned()),
+                    Record::Outages { removed, .. } => outages.extend(removed.iter().cloned()),
                     _ => {}
                 }
                 self.state.apply(record);
@@ -734,11 +737,11 @@
         uids.retain(|uid| !self.state.targets.contains_key(uid));
         outages.retain(|key| !self.state.outages.contains_key(key));
         if !uids.is_empty() {
-            let gone = uids.iter().take(ENTRIES_PER_RECORD).cloned().collect();
-            return Some(Record::Listing { rev: None, set: Vec::new(), gone });
+            let removed = uids.iter().take(ENTRIES_PER_RECORD).cloned().collect();
+            return Some(Record::Listing { rev: None, set: Vec::new(), removed });
         }
-        let gone: Vec<OutageKey> = outages.iter().take(ENTRIES_PER_RECORD).cloned().collect();
-        (!gone.is_empty()).then(|| Record::Outages { set: Vec::new(), gone })
+        let removed: Vec<OutageKey> = outages.iter().take(ENTRIES_PER_RECORD).cloned().collect();
+        (!removed.is_empty()).then(|| Record::Outages { set: Vec::new(), removed })
     }
 
     /// Writes the next record of a snapshot of the shared state, and begins a snapshot if none is in progress. Changes
@@ -749,8 +752,8 @@
             let bytes = self.append_rewritten(record.clone())?;
             let (uids, outages) = &mut self.shared_state.unwritten_removals;
             match record {
-                Record::Listing { gone, .. } => uids.retain(|uid| !gone.contains(uid)),
-                Record::Outages { gone, .. } => outages.retain(|key| !gone.contains(key)),
+                Record::Listing { removed, .. } => uids.retain(|uid| !removed.contains(uid)),
+                Record::Outages { removed, .. } => outages.retain(|key| !removed.contains(key)),
                 _ => {}
             }
             return Ok(bytes);
@@ -774,7 +777,7 @@
                     _ => SnapshotPosition::Destinations(None),
                 };
                 let rev = is_last.then_some(state.listing_rev);
-                (Record::Listing { rev, set, gone: Vec::new() }, Some(next))
+                (Record::Listing { rev, set, removed: Vec::new() }, Some(next))
             }
             SnapshotPosition::Destinations(after) => {
                 let range = (after.map_or(Bound::Unbounded, Bound::Excluded), Bound::Unbounded);
@@ -797,7 +800,7 @@
                     _ => SnapshotPosition::Suspended(None),
                 };
                 let set = entries.into_iter().map(|(_, outage)| outage.clone()).collect();
-                (Record::Outages { set, gone: Vec::new() }, Some(next))
+                (Record::Outages { set, removed: Vec::new() }, Some(next))
             }
             SnapshotPosition::Suspended(after) => {
                 let range = (after.map_or(Bound::Unbounded, Bound::Excluded), Bound::Unbounded);
@@ -809,7 +812,7 @@
                     }
                     _ => SnapshotPosition::FormerUids(0),
                 };
-                (Record::Suspended { set, gone: Vec::new() }, Some(next))
+                (Record::Suspended { set, removed: Vec::new() }, Some(next))
             }
             // Uids that are dropped meanwhile move the others forward, so some may be left to the next snapshot.
             SnapshotPosition::FormerUids(written) => {
--- a/crates/gullcart-journal/src/repair.rs
+++ b/crates/gullcart-journal/src/repair.rs
@@ -61,6 +61,7 @@
     Ok(RepairOutcome { report: salvage(&store)?.report, backup_folder: Some(backup_folder) })
 }
 
+/// Makes all files of a folder durable.
 fn sync_folder(folder: &Path) -> Result<(), JournalError> {
     for entry in fs::read_dir(folder).map_err(JournalError::Folder)? {
         let path = entry.map_err(JournalError::Folder)?.path();
--- a/crates/gullcart-journal/src/replay.rs
+++ b/crates/gullcart-journal/src/replay.rs
@@ -1,4 +1,4 @@
-//! Reads the records of a segment in order, and tells an incomplete last write from damage.
+//! Reads the records of a segment in order, and distinguishes an incomplete last write from damage.
 
 use crate::buffered_reader::{BufferedReader, CHUNK_BYTES};
 use crate::error::DamageKind;
--- a/crates/gullcart-journal/src/salvage.rs
+++ b/crates/gullcart-journal/src/salvage.rs
@@ -14,8 +14,8 @@
 use serde::Serialize;
 use std::collections::BTreeSet;
 
-/// A message in doubt counts as attempted this long before its deadline. After a day, no destination still keeps its
-/// idempotency key, so the message is not sent again within an assumed repeat window.
+/// A message in doubt counts as attempted this long before its deadline. The attempt may have been at any time, so it is
+/// dated a day back, when no destination still keeps an idempotency key: the message counts as past its repeat window.
 const DOUBT_BACKDATE_MS: u64 = 86_400_000;
 
 /// What was found in a segment.
@@ -65,7 +65,7 @@
     /// Bytes of an incomplete last write that a crash left behind. Nothing relied on them.
     #[serde(rename = "torn")]
     pub torn_bytes: u64,
-    /// Descriptions of damage to durable records, with file and offset.
+    /// Descriptions of all damage to durable records, each with file and offset.
     pub damage: Vec<String>,
     /// Pending messages of which a record may be lost: they count as attempted.
     pub in_doubt: Vec<u32>,
--- a/crates/gullcart-journal/src/segment_log.rs
+++ b/crates/gullcart-journal/src/segment_log.rs
@@ -76,6 +76,7 @@
     pub oldest_needed: u64,
 }
 
+/// The segment files of a journal's folder.
 pub(crate) struct SegmentLog<S: Store> {
     store: S,
     plan: SpacePlan,
@@ -182,7 +183,7 @@
         }
         let preallocated = self.active.as_ref().map_or(0, |active| active.length);
         match self.write_records(payload, &[payload.len()]) {
-            // The disk gave no more than the preallocated bytes of this segment. The spare segment is preallocated too.
+            // The segment could not grow beyond its preallocated bytes. The spare segment is preallocated, so it has space.
             Err(_)
                 if !is_new_segment && self.spare.is_some() && self.active_size() + bytes > preallocated =>
             {
@@ -228,8 +229,8 @@
         self.has_unwanted_tail
     }
 
-    /// Truncates what a failed write left: the record may be there in part or even whole, and a replay must not find it,
-    /// as its caller was told that it was not written.
+    /// Truncates what a failed write left: the record may be there in part or even completely, but was reported as not
+    /// written, so a replay must not find it.
     fn truncate_tail(&mut self) -> Result<(), JournalError> {
         let Some(active) = self.active.as_mut().filter(|_| self.has_unwanted_tail) else { return Ok(()) };
         let truncated = self.store.set_length(&active.file, active.size);
--- a/crates/gullcart-journal/src/simulated.rs
+++ b/crates/gullcart-journal/src/simulated.rs
@@ -1,4 +1,4 @@
-//! A simulated folder in memory that can crash at any operation, run full, fail, and lose data that was not synced. Tests
+//! A simulated folder in memory. It can crash at any operation, run full, fail, and lose data that was not synced. Tests
 //! of this package and simulations in virtual time use it; the daemon does not.
 
 use crate::space_plan::on_disk;
@@ -59,7 +59,9 @@
 enum DirectoryChange {
     /// Gives a name to the file with this index.
     Set(String, usize),
+    /// Renames a file from the first name to the second one.
     Rename(String, String),
+    /// Removes a name.
     Remove(String),
 }
 
@@ -77,19 +79,24 @@
     }
 }
 
+/// Contents of a file, with what a crash of the machine may undo.
 #[derive(Clone, Debug, Default)]
 struct FileContent {
     current: Vec<u8>,
+    /// Contents at the last sync.
     synced: Vec<u8>,
+    /// Changes since the last sync, in order. Recorded only if machine crashes are simulated.
     unsynced_changes: Vec<FileChange>,
 }
 
+/// State that all clones of a [`Disk`] share.
 #[derive(Clone, Debug)]
 struct DiskState {
     /// Contents are shared with captured copies of the folder until one of them changes a file.
     files: Vec<Rc<FileContent>>,
     /// Indexes of files by name.
     names: BTreeMap<String, usize>,
+    /// Names at the last sync of the directory, and the changes since.
     synced_names: BTreeMap<String, usize>,
     unsynced_name_changes: Vec<DirectoryChange>,
     capacity_bytes: u64,
--- a/crates/gullcart-journal/src/state.rs
+++ b/crates/gullcart-journal/src/state.rs
@@ -75,7 +75,7 @@
     /// New and changed outages.
     pub set: Vec<PersistedOutage>,
     /// Outages that are over.
-    pub gone: Vec<OutageKey>,
+    pub removed: Vec<OutageKey>,
 }
 
 /// A record of the journal. Variants are stored by their index: new ones are added at the end, and only programs that
@@ -95,11 +95,11 @@
     /// All that is known of a pending message; compaction writes these.
     FullMessage(u32, PendingMessage),
     /// Changed and removed entries of the listing; the last record of an update carries the listing's revision.
-    Listing { rev: Option<u64>, set: Vec<Target>, gone: Vec<String> },
+    Listing { rev: Option<u64>, set: Vec<Target>, removed: Vec<String> },
     /// Destinations that were ever listed.
     Destinations(Vec<u32>),
     /// Changed outages, and those that are over.
-    Outages { set: Vec<PersistedOutage>, gone: Vec<OutageKey> },
+    Outages { set: Vec<PersistedOutage>, removed: Vec<OutageKey> },
     /// Segments with sequence numbers less than `below` are not needed any more; `last` is the last message number given
     /// out.
     Freed { below: u64, last: u32 },
@@ -108,7 +108,7 @@
     /// All current outages, as releases before 0.2 wrote them.
     LegacyOutages(Vec<PersistedOutage>),
     /// Endpoints, by uid, that operators suspended, and those that they resumed.
-    Suspended { set: Vec<String>, gone: Vec<String> },
+    Suspended { set: Vec<String>, removed: Vec<String> },
     /// Uids of endpoints that have left the listing, oldest removal first. Written in snapshots only.
     FormerUids(Vec<String>),
 }
@@ -195,8 +195,8 @@
                 self.last_number = self.last_number.max(number);
                 self.pending.remove(&number);
             }
-            Record::Listing { rev, set, gone } => {
-                for uid in gone {
+            Record::Listing { rev, set, removed } => {
+                for uid in removed {
                     if self.targets.remove(&uid).is_some() {
                         self.add_former_uid(uid);
                     }
@@ -209,24 +209,24 @@
                 self.listing_rev = rev.unwrap_or(self.listing_rev);
             }
             Record::Destinations(destinations) => self.destinations.extend(destinations),
-            Record::Outages { set, gone } => {
-                for key in gone {
+            Record::Outages { set, removed } => {
+                for key in removed {
                     self.outages.remove(&key);
                 }
                 self.outages.extend(set.into_iter().map(|outage| (outage.key(), outage)));
             }
             Record::Freed { last, .. } => self.last_number = self.last_number.max(last),
             Record::LegacyListing(update) => {
-                let (set, gone, destinations) = self.listing_changes(&update);
+                let (set, removed, destinations) = self.listing_changes(&update);
                 self.destinations.extend(destinations);
-                self.apply(Record::Listing { rev: Some(update.rev), set, gone });
+                self.apply(Record::Listing { rev: Some(update.rev), set, removed });
             }
             Record::LegacyOutages(outages) => {
-                let OutageChanges { set, gone } = self.outage_changes(&outages);
-                self.apply(Record::Outages { set, gone });
+                let OutageChanges { set, removed } = self.outage_changes(&outages);
+                self.apply(Record::Outages { set, removed });
             }
-            Record::Suspended { set, gone } => {
-                for uid in gone {
+            Record::Suspended { set, removed } => {
+                for uid in removed {
                     self.suspended_uids.remove(&uid);
                 }
                 self.suspended_uids.extend(set);
@@ -246,20 +246,20 @@
     pub(crate) fn listing_changes(&self, update: &ListingUpdate) -> (Vec<Target>, Vec<String>, Vec<u32>) {
         // If an update has several entries for one uid, the last one counts.
         let updated: BTreeMap<&str, &Target> = update.targets.iter().map(|t| (t.uid.as_str(), t)).collect();
-        let mut gone: Vec<String> = Vec::new();
+        let mut removed: Vec<String> = Vec::new();
         if update.all {
-            gone.extend(self.targets.keys().filter(|uid| !updated.contains_key(uid.as_str())).cloned());
+            removed.extend(self.targets.keys().filter(|uid| !updated.contains_key(uid.as_str())).cloned());
         }
         let mut set = Vec::new();
         for (uid, target) in updated {
             if target.is_deleted() {
-                gone.extend(self.targets.contains_key(uid).then(|| uid.to_owned()));
+                removed.extend(self.targets.contains_key(uid).then(|| uid.to_owned()));
             } else if self.targets.get(uid) != Some(target) {
                 set.push(target.clone());
             }
         }
         let destinations: BTreeSet<u32> = update.targets.iter().map(|target| target.pod_group).collect();
-        (set, gone, destinations.difference(&self.destinations).copied().collect())
+        (set, removed, destinations.difference(&self.destinations).copied().collect())
     }
 
     /// Whether the state has exactly these outages.
@@ -297,11 +297,11 @@
     ) -> OutageChanges {
         let now: BTreeMap<OutageKey, &PersistedOutage> =
             outages.iter().map(|outage| (outage.key(), outage)).collect();
-        let gone = known.filter(|key| !now.contains_key(key)).cloned().collect();
+        let removed = known.filter(|key| !now.contains_key(key)).cloned().collect();
         let changed = |(key, outage): (&OutageKey, &&PersistedOutage)| {
             (self.outages.get(key) != Some(*outage)).then(|| (*outage).clone())
         };
-        OutageChanges { set: now.iter().filter_map(changed).collect(), gone }
+        OutageChanges { set: now.iter().filter_map(changed).collect(), removed }
     }
 
     /// Number of confirmed outages of these destinations.
--- a/crates/gullcart-journal/src/state_log.rs
+++ b/crates/gullcart-journal/src/state_log.rs
@@ -2,8 +2,8 @@
 //! write as one entry.
 //!
 //! Appended entries survive a crash of the machine; a crash leaves all of an entry or none of it. There is one file at a
-//! time: a header, then entries framed with length and checksum. The checksum also covers the entry's offset, so that an
-//! incomplete last write can be told from damage: no valid entry ever comes after the former. When the file has grown, the
+//! time: a header, then entries with length and checksum. The checksum also covers the entry's offset. An
+//! incomplete last write is never followed by a valid entry, which tells it from damage. When the file has grown, the
 //! whole state is written to a new file, which is synced and then given the next number.
 
 use crate::store::Store;
--- a/crates/gullcart-journal/tests/hostile.rs
+++ b/crates/gullcart-journal/tests/hostile.rs
@@ -1,5 +1,5 @@
-//! Damaged journals: damage is told from an incomplete last write, never causes a panic, and is repaired as far as records
-//! can be verified.
+//! Damaged journals: damage is distinguished from an incomplete last write, never causes a panic, and is repaired as far as
+//! records can be verified.
 
 mod common;
 
--- a/fuzz/fuzz_targets/replay.rs
+++ b/fuzz/fuzz_targets/replay.rs
@@ -12,7 +12,7 @@
 fn header(sequence: u64, previous_size: u64) -> Vec<u8> {
     let disk = Disk::new(1 << 20, Crash::Process, 1);
     let mut journal = Journal::replay(disk.clone(), 1 << 20, Options::default(), 7).expect("an empty folder opens");
-    journal.add_destinations([1]).expect("there is room");
+    journal.add_destinations([1]).expect("there is space");
     let mut bytes = disk.file_bytes("journal-0000000000000001.seg").unwrap_or_default();
     bytes.truncate(64);
     bytes[24..32].copy_from_slice(&sequence.to_le_bytes());
