--- a/crates/gullcart-emulator/src/courier.rs
+++ b/crates/gullcart-emulator/src/courier.rs
@@ -5,7 +5,7 @@
 use gullcart_engine::{Engine, IdleShare, EPOCH};
 use gullcart_journal::simulated::{Crash, Disk};
 use gullcart_judge::trace::{At, CallId, EndpointId as TraceEndpoint, State};
-use gullcart_message::{Target, Update};
+use gullcart_message::{ListingUpdate, Target};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -116,18 +116,18 @@
 
 impl Agent {
     /// The whole list.
-    pub fn list(&self) -> Update {
+    pub fn list(&self) -> ListingUpdate {
         let there = self.targets.values().filter(|(_, state)| *state != State::Gone);
-        Update { rev: self.rev, all: true, targets: there.map(|(target, _)| target.clone()).collect() }
+        ListingUpdate { rev: self.rev, all: true, targets: there.map(|(target, _)| target.clone()).collect() }
     }
 
     /// What the courier has not been told.
-    pub fn changes(&mut self) -> (Update, Vec<(TraceEndpoint, State)>) {
+    pub fn changes(&mut self) -> (ListingUpdate, Vec<(TraceEndpoint, State)>) {
         let untold = std::mem::take(&mut self.untold);
         let of =
             |id: &TraceEndpoint| self.targets.get(id).map(|(target, state)| (target.clone(), (*id, *state)));
         let (targets, told) = untold.iter().filter_map(of).unzip();
-        (Update { rev: self.rev, all: false, targets }, told)
+        (ListingUpdate { rev: self.rev, all: false, targets }, told)
     }
 }
 
--- a/crates/gullcart-emulator/src/faults.rs
+++ b/crates/gullcart-emulator/src/faults.rs
@@ -108,7 +108,7 @@
                 let at = if self.places[courier].process.is_some() { now + END } else { now };
                 self.queue.put(at.max(after), Scheduled::Start(courier));
             }
-            Action::Full(courier, full) => self.places[courier].disk.refuse(full),
+            Action::Full(courier, full) => self.places[courier].disk.refuse_changes(full),
         }
     }
 
@@ -225,7 +225,7 @@
         let place = &mut self.places[courier];
         place.is_serving = false;
         let Some(_) = place.process.take() else { return };
-        place.disk = place.disk.crashed();
+        place.disk = place.disk.after_crash();
         self.process(courier, What::Ended);
         let there = self.calls.iter().filter(|(_, call)| call.courier == courier);
         let calls: Vec<CallId> = there.map(|(call, _)| *call).collect();
--- a/crates/gullcart-emulator/src/processes.rs
+++ b/crates/gullcart-emulator/src/processes.rs
@@ -50,7 +50,7 @@
         let disk = (self.scenario.couriers.disk_mb * 1e6) as u64;
         let place = &mut self.places[courier];
         // What a process may not write, the next one may.
-        place.disk.refuse(false);
+        place.disk.refuse_changes(false);
         let failed = |error| EmulationError::Start { courier, error };
         let journal =
             Journal::replay(place.disk.clone(), disk, Options::default(), seed | 1).map_err(failed)?;
--- a/crates/gullcart-engine/src/directory.rs
+++ b/crates/gullcart-engine/src/directory.rs
@@ -1,7 +1,7 @@
 //! Numbers for the names of the list, and where each endpoint is found.
 
 use cloverstile::{DestinationId, Endpoint, EndpointId, KindId, Listing, Mode, Parsed, ZoneId};
-use gullcart_message::{Target, Update};
+use gullcart_message::{ListingUpdate, Target};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -132,7 +132,7 @@
     }
 
     /// Takes news of the list in and words them for the module.
-    pub fn apply(&mut self, update: &Update) -> Listing {
+    pub fn apply(&mut self, update: &ListingUpdate) -> Listing {
         if update.all {
             // What a whole list does not name is gone.
             self.entries.values_mut().for_each(|entry| entry.mode = Mode::Gone);
--- a/crates/gullcart-engine/src/directory/tests.rs
+++ b/crates/gullcart-engine/src/directory/tests.rs
@@ -47,7 +47,7 @@
             let targets = (0..rng.usize(..8))
                 .map(|_| target(rng.u32(..ENDPOINTS), states[rng.usize(..if all { 2 } else { 3 })]))
                 .collect();
-            directory.apply(&Update { rev, all, targets });
+            directory.apply(&ListingUpdate { rev, all, targets });
             let uid = format!("s-{}", rng.u32(..ENDPOINTS));
             if !out.remove(&uid) && rng.bool() {
                 out.insert(uid);
--- a/crates/gullcart-engine/src/engine.rs
+++ b/crates/gullcart-engine/src/engine.rs
@@ -3,8 +3,8 @@
 //! round it moves bytes.
 
 use cloverstile::*;
-use gullcart_journal::{Figures, Held, Journal, JournalError, OutageNote, Store};
-use gullcart_message::{Taken, Update, Verdict};
+use gullcart_journal::{Journal, JournalError, JournalStats, PendingMessage, PersistedOutage, Store};
+use gullcart_message::{AcceptedMessage, ListingUpdate, Verdict};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 use tracing::{error, info, warn};
@@ -49,7 +49,7 @@
     /// For random numbers.
     pub seed: u64,
     /// The list as the configuration has it; it may be old.
-    pub known: Update,
+    pub known: ListingUpdate,
     /// The module's time now.
     pub now: Time,
     /// Unix milliseconds of [`crate::EPOCH`].
@@ -112,7 +112,7 @@
         let mut engine = Engine::empty(start, journal);
         let carried = carried::read(block, engine.fingerprint);
         let same = |carried: &Carried| {
-            let held = &engine.journal.image().held;
+            let held = &engine.journal.state().pending;
             held.iter()
                 .all(|(number, held)| held.verdict.is_some() || carried.courier.holds(MessageId(*number)))
                 && carried.out.keys().all(|message| held.contains_key(&message.0))
@@ -134,13 +134,13 @@
         let Carried { courier, directory, out, shared, wake } = carried;
         self.courier = courier.resumed(self.settings.clone(), seed);
         (self.directory, self.out, self.wake) = (directory.resumed(), out, wake);
-        for (number, held) in &self.journal.image().held {
+        for (number, held) in &self.journal.state().pending {
             let known = Known { number: *number, shared: shared.contains(&MessageId(*number)) };
-            self.known.insert(held.taken.id.clone(), known);
+            self.known.insert(held.message.id.clone(), known);
             self.counts.found += u64::from(held.verdict.is_none());
             // The platform may not have answered yet; a notice that comes twice does no harm.
             if let Some(verdict) = held.verdict {
-                let (message, id) = (MessageId(*number), held.taken.id.clone());
+                let (message, id) = (MessageId(*number), held.message.id.clone());
                 self.effects.push(Doing::Tell(Notice { message, id, verdict }));
             }
         }
@@ -179,9 +179,9 @@
     /// A call that is out, as it was begun; none if it is not.
     pub fn call(&self, message: MessageId, try_for: Duration) -> Option<Call> {
         let out = self.out.get(&message)?;
-        let held = self.journal.image().held.get(&message.0)?;
+        let held = self.journal.state().pending.get(&message.0)?;
         let address = self.directory.address(out.endpoint)?;
-        let Taken { id, idempotency_key, body, .. } = held.taken.clone();
+        let AcceptedMessage { id, idempotency_key, body, .. } = held.message.clone();
         Some(Call {
             message,
             endpoint: out.endpoint,
@@ -192,7 +192,7 @@
             try_for,
             // All of it is sent already.
             send_by: None,
-            may_have_run: held.maybe_ran.is_some(),
+            may_have_run: held.may_have_run.is_some(),
         })
     }
 
@@ -241,12 +241,12 @@
 
     /// The version of the list that the courier has.
     pub fn rev(&self) -> u64 {
-        self.journal.image().rev
+        self.journal.state().listing_rev
     }
 
     /// Messages held, and calls out.
     pub fn load(&self) -> (usize, usize) {
-        (self.journal.image().held.len(), self.out.len())
+        (self.journal.state().pending.len(), self.out.len())
     }
 
     /// What is in the journal.
@@ -279,7 +279,7 @@
             self.courier.handle(now, Event::TickDue(token));
         }
         self.decide(now);
-        if let Some(error) = self.journal.trouble() {
+        if let Some(error) = self.journal.take_maintenance_error() {
             self.note(now, Err(error));
         }
         self.journal.commit()?;
@@ -312,24 +312,24 @@
         self.courier.handle(now, Event::Closing(now));
     }
 
-    fn restore(&mut self, now: Time, known: Update) {
-        let written = self.journal.destinations(known.targets.iter().map(|target| target.pod_group));
+    fn restore(&mut self, now: Time, known: ListingUpdate) {
+        let written = self.journal.add_destinations(known.targets.iter().map(|target| target.pod_group));
         self.note(now, written);
-        let image = self.journal.image();
+        let image = self.journal.state();
         // What was told before the restart counts as told: the list that comes with the start may be older.
-        if image.rev == 0 || image.rev < known.rev {
-            let update = Update { all: true, ..known };
+        if image.listing_rev == 0 || image.listing_rev < known.rev {
+            let update = ListingUpdate { all: true, ..known };
             let listing = self.directory.apply(&update);
             self.courier.handle(now, Event::Listed(listing));
-            let written = self.journal.targets(&update);
+            let written = self.journal.update_listing(&update);
             self.note(now, written);
         } else {
             let targets = image.targets.values().cloned().collect();
-            let listing = self.directory.apply(&Update { rev: image.rev, all: true, targets });
+            let listing = self.directory.apply(&ListingUpdate { rev: image.listing_rev, all: true, targets });
             self.courier.handle(now, Event::Listed(listing));
         }
         self.suspend_listed(now);
-        let notes: Vec<OutageNote> = self.journal.image().outages().cloned().collect();
+        let notes: Vec<PersistedOutage> = self.journal.state().outages().cloned().collect();
         for note in notes {
             let endpoint = note.uid.as_ref().and_then(|uid| self.directory.number(uid));
             if note.uid.is_some() && endpoint.is_none() {
@@ -339,14 +339,15 @@
                 destination: DestinationId(note.destination),
                 endpoint,
                 since: self.clock.of_wall(note.since_ms),
-                evidence: note.evidence,
-                lost: note.lost,
-                returned: note.returned_ms.map(|ms| self.clock.of_wall(ms)),
-                share: note.share,
+                evidence: note.failure_weight,
+                lost: note.calls_were_lost,
+                returned: note.slow_start_since_ms.map(|ms| self.clock.of_wall(ms)),
+                share: note.served_per_second,
             };
             self.courier.handle(now, Event::Recalled(outage));
         }
-        let held: Vec<(u32, Held)> = self.journal.image().held.iter().map(|(n, h)| (*n, h.clone())).collect();
+        let held: Vec<(u32, PendingMessage)> =
+            self.journal.state().pending.iter().map(|(n, h)| (*n, h.clone())).collect();
         #[cfg(feature = "broken")]
         let held: Vec<(u32, Held)> = match () {
             () if self.broken.is(Fault::ForgetsAtRestart) => Vec::new(),
@@ -360,21 +361,21 @@
         info!(held = held.len(), rev = self.rev(), "the journal was replayed");
     }
 
-    fn restore_message(&mut self, now: Time, number: u32, held: &Held) {
-        self.known.insert(held.taken.id.clone(), Known { number, shared: false });
+    fn restore_message(&mut self, now: Time, number: u32, held: &PendingMessage) {
+        self.known.insert(held.message.id.clone(), Known { number, shared: false });
         let message = MessageId(number);
-        let Some(taken) = self.accepted(number, &held.taken) else {
-            warn!(class = held.taken.class, "a message of a class that is not known any more is given up");
+        let Some(taken) = self.accepted(number, &held.message) else {
+            warn!(class = held.message.class, "a message of a class that is not known any more is given up");
             self.owe(now, message, Verdict::Failed);
             return;
         };
         // An attempt without an outcome may have run, also if its process died before the first byte.
-        if held.out.is_some() {
-            let written = self.journal.outcome(number, true);
+        if held.in_flight.is_some() {
+            let written = self.journal.finish_attempt(number, true);
             self.note(now, written);
         }
         trail::found(number, held);
-        let maybe_ran = held.maybe_ran.or(held.out).map(|(ms, zone)| {
+        let maybe_ran = held.may_have_run.or(held.in_flight).map(|(ms, zone)| {
             // Sent after now: the wall clock was put back, and how long ago it was cannot be told.
             let sent = Some(self.clock.of_wall(ms)).filter(|sent| *sent <= now).unwrap_or(Time::ZERO);
             (sent, self.directory.lasting_zone(zone))
@@ -383,19 +384,19 @@
         let restored = Restored { taken, attempts: held.attempts, maybe_ran, answered };
         self.courier.handle(now, Event::Restored(restored));
         if let Some(verdict) = held.verdict {
-            self.effects.push(Doing::Tell(Notice { message, id: held.taken.id.clone(), verdict }));
+            self.effects.push(Doing::Tell(Notice { message, id: held.message.id.clone(), verdict }));
         }
     }
 
-    fn accepted(&self, number: u32, taken: &Taken) -> Option<Accepted> {
+    fn accepted(&self, number: u32, taken: &AcceptedMessage) -> Option<Accepted> {
         let class = self.class(&taken.class)?;
         Some(Accepted {
             id: MessageId(number),
             class,
             destination: DestinationId(taken.destination),
-            key: (taken.key != 0).then_some(OrderKey(taken.key)),
+            key: (taken.order_key != 0).then_some(OrderKey(taken.order_key)),
             deadline: self.clock.of_wall(taken.deadline_ms),
-            from_dead_courier: taken.again,
+            from_dead_courier: taken.from_failed_courier,
             tenant: TenantId(0),
         })
     }
@@ -437,8 +438,8 @@
             Input::Ended(message, endpoint, ended) => self.ended(now, message, endpoint, ended, true),
             Input::Heard(messages) => {
                 for message in messages {
-                    if let Some(held) = self.journal.image().held.get(&message.0) {
-                        trail::heard(&held.taken.id);
+                    if let Some(held) = self.journal.state().pending.get(&message.0) {
+                        trail::heard(&held.message.id);
                     }
                     self.over(now, message);
                     self.courier.handle(now, Event::Heard(message));
@@ -463,7 +464,7 @@
         let most = match self.admit(now, &enqueue) {
             Ok(most) => most,
             Err(answer) => {
-                trail::not_taken(&enqueue, &answer, self.journal.image().held.len());
+                trail::not_taken(&enqueue, &answer, self.journal.state().pending.len());
                 return answer;
             }
         };
@@ -475,15 +476,15 @@
         let Some(class) = self.class(&enqueue.class) else { return Err(Answer::Error("unknown class")) };
         if let Some(known) = self.known.get_mut(&enqueue.id) {
             // Sent once more on a new connection; or by somebody else, to whom the id does not belong.
-            let held = self.journal.image().held.get(&known.number);
-            if !held.is_some_and(|held| enqueue.is_same(&held.taken)) {
+            let held = self.journal.state().pending.get(&known.number);
+            if !held.is_some_and(|held| enqueue.is_same(&held.message)) {
                 return Err(Answer::Error("the id is in use for another message"));
             }
             known.shared = true;
             return Err(Answer::Held);
         }
         let destination = DestinationId(enqueue.destination);
-        if !self.journal.image().destinations.contains(&enqueue.destination) {
+        if !self.journal.state().destinations.contains(&enqueue.destination) {
             return Err(Answer::Error("unknown destination"));
         }
         let admitted = self.courier.admits(class);
@@ -492,7 +493,7 @@
             return Err(Answer::Error("k is missing"));
         }
         let most = class.deadline;
-        if !admitted || self.journal.image().held.len() >= self.most_held {
+        if !admitted || self.journal.state().pending.len() >= self.most_held {
             return Err(Answer::Busy(Some(self.courier.come_back(now, destination))));
         }
         Ok(most)
@@ -500,23 +501,23 @@
 
     fn take_on(&mut self, now: Time, enqueue: Enqueue, most: Duration) -> Answer {
         let destination = DestinationId(enqueue.destination);
-        let taken = Taken {
+        let taken = AcceptedMessage {
             id: enqueue.id,
-            key: enqueue.key,
+            order_key: enqueue.key,
             class: enqueue.class,
             destination: enqueue.destination,
             idempotency_key: enqueue.idempotency_key,
             deadline_ms: self.clock.to_wall(now + enqueue.left.min(most)),
-            again: enqueue.again,
+            from_failed_courier: enqueue.again,
             body: enqueue.body,
         };
         let id = taken.id.clone();
-        match self.journal.take(taken) {
+        match self.journal.accept(taken) {
             Ok(number) => {
                 self.counts.taken += 1;
                 self.tally.taken(destination);
                 self.known.insert(id, Known { number, shared: false });
-                let taken = self.journal.image().held.get(&number).map(|held| &held.taken);
+                let taken = self.journal.state().pending.get(&number).map(|held| &held.message);
                 taken.into_iter().for_each(|taken| trail::taken(number, taken));
                 #[cfg(feature = "broken")]
                 let taken = taken.filter(|_| !self.broken.is_seldom(Fault::Swallows));
@@ -537,7 +538,7 @@
     /// A message of which its client never heard that it was taken on: nobody waits for its end, unless another
     /// hand-in of it was answered meanwhile.
     fn unheard(&mut self, now: Time, message: MessageId) {
-        let id = self.journal.image().held.get(&message.0).map(|held| &held.taken.id);
+        let id = self.journal.state().pending.get(&message.0).map(|held| &held.message.id);
         let known = id.and_then(|id| self.known.get(id));
         if let (Some(id), Some(known)) = (id, known) {
             trail::unheard(id, known.shared);
@@ -549,7 +550,7 @@
         }
     }
 
-    fn listed(&mut self, now: Time, update: Update) {
+    fn listed(&mut self, now: Time, update: ListingUpdate) {
         #[cfg(feature = "broken")]
         let update = self.broken.listed(update);
         // A watch that begins anew often has nothing new to tell.
@@ -560,7 +561,7 @@
         self.courier.handle(now, Event::Listed(listing));
         self.suspend_listed(now);
         let (rev, changed) = (update.rev, update.targets.len());
-        let written = self.journal.targets(&update);
+        let written = self.journal.update_listing(&update);
         self.note(now, written);
         info!(rev, changed, "the list has changed");
         self.effects.push(Doing::CloseShut);
@@ -570,7 +571,7 @@
 
     /// What operators took out stays out, whatever the list says of it.
     fn suspend_listed(&mut self, now: Time) {
-        for id in self.directory.suspend(&self.journal.image().suspended) {
+        for id in self.directory.suspend(&self.journal.state().suspended_uids) {
             self.courier.handle(now, Event::Suspended(id));
         }
     }
@@ -581,11 +582,11 @@
             Order::Suspend(uid) => (uid, true),
             Order::Restore(uid) => (uid, false),
         };
-        if !self.journal.image().was_listed(uid) {
+        if !self.journal.state().was_listed(uid) {
             return Err(Denied::Unknown);
         }
-        let is_new = self.journal.image().suspended.contains(uid) != is_out;
-        if let Err(error) = self.journal.suspend(uid, is_out) {
+        let is_new = self.journal.state().suspended_uids.contains(uid) != is_out;
+        if let Err(error) = self.journal.set_suspended(uid, is_out) {
             self.note(now, Err(error));
             return Err(Denied::Unwritten);
         }
@@ -628,8 +629,8 @@
             ended.outcome,
             Outcome::Full(_) | Outcome::ConnectFailed | Outcome::Moot | Outcome::Spent
         );
-        if let Some(held) = self.journal.image().held.get(&message.0) {
-            trail::ended(&held.taken.id, out.attempt, ended.outcome, ended.latency, !never);
+        if let Some(held) = self.journal.state().pending.get(&message.0) {
+            trail::ended(&held.message.id, out.attempt, ended.outcome, ended.latency, !never);
         }
         if let Some(destination) = self.directory.destination(endpoint) {
             self.tally.ended(destination, ended.outcome, ended.allowance);
@@ -649,7 +650,7 @@
                 }
             }
             if ended.outcome == Outcome::Ok && !self.courier.is_surely_in_time(now, message) {
-                let written = self.journal.owe(message.0, Verdict::Failed);
+                let written = self.journal.set_verdict(message.0, Verdict::Failed);
                 self.note(now, written);
                 self.tell(message, Verdict::Failed);
             } else {
@@ -658,7 +659,7 @@
         } else if is_written {
             // One that is not written has no outcome there either: it would be taken for that of the attempt before, which may
             // have run, where its own could not be written.
-            let written = self.journal.outcome(message.0, !never);
+            let written = self.journal.finish_attempt(message.0, !never);
             self.note(now, written);
         }
         self.courier.handle(
@@ -680,21 +681,21 @@
 
     /// A message is held, and its end is not decided.
     fn has_no_end(&self, message: MessageId) -> bool {
-        self.journal.image().held.get(&message.0).is_some_and(|held| held.verdict.is_none())
+        self.journal.state().pending.get(&message.0).is_some_and(|held| held.verdict.is_none())
     }
 
     fn ends_of(&mut self, message: MessageId) -> &mut Ends {
-        let held = self.journal.image().held.get(&message.0);
-        let class = held.and_then(|held| self.class(&held.taken.class));
+        let held = self.journal.state().pending.get(&message.0);
+        let class = held.and_then(|held| self.class(&held.message.class));
         self.counts.of(class.map(|class| usize::from(class.0)))
     }
 
     /// Nothing more is owed for a message.
     fn over(&mut self, now: Time, message: MessageId) {
-        if let Some(held) = self.journal.image().held.get(&message.0) {
-            trail::over(&held.taken.id);
-            self.known.remove(&held.taken.id);
-            let written = self.journal.over(message.0);
+        if let Some(held) = self.journal.state().pending.get(&message.0) {
+            trail::over(&held.message.id);
+            self.known.remove(&held.message.id);
+            let written = self.journal.complete(message.0);
             self.note(now, written);
         }
     }
@@ -743,14 +744,14 @@
         try_for: Duration,
         send_by: Option<Time>,
     ) {
-        let held = self.journal.image().held.get(&message.0);
+        let held = self.journal.state().pending.get(&message.0);
         let attempt = held.map_or(0, |held| held.attempts as u16);
-        let taken = held.map(|held| held.taken.clone());
-        let may_have_run = held.is_some_and(|held| held.maybe_ran.or(held.out).is_some());
+        let taken = held.map(|held| held.message.clone());
+        let may_have_run = held.is_some_and(|held| held.may_have_run.or(held.in_flight).is_some());
         self.out.insert(message, Out { endpoint, attempt, is_stopped: false });
         // An attempt that the next process would not know of is not made.
         let start = (self.clock.to_wall(now), self.directory.zone(endpoint).0);
-        let written = self.journal.start(message.0, start);
+        let written = self.journal.start_attempt(message.0, start);
         let known = taken.zip(self.directory.address(endpoint)).filter(|_| written.is_ok());
         self.note(now, written);
         let Some((taken, address)) = known else {
@@ -763,7 +764,7 @@
             true => self.directory.elsewhere(endpoint).unwrap_or(address),
             false => address,
         };
-        let Taken { id, idempotency_key, body, .. } = taken;
+        let AcceptedMessage { id, idempotency_key, body, .. } = taken;
         #[cfg(feature = "broken")]
         let idempotency_key = idempotency_key.map(|key| match attempt > 0 && self.broken.is(Fault::NewKey) {
             true => format!("{key}{attempt}"),
@@ -787,12 +788,12 @@
         #[cfg(feature = "broken")]
         let verdict = self.broken.verdict(verdict);
         let is_new = self.has_no_end(message);
-        let (mut verdict, mut written) = (verdict, self.journal.owe(message.0, verdict));
+        let (mut verdict, mut written) = (verdict, self.journal.set_verdict(message.0, verdict));
         if written.is_err() && verdict != Verdict::Failed {
             // The next process would not know that it was handed back, and might send it beside what its client hands in anew.
             // Who is told of a failure does not come again.
             verdict = Verdict::Failed;
-            written = self.journal.owe(message.0, verdict);
+            written = self.journal.set_verdict(message.0, verdict);
         }
         if is_new {
             let ends = self.ends_of(message);
@@ -807,13 +808,13 @@
 
     /// Tells the end of a message, which is in the journal.
     fn tell(&mut self, message: MessageId, verdict: Verdict) {
-        if let Some(held) = self.journal.image().held.get(&message.0) {
-            trail::owed(&held.taken.id, verdict);
+        if let Some(held) = self.journal.state().pending.get(&message.0) {
+            trail::owed(&held.message.id, verdict);
             #[cfg(feature = "broken")]
             if let Some(instead) = self.tells_badly(message, held, verdict) {
                 return self.effects.extend(instead);
             }
-            let notice = Notice { message, id: held.taken.id.clone(), verdict };
+            let notice = Notice { message, id: held.message.id.clone(), verdict };
             self.effects.push(Doing::Tell(notice));
         }
     }
@@ -842,22 +843,22 @@
         let changed = self.courier.take_changed_outages();
         if !self.has_noted_outages || self.journal.is_behind() {
             let notes = self.outage_notes(self.courier.outages());
-            let is_lost = |note: &&OutageNote| note.lost.is_some();
-            let before = self.journal.image().outages().filter(is_lost).count();
+            let is_lost = |note: &&PersistedOutage| note.calls_were_lost.is_some();
+            let before = self.journal.state().outages().filter(is_lost).count();
             self.tell_outages(now, before, notes.iter().filter(is_lost).count());
-            let written = self.journal.outages(&notes);
+            let written = self.journal.set_outages(&notes);
             self.has_noted_outages = true;
             return self.note(now, written);
         }
         let notes = self.outage_notes(changed.iter().flat_map(|to| self.courier.outages_of(*to)));
         let destinations: Vec<u32> = changed.iter().map(|to| to.0).collect();
-        let lost_before = self.journal.image().lost_among(&destinations);
-        let lost_now = notes.iter().filter(|note| note.lost.is_some()).count();
+        let lost_before = self.journal.state().count_confirmed_outages(&destinations);
+        let lost_now = notes.iter().filter(|note| note.calls_were_lost.is_some()).count();
         if lost_before != lost_now {
-            let before = self.journal.image().outages().filter(|note| note.lost.is_some()).count();
+            let before = self.journal.state().outages().filter(|note| note.calls_were_lost.is_some()).count();
             self.tell_outages(now, before, before - lost_before + lost_now);
         }
-        let written = self.journal.outages_of(&destinations, &notes);
+        let written = self.journal.set_outages_of(&destinations, &notes);
         self.note(now, written);
         debug_assert!(self.holds_all_outages(), "an outage changed at a destination that was not named");
     }
@@ -865,19 +866,19 @@
     /// Whether the journal holds what there is to be remembered of outages, unless it could not be written.
     fn holds_all_outages(&self) -> bool {
         let notes = self.outage_notes(self.courier.outages());
-        self.journal.is_behind() || self.journal.image().has_outages(&notes)
+        self.journal.is_behind() || self.journal.state().outages_match(&notes)
     }
 
     /// Outages as the journal keeps them.
-    fn outage_notes(&self, outages: impl Iterator<Item = Outage>) -> Vec<OutageNote> {
-        let note = |outage: Outage| OutageNote {
+    fn outage_notes(&self, outages: impl Iterator<Item = Outage>) -> Vec<PersistedOutage> {
+        let note = |outage: Outage| PersistedOutage {
             destination: outage.destination.0,
             uid: outage.endpoint.and_then(|id| self.directory.uid(id)).map(str::to_owned),
             since_ms: self.clock.to_wall(outage.since),
-            evidence: outage.evidence,
-            lost: outage.lost,
-            returned_ms: outage.returned.map(|at| self.clock.to_wall(at)),
-            share: outage.share,
+            failure_weight: outage.evidence,
+            calls_were_lost: outage.lost,
+            slow_start_since_ms: outage.returned.map(|at| self.clock.to_wall(at)),
+            served_per_second: outage.share,
         };
         outages.map(note).collect()
     }
@@ -910,7 +911,7 @@
         Reading {
             classes: classes.map(|(name, ends)| (name.clone(), *ends)).collect(),
             attempts: self.counts.attempts,
-            in_flight: self.journal.image().held.values().filter(|held| held.verdict.is_none()).count(),
+            in_flight: self.journal.state().pending.values().filter(|held| held.verdict.is_none()).count(),
             endpoints_known: self.directory.listed(),
             endpoints_excluded: self.courier.excluded(now),
         }
@@ -934,7 +935,15 @@
         self.logged = self.counts.clone();
         let (held, out) = self.load();
         info!(taken, busy, delivered, failed, returned, calls, held, out, ?latest, "load");
-        let Figures { appended, rewritten, freed, segments, used, live, unwritten } = self.journal.figures();
+        let JournalStats {
+            appended_bytes: appended,
+            rewritten_bytes: rewritten,
+            freed_segments: freed,
+            segments,
+            used_bytes: used,
+            live_bytes: live,
+            unwritten_changes: unwritten,
+        } = self.journal.stats();
         info!(appended, rewritten, freed, segments, used, live, unwritten, "journal");
     }
 }
--- a/crates/gullcart-engine/src/trail.rs
+++ b/crates/gullcart-engine/src/trail.rs
@@ -1,8 +1,8 @@
 //! What becomes of each message, step by step, for who follows one of them by its id through the logs of couriers.
 
 use cloverstile::Outcome;
-use gullcart_journal::Held;
-use gullcart_message::{Taken, Verdict};
+use gullcart_journal::PendingMessage;
+use gullcart_message::{AcceptedMessage, Verdict};
 use std::time::Duration;
 use tracing::debug;
 
@@ -12,8 +12,16 @@
 pub const TRAIL: &str = "gullcart::trail";
 
 /// A message was taken on.
-pub(crate) fn taken(number: u32, taken: &Taken) {
-    let Taken { id, class, destination, again, idempotency_key: key, key: order, .. } = taken;
+pub(crate) fn taken(number: u32, taken: &AcceptedMessage) {
+    let AcceptedMessage {
+        id,
+        class,
+        destination,
+        from_failed_courier: again,
+        idempotency_key: key,
+        order_key: order,
+        ..
+    } = taken;
     debug!(target: TRAIL, id, number, order = format_args!("{order:016x}"), class, destination, again, key, "taken on");
 }
 
@@ -35,8 +43,14 @@
 }
 
 /// It was found in the journal after a restart.
-pub(crate) fn found(number: u32, held: &Held) {
-    let Held { taken: Taken { id, key: order, .. }, attempts, maybe_ran, out, verdict } = held;
+pub(crate) fn found(number: u32, held: &PendingMessage) {
+    let PendingMessage {
+        message: AcceptedMessage { id, order_key: order, .. },
+        attempts,
+        may_have_run: maybe_ran,
+        in_flight: out,
+        verdict,
+    } = held;
     let may_have_run = maybe_ran.or(*out).is_some();
     let order = format_args!("{order:016x}");
     debug!(target: TRAIL, id, number, order, attempts, may_have_run, ?verdict, "found in the journal");
--- a/crates/gullcart-engine/src/vocabulary.rs
+++ b/crates/gullcart-engine/src/vocabulary.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use cloverstile::{Allowance, EndpointId, MessageId, Outcome, Time};
-use gullcart_message::{Taken, Update, Verdict};
+use gullcart_message::{AcceptedMessage, ListingUpdate, Verdict};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -22,8 +22,8 @@
 
 impl Enqueue {
     /// Whether a message that is held is this one. What is left of its time differs from try to try.
-    pub fn is_same(&self, held: &Taken) -> bool {
-        (self.key, &self.class, self.destination) == (held.key, &held.class, held.destination)
+    pub fn is_same(&self, held: &AcceptedMessage) -> bool {
+        (self.key, &self.class, self.destination) == (held.order_key, &held.class, held.destination)
             && (&self.idempotency_key, &self.body) == (&held.idempotency_key, &held.body)
     }
 }
@@ -89,7 +89,7 @@
     /// A client was gone before it could be told that its message was taken on, by its own hand-in.
     Unheard(MessageId),
     /// News of the list.
-    Listed(Update),
+    Listed(ListingUpdate),
     /// A change of the list that was kept back.
     #[cfg(feature = "broken")]
     HeardAtLast(Update),
--- a/crates/gullcart-engine/tests/common/mod.rs
+++ b/crates/gullcart-engine/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use gullcart_engine::{Engine, Enqueue, Start};
 use gullcart_journal::simulated::{Crash, Disk};
 use gullcart_journal::{Durability, Journal, Options};
-use gullcart_message::{Target, Update};
+use gullcart_message::{ListingUpdate, Target};
 use serde_json::json;
 use std::time::Duration;
 
@@ -30,7 +30,7 @@
         Crash::Process => Durability::Process,
         Crash::Machine => Durability::Machine,
     };
-    Options { durability, segment: None }
+    Options { durability, segment_bytes: None }
 }
 
 pub fn journal(disk: &Disk, crash: Crash) -> Journal<Disk> {
@@ -60,7 +60,7 @@
     Start {
         parsed: parse_settings_json(&settings).unwrap(),
         seed: 7,
-        known: Update { rev: 1, all: true, targets },
+        known: ListingUpdate { rev: 1, all: true, targets },
         now,
         epoch_ms: START_MS,
         fingerprint: 1,
--- a/crates/gullcart-engine/tests/listing_cost.rs
+++ b/crates/gullcart-engine/tests/listing_cost.rs
@@ -6,7 +6,7 @@
 use gullcart_engine::{Engine, Input, EPOCH};
 use gullcart_journal::simulated::{Crash, Disk};
 use gullcart_journal::Journal;
-use gullcart_message::{Target, Update};
+use gullcart_message::{ListingUpdate, Target};
 use std::time::{Duration, Instant};
 
 const LARGE_DISK: u64 = 64 << 20;
@@ -29,7 +29,7 @@
     courier.turn(EPOCH).unwrap();
     let one = |rev: u64| {
         let number = (rev * 7919 % u64::from(count)) as u32;
-        let change = Update { rev, all: false, targets: vec![listed(number, 20.0 + rev as f64)] };
+        let change = ListingUpdate { rev, all: false, targets: vec![listed(number, 20.0 + rev as f64)] };
         let begun = Instant::now();
         courier.handle(EPOCH, Input::Listed(change));
         let took = begun.elapsed();
--- a/crates/gullcart-engine/tests/once.rs
+++ b/crates/gullcart-engine/tests/once.rs
@@ -10,7 +10,7 @@
 use common::{journal, DISK, START_MS};
 use gullcart_engine::{Answer, Call, Effect, Ended, Engine, Enqueue, Input, Start, Stop, Ticket, EPOCH};
 use gullcart_journal::simulated::{Crash, Disk, Fault};
-use gullcart_message::{Target, Update, Verdict};
+use gullcart_message::{ListingUpdate, Target, Verdict};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -47,7 +47,7 @@
     Start {
         parsed: parse_settings_json(&settings).unwrap(),
         seed: now.0 ^ epoch_ms,
-        known: Update {
+        known: ListingUpdate {
             rev: 1,
             all: true,
             targets: (0..ENDPOINTS).map(|n| target(n, zone_at_first(n))).collect(),
@@ -255,13 +255,15 @@
                 let targets = vec![Target { state: state.to_owned(), ..target(number, *zone) }];
                 self.states[usize::from(number)] = state;
                 self.rev += 1;
-                self.engine.handle(self.now, Input::Listed(Update { rev: self.rev, all: false, targets }));
+                self.engine
+                    .handle(self.now, Input::Listed(ListingUpdate { rev: self.rev, all: false, targets }));
             }
             32 => {
                 let operation = self.disk.operations() + self.rng.u64(1..4);
-                (0..self.rng.u64(1..80)).for_each(|more| self.disk.fail(operation + more, Fault::Error));
+                (0..self.rng.u64(1..80))
+                    .for_each(|more| self.disk.inject_fault(operation + more, Fault::Error));
             }
-            33 | 36 => self.disk.mend(),
+            33 | 36 => self.disk.clear_faults(),
             34 if self.rng.u8(..4) == 0 => self.is_killed(),
             35 if self.rng.u8(..4) == 0 => self.moves(),
             _ => {}
@@ -271,7 +273,7 @@
     fn hands_in(&mut self) {
         // Now and then under an id that is held, as one whose connection closed over it does.
         let held: Vec<String> =
-            self.engine.journal().image().held.values().map(|h| h.taken.id.clone()).collect();
+            self.engine.journal().state().pending.values().map(|h| h.message.id.clone()).collect();
         let again = self.rng.choice(held).filter(|_| self.rng.u8(..6) == 0);
         let number = match &again {
             Some(id) => id[1..].parse().unwrap(),
@@ -308,8 +310,8 @@
         self.tell("** killed".to_owned());
         self.out.clear();
         self.told.clear();
-        self.disk = self.disk.crashed();
-        self.disk.mend();
+        self.disk = self.disk.after_crash();
+        self.disk.clear_faults();
         let down = ms(self.rng.u64(..1500));
         // The next process has a clock of its own; now and then the wall was put back.
         let wall = START_MS + (self.now + down - EPOCH).as_millis() as u64;
@@ -330,13 +332,13 @@
             Target { state, ..target(number, self.zones[usize::from(number)]) }
         };
         let targets = listed.map(entry).collect();
-        self.engine.handle(self.now, Input::Listed(Update { rev: self.rev, all: true, targets }));
+        self.engine.handle(self.now, Input::Listed(ListingUpdate { rev: self.rev, all: true, targets }));
     }
 
     /// The courier goes on in another process, as the daemon's loop hands it over.
     fn moves(&mut self) {
         self.tell("** moves".to_owned());
-        self.disk.mend();
+        self.disk.clear_faults();
         for message in self.out.keys().copied().collect::<Vec<_>>() {
             let out = &self.out[&message];
             match (out.gone, out.called_off) {
--- a/crates/gullcart-engine/tests/orders.rs
+++ b/crates/gullcart-engine/tests/orders.rs
@@ -6,7 +6,7 @@
 use common::*;
 use gullcart_engine::{Denied, Effect, Ended, Engine, Input, Order, Stop, Ticket, EPOCH};
 use gullcart_journal::simulated::{Crash, Disk, Fault};
-use gullcart_message::{Target, Update};
+use gullcart_message::{ListingUpdate, Target};
 use std::time::Duration;
 
 /// Carries an order out in a turn of its own: its answer, and all that was done.
@@ -43,7 +43,7 @@
 }
 
 fn list(all: bool, rev: u64, targets: Vec<Target>) -> Input {
-    Input::Listed(Update { rev, all, targets })
+    Input::Listed(ListingUpdate { rev, all, targets })
 }
 
 #[test]
@@ -74,7 +74,7 @@
     }
     assert_eq!(courier.reading(now).endpoints_excluded, 1);
     drop(courier);
-    let disk = disk.crashed();
+    let disk = disk.after_crash();
     let mut next = engine(&disk, Crash::Process, now);
     assert!(!called(&mut next, 5000, now).contains(&9));
     let (answer, _) = order(&mut next, now, Order::Restore("s-2".to_owned()));
@@ -94,7 +94,7 @@
     courier.turn(EPOCH).unwrap();
     drop(courier);
     // Also by the next process, and when it is listed again it is out from the start.
-    let disk = disk.crashed();
+    let disk = disk.after_crash();
     let mut next = engine(&disk, Crash::Process, EPOCH);
     assert_eq!(suspend(&mut next, EPOCH, "s-2"), Ok(()));
     next.handle(EPOCH, list(false, 3, vec![target(2, "SERVING")]));
@@ -107,11 +107,11 @@
     let mut courier = engine(&disk, Crash::Process, EPOCH);
     courier.turn(EPOCH).unwrap();
     for operation in 1..200 {
-        disk.fail(disk.operations() + operation, Fault::Error);
+        disk.inject_fault(disk.operations() + operation, Fault::Error);
     }
     assert_eq!(suspend(&mut courier, EPOCH, "s-2"), Err(Denied::Unwritten));
     assert_eq!(courier.reading(EPOCH).endpoints_excluded, 0);
-    disk.mend();
+    disk.clear_faults();
     assert!(called(&mut courier, 100, EPOCH).contains(&2));
 }
 
--- a/crates/gullcart-engine/tests/promises.rs
+++ b/crates/gullcart-engine/tests/promises.rs
@@ -7,33 +7,35 @@
 use common::*;
 use gullcart_engine::{Answer, Effect, Ended, Engine, Enqueue, Input, Order, Stop, Ticket, EPOCH};
 use gullcart_journal::simulated::{Crash, Disk, Fault};
-use gullcart_journal::{Image, Journal};
-use gullcart_message::{Update, Verdict};
+use gullcart_journal::{Journal, JournalState};
+use gullcart_message::{ListingUpdate, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-fn after_a_crash(disk: &Disk, crash: Crash) -> Image {
-    journal(&disk.crashed(), crash).image().clone()
+fn after_a_crash(disk: &Disk, crash: Crash) -> JournalState {
+    journal(&disk.after_crash(), crash).state().clone()
 }
 
 /// Everything that effects promise stands in the journal that a crash would leave.
-fn kept(effects: &[Effect], orders: &BTreeMap<Ticket, Order>, image: &Image) -> Result<(), String> {
+fn kept(effects: &[Effect], orders: &BTreeMap<Ticket, Order>, image: &JournalState) -> Result<(), String> {
     for effect in effects {
         let good = match effect {
-            Effect::Answer(_, Answer::Taken(message)) => image.held.contains_key(&message.0),
-            Effect::Begin(call) => image.held.get(&call.message.0).is_some_and(|held| held.out.is_some()),
+            Effect::Answer(_, Answer::Taken(message)) => image.pending.contains_key(&message.0),
+            Effect::Begin(call) => {
+                image.pending.get(&call.message.0).is_some_and(|held| held.in_flight.is_some())
+            }
             Effect::Ordered(ticket, Ok(())) => match orders.get(ticket) {
                 // The last word of a turn on an endpoint counts.
                 Some(Order::Suspend(uid) | Order::Restore(uid)) => {
                     let last = orders.values().rev().find(|order| match order {
                         Order::Suspend(other) | Order::Restore(other) => other == uid,
                     });
-                    image.suspended.contains(uid) == matches!(last, Some(Order::Suspend(_)))
+                    image.suspended_uids.contains(uid) == matches!(last, Some(Order::Suspend(_)))
                 }
                 None => false,
             },
             Effect::Tell(notice) => {
-                image.held.get(&notice.message.0).is_some_and(|held| held.verdict == Some(notice.verdict))
+                image.pending.get(&notice.message.0).is_some_and(|held| held.verdict == Some(notice.verdict))
             }
             _ => true,
         };
@@ -108,7 +110,7 @@
             _ => {
                 let state = if self.rng.bool() { "DRAINING" } else { "SERVING" };
                 let targets = vec![target(self.rng.u16(..8).into(), state)];
-                Input::Listed(Update { rev: self.engine.rev() + 1, all: false, targets })
+                Input::Listed(ListingUpdate { rev: self.engine.rev() + 1, all: false, targets })
             }
         };
         self.engine.handle(self.now, input);
@@ -118,11 +120,11 @@
     /// ends that the platform has not heard.
     fn moves(&mut self) {
         let before = (self.engine.load(), self.engine.reading(self.now).endpoints_excluded);
-        let image = self.engine.journal().image().clone();
+        let image = self.engine.journal().state().clone();
         let (effects, block) = self.engine.freeze(self.now).unwrap();
         assert!(effects.is_empty(), "{effects:?}");
         let journal = journal(&self.disk, self.crash);
-        assert_eq!(journal.image().held, image.held);
+        assert_eq!(journal.state().pending, image.pending);
         let (engine, resumed) = Engine::resume(start(self.now), journal, &block.unwrap());
         assert_eq!(resumed, Ok(()));
         self.engine = engine;
@@ -158,8 +160,8 @@
     }
 }
 
-fn image_of(world: &World) -> &Image {
-    world.engine.journal().image()
+fn image_of(world: &World) -> &JournalState {
+    world.engine.journal().state()
 }
 
 /// Each message has one end in the figures, and what has none is in flight; nothing goes to an endpoint that is out by hand.
@@ -178,7 +180,10 @@
         for effect in &effects {
             let Effect::Begin(call) = effect else { continue };
             let uid = format!("s-{}", call.address.port() - 1000);
-            assert!(!image_of(&world).suspended.contains(&uid), "seed {seed}, turn {turn}: a call to {uid}");
+            assert!(
+                !image_of(&world).suspended_uids.contains(&uid),
+                "seed {seed}, turn {turn}: a call to {uid}"
+            );
         }
         begun += effects.iter().filter(|effect| matches!(effect, Effect::Begin(_))).count() as u64;
         told += effects.iter().filter(|effect| matches!(effect, Effect::Tell(_))).count() as u64;
@@ -191,9 +196,11 @@
         if turn % 97 == 96 {
             // The process dies, and the next one takes up what it held: nothing unsafe that was out goes again.
             let out: Vec<MessageId> = world.out.keys().copied().collect();
-            let salaries: Vec<MessageId> =
-                out.into_iter().filter(|message| image.held[&message.0].taken.class == "salary").collect();
-            world.disk = world.disk.crashed();
+            let salaries: Vec<MessageId> = out
+                .into_iter()
+                .filter(|message| image.pending[&message.0].message.class == "salary")
+                .collect();
+            world.disk = world.disk.after_crash();
             world.out.clear();
             world.told.clear();
             world.engine = engine(&world.disk, crash, world.now);
@@ -229,8 +236,8 @@
     let effects = engine.turn(EPOCH).unwrap();
     let lost = (0..50).any(|_| {
         // Nothing was synced, so that the folder may come back with anything, or with damage.
-        match Journal::replay(disk.crashed(), DISK, options(Crash::Process), 7) {
-            Ok(journal) => kept(&effects, &BTreeMap::new(), journal.image()).is_err(),
+        match Journal::replay(disk.after_crash(), DISK, options(Crash::Process), 7) {
+            Ok(journal) => kept(&effects, &BTreeMap::new(), journal.state()).is_err(),
             Err(_) => true,
         }
     });
@@ -243,7 +250,7 @@
     let mut engine = engine(&disk, Crash::Process, EPOCH);
     engine.handle(EPOCH, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
     for operation in 1..200 {
-        disk.fail(disk.operations() + operation, Fault::Error);
+        disk.inject_fault(disk.operations() + operation, Fault::Error);
     }
     // It was taken on while that could be written; its attempt cannot be.
     engine.handle(EPOCH, Input::Enqueue(Ticket(2), enqueue(2, "salary", 1)));
@@ -254,7 +261,7 @@
     assert!(matches!(answers[1], Effect::Answer(Ticket(2), Answer::Busy(Some(_)))), "{answers:?}");
     assert!(!effects.iter().any(|effect| matches!(effect, Effect::Begin(_))), "{effects:?}");
     assert!(engine.next_wake().is_some());
-    disk.mend();
+    disk.clear_faults();
     // Once it can be written the attempt is made.
     let mut now = EPOCH;
     for _ in 0..50 {
@@ -274,11 +281,11 @@
         let disk = Disk::new(DISK, Crash::Process, 1);
         let mut engine = engine(&disk, Crash::Process, EPOCH);
         let targets = (0..8).map(|number| target(number, "DRAINING")).collect();
-        engine.handle(EPOCH, Input::Listed(Update { rev: 2, all: true, targets }));
+        engine.handle(EPOCH, Input::Listed(ListingUpdate { rev: 2, all: true, targets }));
         engine.handle(EPOCH, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
         engine.turn(EPOCH).unwrap();
         for operation in 1..500 * u64::from(!is_writable) {
-            disk.fail(disk.operations() + operation, Fault::Error);
+            disk.inject_fault(disk.operations() + operation, Fault::Error);
         }
         let late = EPOCH + Duration::from_secs(21);
         let told = |effect: &Effect| match effect {
@@ -297,7 +304,7 @@
     let mut engine = engine(&disk, Crash::Machine, EPOCH);
     engine.turn(EPOCH).unwrap();
     engine.handle(EPOCH, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
-    disk.refuse(true);
+    disk.refuse_changes(true);
     assert!(engine.turn(EPOCH).is_err());
 }
 
@@ -340,7 +347,7 @@
     assert!(engine.may_end(EPOCH + Duration::from_millis(3200)));
     assert!(engine.next_wake().is_some_and(|at| at <= EPOCH + Duration::from_millis(3200)));
     let verdicts = after_a_crash(&disk, Crash::Process);
-    assert!(verdicts.held.values().all(|held| held.verdict != Some(Verdict::Returned { after_ms: 0 })));
+    assert!(verdicts.pending.values().all(|held| held.verdict != Some(Verdict::Returned { after_ms: 0 })));
 }
 
 /// Its outcome could not be written, nor could the next attempt, which was not made: whatever is written of that, the first one
@@ -358,31 +365,31 @@
     };
     let (message, endpoint) = begun(&engine.turn(EPOCH).unwrap()).unwrap();
     for operation in 1..2000 {
-        disk.fail(disk.operations() + operation, Fault::Error);
+        disk.inject_fault(disk.operations() + operation, Fault::Error);
     }
     let latency = Duration::from_millis(40);
     let reset = Ended { outcome: Outcome::Reset, latency, complete: false, allowance: None };
     engine.handle(EPOCH, Input::Ended(message, endpoint, reset));
     // The courier goes on in another process, whose journal has no outcome. Its repeat is due, and cannot be written.
     let block = engine.freeze(EPOCH).unwrap().1.unwrap();
-    disk.mend();
+    disk.clear_faults();
     let (mut engine, resumed) = Engine::resume(start(EPOCH), journal(&disk, Crash::Process), &block);
     assert_eq!(resumed, Ok(()));
     for operation in 1..2000 {
-        disk.fail(disk.operations() + operation, Fault::Error);
+        disk.inject_fault(disk.operations() + operation, Fault::Error);
     }
     let mut now = EPOCH;
     while engine.next_wake() != Some(Time::ZERO) {
         now = now + Duration::from_millis(5);
         assert!(begun(&engine.turn(now).unwrap()).is_none() && now < EPOCH + Duration::from_secs(5));
     }
-    disk.mend();
-    disk.capture(1);
+    disk.clear_faults();
+    disk.capture_crashes(1);
     engine.turn(now).unwrap();
-    let captured = disk.captured();
+    let captured = disk.take_captured();
     assert!(!captured.is_empty());
     for disk in captured {
-        let held = journal(&disk, Crash::Process).image().held[&message.0].clone();
-        assert!(held.maybe_ran.or(held.out).is_some(), "{held:?}");
+        let held = journal(&disk, Crash::Process).state().pending[&message.0].clone();
+        assert!(held.may_have_run.or(held.in_flight).is_some(), "{held:?}");
     }
 }
--- a/crates/gullcart-engine/tests/taken_on.rs
+++ b/crates/gullcart-engine/tests/taken_on.rs
@@ -79,7 +79,7 @@
     assert_eq!(seen.taken, 60);
     let tried: BTreeSet<String> = seen.calls.into_iter().collect();
     drop(courier);
-    let disk = disk.crashed();
+    let disk = disk.after_crash();
     let mut now = EPOCH + Duration::from_secs(2);
     let mut next = engine(&disk, Crash::Process, now);
     let (mut calls, mut ends) = (BTreeSet::new(), BTreeSet::new());
--- a/crates/gullcart-engine/tests/wide_destinations.rs
+++ b/crates/gullcart-engine/tests/wide_destinations.rs
@@ -6,7 +6,7 @@
 use common::*;
 use gullcart_engine::{Answer, Call, Effect, Ended, Engine, Input, Ticket, EPOCH};
 use gullcart_journal::simulated::{Crash, Disk};
-use gullcart_message::{Target, Update};
+use gullcart_message::{ListingUpdate, Target};
 use std::time::Duration;
 
 const WIDE: [u32; 3] = [65_535, 65_536, 1_600_000];
@@ -45,7 +45,7 @@
 fn wide_destinations_are_listed_taken_on_for_replayed_and_served() {
     let disk = Disk::new(DISK, Crash::Process, 1);
     let mut courier = engine(&disk, Crash::Process, EPOCH);
-    courier.handle(EPOCH, Input::Listed(Update { rev: 2, all: false, targets: wide_targets() }));
+    courier.handle(EPOCH, Input::Listed(ListingUpdate { rev: 2, all: false, targets: wide_targets() }));
     for (number, destination) in (1..).zip(WIDE) {
         courier.handle(EPOCH, Input::Enqueue(Ticket(number), enqueue(number, "notice", destination)));
     }
@@ -53,9 +53,9 @@
     assert_eq!(ports(&begun), [FIRST_PORT, FIRST_PORT + 1, FIRST_PORT + 2]);
     // Killed with all of them out: the next process has the list, and calls the same endpoints again.
     drop(courier);
-    let (disk, now) = (disk.crashed(), EPOCH + Duration::from_secs(1));
+    let (disk, now) = (disk.after_crash(), EPOCH + Duration::from_secs(1));
     let mut courier = engine(&disk, Crash::Process, now);
-    assert!(courier.journal().image().held.values().map(|held| held.taken.destination).eq(WIDE));
+    assert!(courier.journal().state().pending.values().map(|held| held.message.destination).eq(WIDE));
     let mut again = Vec::new();
     for step in 0..200 {
         again.extend(calls(&mut courier, now + Duration::from_millis(20 * step)));
--- a/crates/gullcart-hollow/src/courier.rs
+++ b/crates/gullcart-hollow/src/courier.rs
@@ -4,7 +4,7 @@
 use gullcart_engine::{Engine, Input, Start, EPOCH};
 use gullcart_journal::simulated::{Crash, Disk};
 use gullcart_journal::{Journal, JournalError, Options};
-use gullcart_message::{Target, Update};
+use gullcart_message::{ListingUpdate, Target};
 use serde_json::json;
 use std::time::{Duration, Instant};
 use thiserror::Error;
@@ -86,7 +86,7 @@
         let start = Start {
             parsed: settings.0.clone(),
             seed,
-            known: Update::default(),
+            known: ListingUpdate::default(),
             now: EPOCH,
             epoch_ms: START_MS,
             fingerprint: 0,
@@ -95,7 +95,7 @@
     }
 
     /// Takes news of the list in. It is in force when this returns.
-    pub fn apply(&mut self, update: Update) -> Result<(), CourierError> {
+    pub fn apply(&mut self, update: ListingUpdate) -> Result<(), CourierError> {
         let now = self.time();
         self.engine.handle(now, Input::Listed(update));
         self.turn()
--- a/crates/gullcart-hollow/src/hollow.rs
+++ b/crates/gullcart-hollow/src/hollow.rs
@@ -11,7 +11,7 @@
 use gullcart_distribution::store::Entry;
 use gullcart_distribution::subscriber::{Acting, Role, Subscriber};
 use gullcart_distribution::time::Instant;
-use gullcart_message::{Target, Update};
+use gullcart_message::{ListingUpdate, Target};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -259,7 +259,7 @@
             }
         }
         let upto = self.revision();
-        self.engine.apply(Update { rev: upto, all: is_whole, targets })?;
+        self.engine.apply(ListingUpdate { rev: upto, all: is_whole, targets })?;
         self.told_entries = entries;
         if before != Position::ORIGIN {
             // Until now it acted on what it had before, if its lease lasted so long.
--- a/crates/gullcart-hollow/src/serve.rs
+++ b/crates/gullcart-hollow/src/serve.rs
@@ -8,7 +8,7 @@
 use crate::relays_node::RelaysNode;
 use crate::source_node::{SourceNode, SourceNodeError};
 use crate::structures::{self, StructureError};
-use gullcart_message::Update;
+use gullcart_message::ListingUpdate;
 use rustix::process::{getpid, set_parent_process_death_signal, Signal};
 use std::io;
 use std::os::fd::AsFd;
@@ -171,7 +171,7 @@
             let mut engine = HollowEngine::new(&settings, u64::from(number))?;
             let uid = |endpoint: u32| format!("endpoint-{endpoint}");
             let targets = (0..probe.endpoints).map(|endpoint| target(uid(endpoint), endpoint, true));
-            engine.apply(Update { rev: 1, all: true, targets: targets.collect() })?;
+            engine.apply(ListingUpdate { rev: 1, all: true, targets: targets.collect() })?;
             self.probed.push(engine);
         }
         Ok(Cost { empty, full: machine::resident(getpid())?, couriers: probe.couriers })
--- a/crates/gullcart-peers/src/folder.rs
+++ b/crates/gullcart-peers/src/folder.rs
@@ -2,7 +2,7 @@
 
 use gullcart_group::door::{Left, Mark, Origin, Passport};
 use gullcart_group::log::{Image, Record};
-use gullcart_journal::notes::{Notes, NotesError};
+use gullcart_journal::state_log::{StateLog, StateLogError};
 use gullcart_journal::{Folder, Store};
 use serde::{Deserialize, Serialize};
 use std::io;
@@ -23,7 +23,7 @@
     Folder(#[from] io::Error),
     /// Its notes cannot be used.
     #[error(transparent)]
-    Notes(#[from] NotesError),
+    Notes(#[from] StateLogError),
 }
 
 /// One entry.
@@ -39,7 +39,7 @@
 
 /// The folder of a process, locked while this is there.
 pub struct Keep {
-    notes: Notes<Folder>,
+    notes: StateLog<Folder>,
 }
 
 fn mark(path: &Path) -> io::Result<Mark> {
@@ -65,17 +65,17 @@
         std::fs::create_dir_all(path)?;
         let folder = Folder::lock(path)?;
         let seen = mark(path)?;
-        let (notes, entries) = match Notes::open(folder, most) {
+        let (notes, entries) = match StateLog::open(folder, most) {
             Ok(opened) => opened,
             // What it promised is not known any more: it comes back as a new one.
-            Err(error @ NotesError::Damaged { .. }) => {
+            Err(error @ StateLogError::Damaged { .. }) => {
                 warn!(%error, "what this voter promised is lost; it comes back as a new one");
                 for (name, _) in Folder::lock(path)?.list()? {
                     if name.starts_with("notes-") {
                         std::fs::rename(path.join(&name), path.join(format!("damaged-{name}")))?;
                     }
                 }
-                Notes::open(Folder::lock(path)?, most)?
+                StateLog::open(Folder::lock(path)?, most)?
             }
             Err(error) => return Err(error.into()),
         };
@@ -117,7 +117,7 @@
 
     /// Whether all of it is worth writing down anew.
     pub fn is_long(&self) -> bool {
-        self.notes.is_long()
+        self.notes.needs_rewrite()
     }
 
     /// Writes all down anew.
--- a/crates/gullcart/src/config.rs
+++ b/crates/gullcart/src/config.rs
@@ -2,7 +2,7 @@
 
 use cloverstile::SettingError;
 use gullcart_journal::{JournalError, OptionsError};
-use gullcart_message::Update;
+use gullcart_message::ListingUpdate;
 use gullcart_peers::settings::SettingsError;
 use serde::Deserialize;
 use std::ffi::OsString;
@@ -23,7 +23,7 @@
     pub discovery: String,
     pub seed: String,
     pub limits: Limits,
-    pub known: Update,
+    pub known: ListingUpdate,
     pub settings: serde_json::Value,
 }
 
--- a/crates/gullcart/src/discovery.rs
+++ b/crates/gullcart/src/discovery.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use gullcart_engine::{CallsForLists, Input, Notice, CALL, SILENCE, TRAIL};
-use gullcart_message::{Update, Verdict};
+use gullcart_message::{ListingUpdate, Verdict};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
@@ -121,7 +121,7 @@
         // An agent that has heard less than the one before must not take back a drain.
         if list.rev >= *rev {
             let told = list.rev;
-            driver.tell(Input::Listed(Update { all: true, ..list })).await;
+            driver.tell(Input::Listed(ListingUpdate { all: true, ..list })).await;
             *rev = told;
         }
         *whole = false;
@@ -178,7 +178,7 @@
     connection: &mut Connection,
     request: Request<Full<Bytes>>,
     longest: LongestList,
-) -> Result<Update, AgentError> {
+) -> Result<ListingUpdate, AgentError> {
     let response = connection.send_request(request).await?;
     if response.status() != StatusCode::OK {
         return Err(AgentError::Status(response.status()));
--- a/crates/gullcart/src/update_stream.rs
+++ b/crates/gullcart/src/update_stream.rs
@@ -1,6 +1,6 @@
 //! The stream of changes of a watch, cut into its objects as its bytes come. No socket: whoever reads hands bytes in.
 
-use gullcart_message::Update;
+use gullcart_message::ListingUpdate;
 use thiserror::Error;
 
 /// Bytes that a list may have at any limit of memory.
@@ -38,7 +38,7 @@
     /// The end of a line outside of a change: the watch lasts.
     KeepAlive,
     /// A change. It ends with its last brace, so that it may be indented, over several lines.
-    Change(Update),
+    Change(ListingUpdate),
 }
 
 /// Cuts a stream into pieces. Each byte is looked at once, in whatever parts they come.
--- a/crates/gullcartctl/src/journal.rs
+++ b/crates/gullcartctl/src/journal.rs
@@ -1,7 +1,7 @@
 //! `gullcartctl journal`: looking at the journal of a courier that does not run, and repairing it.
 
 use clap::{Args, Subcommand};
-use gullcart_journal::{look, repair, Folder, Options, Report};
+use gullcart_journal::{inspect, repair, Folder, JournalReport, Options};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -65,20 +65,20 @@
     }
 }
 
-fn looked(folder: &Path) -> Result<Report, String> {
+fn looked(folder: &Path) -> Result<JournalReport, String> {
     let store = Folder::lock(folder).map_err(|error| error.to_string())?;
-    look(&store).map_err(|error| error.to_string())
+    inspect(&store).map_err(|error| error.to_string())
 }
 
-fn verdict(report: &Report) -> ExitCode {
-    if report.is_sound() {
+fn verdict(report: &JournalReport) -> ExitCode {
+    if report.is_undamaged() {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     }
 }
 
-fn print(report: &Report, json: bool, words: impl Fn(&Report) -> String) -> Result<(), String> {
+fn print(report: &JournalReport, json: bool, words: impl Fn(&JournalReport) -> String) -> Result<(), String> {
     if json {
         println!("{}", serde_json::to_string_pretty(report).map_err(|error| error.to_string())?);
     } else {
@@ -87,24 +87,24 @@
     Ok(())
 }
 
-fn inspected(report: &Report) -> String {
+fn inspected(report: &JournalReport) -> String {
     let mut lines =
         vec![format!("{:<30} {:>10} {:>10} {:>8} {:>7}", "segment", "on disk", "records", "live", "live")];
     for segment in &report.segments {
-        let share = segment.live as f64 / segment.size.max(1) as f64;
+        let share = segment.live_bytes as f64 / segment.valid_bytes.max(1) as f64;
         lines.push(format!(
             "{:<30} {:>10} {:>10} {:>8} {:>6.0}%",
             segment.file,
             segment.on_disk,
             segment.records,
-            segment.live,
+            segment.live_bytes,
             share * 100.0
         ));
     }
-    lines.push(format!("{} bytes on disk in all", report.used));
+    lines.push(format!("{} bytes on disk in all", report.used_bytes));
     lines.push(format!(
         "{} messages held, {} of them with an attempt out, {} with an end to be told",
-        report.held, report.out, report.ending
+        report.pending, report.in_flight, report.unacknowledged
     ));
     lines.push(format!(
         "{} endpoints of list {}, {} destinations, {} outages remembered",
@@ -114,19 +114,19 @@
     lines.join("\n")
 }
 
-fn verified(report: &Report) -> String {
+fn verified(report: &JournalReport) -> String {
     let mut lines = Vec::new();
-    if report.torn > 0 {
-        lines.push(format!("{} bytes at the end are torn; they promised nothing", report.torn));
+    if report.torn_bytes > 0 {
+        lines.push(format!("{} bytes at the end are torn; they promised nothing", report.torn_bytes));
     }
     lines.extend(report.damage.iter().cloned());
-    if report.is_sound() {
+    if report.is_undamaged() {
         lines.push("sound: all that was promised is there".to_owned());
     } else {
         lines.push(format!(
             "DAMAGED: {} held messages can be proven, {} of them may have run for all that is known; {} are lost that \
              later records speak of",
-            report.held,
+            report.pending,
             report.in_doubt.len(),
             report.lost.len()
         ));
@@ -141,7 +141,7 @@
     if !yes {
         let report = looked(folder)?;
         println!("{}", verified(&report));
-        if !report.is_sound() {
+        if !report.is_undamaged() {
             println!("nothing was changed; with --yes the files are kept aside, and this is taken over");
         }
         return Ok(verdict(&report));
@@ -149,7 +149,7 @@
     let done =
         repair(folder, (disk_mb * 1e6) as u64, Options::default()).map_err(|error| error.to_string())?;
     println!("{}", verified(&done.report));
-    match done.kept {
+    match done.backup_folder {
         Some(kept) => println!("repaired; the old files are in {}", kept.display()),
         None => println!("there was nothing to repair"),
     }
