--- a/crates/gullcart-group/src/lib.rs
+++ b/crates/gullcart-group/src/lib.rs
@@ -7,15 +7,15 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod door;
 pub mod lease;
 pub mod log;
 pub mod member;
+pub mod membership;
+pub mod message;
+pub mod message_order;
 pub mod node;
-pub mod order;
-mod pace;
-pub mod say;
-pub mod seat;
+mod retry_pacer;
 pub mod table;
-pub mod vocabulary;
+pub mod types;
 pub mod voter;
+pub mod voting_state;
--- a/crates/gullcart-group/src/log.rs
+++ b/crates/gullcart-group/src/log.rs
@@ -34,29 +34,29 @@
 
 /// A ballot, as it is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Promise {
+pub struct StoredBallot {
     config: u32,
     number: u32,
     priority: u32,
     member: u64,
 }
 
-impl From<Ballot> for Promise {
+impl From<Ballot> for StoredBallot {
     fn from(ballot: Ballot) -> Self {
         let Ballot { config_id, n, priority, pid } = ballot;
-        Promise { config: config_id, number: n, priority, member: pid }
+        StoredBallot { config: config_id, number: n, priority, member: pid }
     }
 }
 
-impl From<Promise> for Ballot {
-    fn from(promise: Promise) -> Self {
-        Ballot::with(promise.config, promise.number, promise.priority, promise.member)
+impl From<StoredBallot> for Ballot {
+    fn from(stored: StoredBallot) -> Self {
+        Ballot::with(stored.config, stored.number, stored.priority, stored.member)
     }
 }
 
 /// The end of a configuration, as it is written.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct End {
+pub struct StoredStopSign {
     config: u32,
     voters: Vec<u64>,
     metadata: Option<Vec<u8>>,
@@ -66,53 +66,53 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
     /// All of the log up to here, in place of what was written before.
-    Image(Box<Image>),
+    Snapshot(Box<VoterSnapshot>),
     /// Entries behind those that there are.
     Append(Vec<Command>),
     /// Entries from a place on, in the stead of those that there are.
-    Replace(u64, Vec<Command>),
+    ReplaceSuffix(u64, Vec<Command>),
     /// No lower ballot is listened to.
-    Promised(Promise),
+    Promised(StoredBallot),
     /// The round in which the log was last written.
-    Accepted(Promise),
+    Accepted(StoredBallot),
     /// So many entries are decided.
     Decided(u64),
     /// Entries before this place are no longer kept one by one.
-    Trim(u64),
+    Compact(u64),
     /// The configuration ends, or does not after all.
-    Ends(Option<End>),
+    StopSign(Option<StoredStopSign>),
 }
 
 /// What is kept.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Image {
+pub struct VoterSnapshot {
     /// The table of the entries that are no longer kept one by one, and how many those are.
-    base: Table,
-    trimmed: u64,
+    table: Table,
+    compacted_count: u64,
     /// Entries behind them.
-    log: Vec<Command>,
-    promised: Option<Promise>,
-    accepted: Option<Promise>,
-    decided: u64,
-    ends: Option<End>,
+    entries: Vec<Command>,
+    promised_ballot: Option<StoredBallot>,
+    accepted_ballot: Option<StoredBallot>,
+    decided_count: u64,
+    stop_sign: Option<StoredStopSign>,
 }
 
-impl Image {
+impl VoterSnapshot {
     /// What records add up to.
     pub fn replay(records: impl IntoIterator<Item = Record>) -> Self {
-        let mut image = Image::default();
-        records.into_iter().for_each(|record| image.write(record));
-        image
+        let mut snapshot = VoterSnapshot::default();
+        records.into_iter().for_each(|record| snapshot.write(record));
+        snapshot
     }
 
     /// Entries that are kept one by one.
-    pub fn entries(&self) -> usize {
-        self.log.len()
+    pub fn entry_count(&self) -> usize {
+        self.entries.len()
     }
 
     /// The table of the entries that are no longer kept one by one, and how many those are.
-    pub fn base(&self) -> (&Table, usize) {
-        (&self.base, self.trimmed as usize)
+    pub fn compacted_table(&self) -> (&Table, usize) {
+        (&self.table, self.compacted_count as usize)
     }
 
     /// Takes over the log of another voter, which has decided more; false where that may not be.
@@ -121,143 +121,152 @@
     /// accepted in it, and under the round of before that nothing came since. Nobody is told of an acceptance, so that it
     /// counts for no majority, also where a higher round was promised already; who asks later is told of it like of any other.
     /// A log of a later round than the other one stays.
-    pub fn install(&mut self, other: Image) -> bool {
-        if other.decided <= self.decided || other.trimmed <= self.trimmed {
+    pub fn install(&mut self, other: VoterSnapshot) -> bool {
+        if other.decided_count <= self.decided_count || other.compacted_count <= self.compacted_count {
             return false;
         }
-        let round = |promise: Option<Promise>| promise.map(|p| (p.config, p.number, p.priority, p.member));
-        if round(other.accepted) < round(self.accepted) {
+        let ballot =
+            |stored: Option<StoredBallot>| stored.map(|b| (b.config, b.number, b.priority, b.member));
+        if ballot(other.accepted_ballot) < ballot(self.accepted_ballot) {
             return false;
         }
-        if round(self.promised) < round(other.accepted) {
-            self.promised = other.accepted;
+        if ballot(self.promised_ballot) < ballot(other.accepted_ballot) {
+            self.promised_ballot = other.accepted_ballot;
         }
-        // Logs of one round are the same as far as both go.
-        let is_same_round = other.accepted == self.accepted;
-        let (mine, theirs) = (self.trimmed + self.log.len() as u64, other.trimmed + other.log.len() as u64);
-        if is_same_round && mine > theirs {
-            self.log.drain(..((other.trimmed - self.trimmed) as usize).min(self.log.len()));
+        // Logs that were accepted under the same ballot are equal up to the length of the shorter one.
+        let is_same_ballot = other.accepted_ballot == self.accepted_ballot;
+        let own_len = self.compacted_count + self.entries.len() as u64;
+        let other_len = other.compacted_count + other.entries.len() as u64;
+        if is_same_ballot && own_len > other_len {
+            self.entries
+                .drain(..((other.compacted_count - self.compacted_count) as usize).min(self.entries.len()));
         } else {
-            self.log = other.log;
+            self.entries = other.entries;
         }
-        (self.base, self.trimmed) = (other.base, other.trimmed);
-        (self.accepted, self.decided, self.ends) = (other.accepted, other.decided, other.ends);
+        self.table = other.table;
+        self.compacted_count = other.compacted_count;
+        self.accepted_ballot = other.accepted_ballot;
+        self.decided_count = other.decided_count;
+        self.stop_sign = other.stop_sign;
         true
     }
 
     fn write(&mut self, record: Record) {
         match record {
-            Record::Image(image) => *self = *image,
-            Record::Append(entries) => self.log.extend(entries),
-            Record::Replace(from, entries) => {
-                self.log.truncate(from.saturating_sub(self.trimmed) as usize);
-                self.log.extend(entries);
+            Record::Snapshot(snapshot) => *self = *snapshot,
+            Record::Append(entries) => self.entries.extend(entries),
+            Record::ReplaceSuffix(from, entries) => {
+                self.entries.truncate(from.saturating_sub(self.compacted_count) as usize);
+                self.entries.extend(entries);
             }
-            Record::Promised(promise) => self.promised = Some(promise),
-            Record::Accepted(promise) => self.accepted = Some(promise),
-            Record::Decided(count) => self.decided = count,
-            Record::Trim(count) => {
-                let gone = (count.saturating_sub(self.trimmed) as usize).min(self.log.len());
-                self.log.drain(..gone).for_each(|command| drop(self.base.apply(&command)));
-                self.trimmed += gone as u64;
+            Record::Promised(ballot) => self.promised_ballot = Some(ballot),
+            Record::Accepted(ballot) => self.accepted_ballot = Some(ballot),
+            Record::Decided(count) => self.decided_count = count,
+            Record::Compact(count) => {
+                let dropped = (count.saturating_sub(self.compacted_count) as usize).min(self.entries.len());
+                self.entries.drain(..dropped).for_each(|command| drop(self.table.apply(&command)));
+                self.compacted_count += dropped as u64;
             }
-            Record::Ends(end) => self.ends = end,
+            Record::StopSign(stop_sign) => self.stop_sign = stop_sign,
         }
     }
 
-    fn part(&self, from: usize, to: usize) -> Vec<Command> {
-        let place = |at: usize| (at as u64).saturating_sub(self.trimmed) as usize;
-        let to = place(to).min(self.log.len());
-        self.log.get(place(from).min(to)..to).map(<[Command]>::to_vec).unwrap_or_default()
+    fn range(&self, from: usize, to: usize) -> Vec<Command> {
+        let index = |at: usize| (at as u64).saturating_sub(self.compacted_count) as usize;
+        let to = index(to).min(self.entries.len());
+        self.entries.get(index(from).min(to)..to).map(<[Command]>::to_vec).unwrap_or_default()
     }
 }
 
 /// The log of one voter: the library has one handle, its owner another.
 #[derive(Clone, Debug, Default)]
-pub struct Log {
-    kept: Rc<RefCell<Kept>>,
+pub struct VoterLog {
+    state: Rc<RefCell<LogState>>,
 }
 
 #[derive(Debug, Default)]
-struct Kept {
-    image: Image,
+struct LogState {
+    snapshot: VoterSnapshot,
     /// Written since the owner last asked.
     records: Vec<Record>,
 }
 
-impl Log {
+impl VoterLog {
     /// One that goes on from what was kept.
-    pub fn new(image: Image) -> Self {
-        Log { kept: Rc::new(RefCell::new(Kept { image, records: Vec::new() })) }
+    pub fn new(snapshot: VoterSnapshot) -> Self {
+        VoterLog { state: Rc::new(RefCell::new(LogState { snapshot, records: Vec::new() })) }
     }
 
     /// What was written since the last time.
     pub fn take_records(&self) -> Vec<Record> {
-        std::mem::take(&mut self.kept.borrow_mut().records)
+        std::mem::take(&mut self.state.borrow_mut().records)
     }
 
     /// Puts records before those that were written since.
-    pub fn put_first(&self, mut records: Vec<Record>, last: Record) {
-        let mut kept = self.kept.borrow_mut();
+    pub fn prepend_records(&self, mut records: Vec<Record>, last: Record) {
+        let mut state = self.state.borrow_mut();
         records.push(last);
-        records.append(&mut kept.records);
-        kept.records = records;
+        records.append(&mut state.records);
+        state.records = records;
     }
 
     /// All of it, as one record.
-    pub fn image(&self) -> Image {
-        self.kept.borrow().image.clone()
+    pub fn snapshot(&self) -> VoterSnapshot {
+        self.state.borrow().snapshot.clone()
     }
 
     /// Entries that are kept one by one.
-    pub fn entries(&self) -> usize {
-        self.kept.borrow().image.entries()
+    pub fn entry_count(&self) -> usize {
+        self.state.borrow().snapshot.entry_count()
     }
 
-    /// The round in which the log was last written, and how long it is.
-    pub fn accepted(&self) -> (Option<Ballot>, usize) {
-        let image = &self.kept.borrow().image;
-        (image.accepted.map(Ballot::from), image.trimmed as usize + image.log.len())
+    /// The ballot under which the log was last written, and the length of the log including compacted entries.
+    pub fn accepted_ballot_and_len(&self) -> (Option<Ballot>, usize) {
+        let snapshot = &self.state.borrow().snapshot;
+        (
+            snapshot.accepted_ballot.map(Ballot::from),
+            snapshot.compacted_count as usize + snapshot.entries.len(),
+        )
     }
 
     /// Entries that are no longer kept one by one.
-    pub fn trimmed(&self) -> usize {
-        self.kept.borrow().image.trimmed as usize
+    pub fn compacted_count(&self) -> usize {
+        self.state.borrow().snapshot.compacted_count as usize
     }
 
     /// Makes all but some of the decided entries into a table.
-    pub fn trim(&self, but: usize) {
-        let decided = self.kept.borrow().image.decided;
-        let count = decided.saturating_sub(but as u64);
-        if count > self.trimmed() as u64 {
-            self.write(Record::Trim(count));
+    pub fn compact(&self, keep: usize) {
+        let decided = self.state.borrow().snapshot.decided_count;
+        let count = decided.saturating_sub(keep as u64);
+        if count > self.compacted_count() as u64 {
+            self.write(Record::Compact(count));
         }
     }
 
     fn write(&self, record: Record) {
-        let mut kept = self.kept.borrow_mut();
-        kept.image.write(record.clone());
-        kept.records.push(record);
+        let mut state = self.state.borrow_mut();
+        state.snapshot.write(record.clone());
+        state.records.push(record);
     }
 }
 
-fn end(sign: StopSign) -> End {
-    let ClusterConfig { configuration_id, nodes, .. } = sign.next_config;
-    End { config: configuration_id, voters: nodes, metadata: sign.metadata }
+fn to_stored(stop_sign: StopSign) -> StoredStopSign {
+    let ClusterConfig { configuration_id, nodes, .. } = stop_sign.next_config;
+    StoredStopSign { config: configuration_id, voters: nodes, metadata: stop_sign.metadata }
 }
 
-fn sign(end: End) -> StopSign {
+fn from_stored(stored: StoredStopSign) -> StopSign {
     let flexible_quorum: Option<FlexibleQuorum> = None;
-    let next = ClusterConfig { configuration_id: end.config, nodes: end.voters, flexible_quorum };
-    StopSign::with(next, end.metadata)
+    let next = ClusterConfig { configuration_id: stored.config, nodes: stored.voters, flexible_quorum };
+    StopSign::with(next, stored.metadata)
 }
 
 /// The library is never asked to compact.
-fn unused() -> StorageResult<()> {
+fn unsupported() -> StorageResult<()> {
     Err("the log is not compacted by the library".into())
 }
 
-impl Storage<Command> for Log {
+impl Storage<Command> for VoterLog {
     fn write_atomically(&mut self, ops: Vec<StorageOp<Command>>) -> StorageResult<()> {
         for op in ops {
             match op {
@@ -268,7 +277,9 @@
                 StorageOp::SetDecidedIndex(count) => self.set_decided_idx(count)?,
                 StorageOp::SetAcceptedRound(ballot) => self.set_accepted_round(ballot)?,
                 StorageOp::SetStopsign(sign) => self.set_stopsign(sign)?,
-                StorageOp::SetCompactedIdx(_) | StorageOp::Trim(_) | StorageOp::SetSnapshot(_) => unused()?,
+                StorageOp::SetCompactedIdx(_) | StorageOp::Trim(_) | StorageOp::SetSnapshot(_) => {
+                    unsupported()?
+                }
             }
         }
         Ok(())
@@ -284,7 +295,7 @@
     }
 
     fn append_on_prefix(&mut self, from: usize, entries: Vec<Command>) -> StorageResult<()> {
-        self.write(Record::Replace(from as u64, entries));
+        self.write(Record::ReplaceSuffix(from as u64, entries));
         Ok(())
     }
 
@@ -299,7 +310,7 @@
     }
 
     fn get_decided_idx(&self) -> StorageResult<usize> {
-        Ok(self.kept.borrow().image.decided as usize)
+        Ok(self.state.borrow().snapshot.decided_count as usize)
     }
 
     fn set_accepted_round(&mut self, ballot: Ballot) -> StorageResult<()> {
@@ -308,41 +319,41 @@
     }
 
     fn get_accepted_round(&self) -> StorageResult<Option<Ballot>> {
-        Ok(self.kept.borrow().image.accepted.map(Ballot::from))
+        Ok(self.state.borrow().snapshot.accepted_ballot.map(Ballot::from))
     }
 
     fn get_entries(&self, from: usize, to: usize) -> StorageResult<Vec<Command>> {
-        Ok(self.kept.borrow().image.part(from, to))
+        Ok(self.state.borrow().snapshot.range(from, to))
     }
 
     fn get_log_len(&self) -> StorageResult<usize> {
-        let kept = self.kept.borrow();
-        Ok(kept.image.trimmed as usize + kept.image.log.len())
+        let state = self.state.borrow();
+        Ok(state.snapshot.compacted_count as usize + state.snapshot.entries.len())
     }
 
     fn get_suffix(&self, from: usize) -> StorageResult<Vec<Command>> {
-        Ok(self.kept.borrow().image.part(from, usize::MAX))
+        Ok(self.state.borrow().snapshot.range(from, usize::MAX))
     }
 
     fn get_promise(&self) -> StorageResult<Option<Ballot>> {
-        Ok(self.kept.borrow().image.promised.map(Ballot::from))
+        Ok(self.state.borrow().snapshot.promised_ballot.map(Ballot::from))
     }
 
     fn set_stopsign(&mut self, stop: Option<StopSign>) -> StorageResult<()> {
-        self.write(Record::Ends(stop.map(end)));
+        self.write(Record::StopSign(stop.map(to_stored)));
         Ok(())
     }
 
     fn get_stopsign(&self) -> StorageResult<Option<StopSign>> {
-        Ok(self.kept.borrow().image.ends.clone().map(sign))
+        Ok(self.state.borrow().snapshot.stop_sign.clone().map(from_stored))
     }
 
     fn trim(&mut self, _: usize) -> StorageResult<()> {
-        unused()
+        unsupported()
     }
 
     fn set_compacted_idx(&mut self, _: usize) -> StorageResult<()> {
-        unused()
+        unsupported()
     }
 
     fn get_compacted_idx(&self) -> StorageResult<usize> {
@@ -350,7 +361,7 @@
     }
 
     fn set_snapshot(&mut self, _: Option<NoSnapshots>) -> StorageResult<()> {
-        unused()
+        unsupported()
     }
 
     fn get_snapshot(&self) -> StorageResult<Option<NoSnapshots>> {
--- a/crates/gullcart-group/src/member.rs
+++ b/crates/gullcart-group/src/member.rs
@@ -2,398 +2,437 @@
 //! counts its lease from before each sign of life that the group has heard, on a clock that runs while it sleeps.
 
 use crate::lease::Lease;
-use crate::say::{Ask, View, Watched, MOST_WATCHED};
+use crate::message::{MemberRequest, MemberView, WatchedDuty, MAX_WATCHED_DUTIES};
 use crate::table::Note;
-use crate::vocabulary::{Duty, Epoch, Life, MemberId, Moment, Terms, Words};
+use crate::types::{Duty, Epoch, Incarnation, LeaseTerms, MemberId, Moment, Payload};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// A duty that became free is claimed after a chance part of this: all that want it hear of it at one moment, ...
-const CLAIM_SPREAD: Duration = Duration::from_millis(60);
+const MAX_CLAIM_JITTER: Duration = Duration::from_millis(60);
 /// ... and after so much more for each duty that is held already, so that they spread.
-const CLAIM_HELD: Duration = Duration::from_millis(40);
+const CLAIM_DELAY_PER_HELD_DUTY: Duration = Duration::from_millis(40);
 /// The longest of it.
-const CLAIM_MOST: Duration = Duration::from_millis(400);
+const MAX_HELD_DUTIES_DELAY: Duration = Duration::from_millis(400);
 /// After a claim that was not heard of, or lost against another.
-const CLAIM_AGAIN: Duration = Duration::from_millis(350);
+const CLAIM_RETRY_INTERVAL: Duration = Duration::from_millis(350);
 /// How often a voter is asked how things stand, in leases, and how many of them it may be silent until another is asked.
-const LOOK_LEASES: u32 = 2;
+const REFRESH_LEASES: u32 = 2;
 
 /// Guards of a member that a test can take out.
 #[cfg(feature = "unguarded")]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Unguarded {
+pub struct DisabledGuards {
     /// Those of its lease.
-    pub lease: crate::lease::Unguarded,
+    pub lease: crate::lease::DisabledGuards,
     /// Views are believed in the order in which they come.
-    pub any_view: bool,
+    pub accept_old_views: bool,
 }
 
 /// What a member wants.
 #[derive(Clone, Copy, Debug)]
-struct Want {
+struct RequestedDuty {
     /// When it is claimed, if it is free then; none while somebody has it.
     claim_at: Option<Moment>,
     /// It is not claimed before: it was passed on.
-    rests_until: Moment,
+    yielded_until: Moment,
 }
 
 /// How a duty stands that a member wants, as it was told last.
 #[derive(Clone, Debug, Default)]
-struct Other {
-    grant: Option<(MemberId, Epoch)>,
+struct ObservedDuty {
+    holder: Option<(MemberId, Epoch)>,
     /// What was told of it, and when that was agreed on at the latest.
     note: Option<(Note, Moment)>,
 }
 
 /// What a member holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Held {
+struct HeldDuty {
     epoch: Epoch,
     /// It is being given up.
-    given_up: bool,
+    is_releasing: bool,
 }
 
 /// A member that stopped, for the process that goes on in its place and in its life.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Packed {
+pub struct MemberHandover {
     lease: Lease,
     version: u64,
-    wants: Vec<Duty>,
-    held: BTreeMap<Duty, Held>,
-    is_past: bool,
+    requested_duties: Vec<Duty>,
+    held_duties: BTreeMap<Duty, HeldDuty>,
+    is_superseded: bool,
 }
 
-impl Packed {
+impl MemberHandover {
     /// What it wanted.
-    pub fn wants(&self) -> &[Duty] {
-        &self.wants
+    pub fn requested_duties(&self) -> &[Duty] {
+        &self.requested_duties
     }
 
     /// Whether it can be of this clock: no lease lies so far ahead.
-    fn is_of(&self, now: Moment, terms: &Terms) -> bool {
-        self.lease.until().is_none_or(|until| until <= now + terms.lease)
-            && self.wants.len().max(self.held.len()) <= MOST_WATCHED
+    fn is_plausible(&self, now: Moment, terms: &LeaseTerms) -> bool {
+        self.lease.until().is_none_or(|until| until <= now + terms.duration)
+            && self.requested_duties.len().max(self.held_duties.len()) <= MAX_WATCHED_DUTIES
     }
 }
 
 /// A member of the group: one start of its process.
 pub struct Member {
     me: MemberId,
-    life: Life,
-    terms: Terms,
+    incarnation: Incarnation,
+    terms: LeaseTerms,
     voters: Vec<MemberId>,
     /// Which of them is asked.
-    voter: usize,
+    voter_index: usize,
     rng: fastrand::Rng,
     lease: Lease,
     version: u64,
-    wants: BTreeMap<Duty, Want>,
-    held: BTreeMap<Duty, Held>,
+    requested_duties: BTreeMap<Duty, RequestedDuty>,
+    held_duties: BTreeMap<Duty, HeldDuty>,
     /// Who holds what is wanted, as last told.
-    others: BTreeMap<Duty, Other>,
+    observed_duties: BTreeMap<Duty, ObservedDuty>,
     /// What is to be told of what it holds, until that is agreed on.
-    notes: BTreeMap<Duty, Words>,
-    next_beat: Moment,
-    next_look: Moment,
-    heard: Moment,
+    unpublished_notes: BTreeMap<Duty, Payload>,
+    next_heartbeat: Moment,
+    next_refresh: Moment,
+    last_contact: Moment,
     /// It has been told that a newer start of it exists.
-    is_past: bool,
+    is_superseded: bool,
     #[cfg(feature = "unguarded")]
-    unguarded: Unguarded,
+    disabled_guards: DisabledGuards,
 }
 
 impl Member {
-    /// A member that wants nothing yet.
-    pub fn new(me: MemberId, life: Life, voters: &[MemberId], terms: Terms, seed: u64, now: Moment) -> Self {
+    /// Creates a member that requests no duties yet.
+    pub fn new(
+        me: MemberId,
+        incarnation: Incarnation,
+        voters: &[MemberId],
+        terms: LeaseTerms,
+        seed: u64,
+        now: Moment,
+    ) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         // A voter asks itself; the others spread.
         let own = voters.iter().position(|voter| *voter == me);
-        let voter = own.unwrap_or_else(|| rng.usize(0..voters.len().max(1)));
+        let voter_index = own.unwrap_or_else(|| rng.usize(0..voters.len().max(1)));
         Member {
             me,
-            life,
+            incarnation,
             terms,
             voters: voters.to_vec(),
-            voter,
+            voter_index,
             rng,
-            lease: Lease::new(life),
+            lease: Lease::new(incarnation),
             version: 0,
-            wants: BTreeMap::new(),
-            held: BTreeMap::new(),
-            others: BTreeMap::new(),
-            notes: BTreeMap::new(),
-            next_beat: now,
-            next_look: now,
-            heard: now,
-            is_past: false,
+            requested_duties: BTreeMap::new(),
+            held_duties: BTreeMap::new(),
+            observed_duties: BTreeMap::new(),
+            unpublished_notes: BTreeMap::new(),
+            next_heartbeat: now,
+            next_refresh: now,
+            last_contact: now,
+            is_superseded: false,
             #[cfg(feature = "unguarded")]
-            unguarded: Unguarded::default(),
+            disabled_guards: DisabledGuards::default(),
         }
     }
 
     /// All that it is. It must do nothing after this.
-    pub fn pack(&self) -> Packed {
-        Packed {
+    pub fn hand_over(&self) -> MemberHandover {
+        MemberHandover {
             lease: self.lease.clone(),
             version: self.version,
-            wants: self.wants.keys().cloned().collect(),
-            held: self.held.clone(),
-            is_past: self.is_past,
+            requested_duties: self.requested_duties.keys().cloned().collect(),
+            held_duties: self.held_duties.clone(),
+            is_superseded: self.is_superseded,
         }
     }
 
     /// Goes on as another process that stopped, on the same clock and in the same life; false where it cannot have been that.
     /// It gives a sign of life at once: nobody did meanwhile.
-    pub fn go_on(&mut self, packed: Packed, now: Moment) -> bool {
-        if packed.lease.life() != self.life || !packed.is_of(now, &self.terms) {
+    pub fn resume(&mut self, handover: MemberHandover, now: Moment) -> bool {
+        if handover.lease.incarnation() != self.incarnation || !handover.is_plausible(now, &self.terms) {
             return false;
         }
-        let Packed { lease, version, wants, held, is_past } = packed;
-        (self.lease, self.version, self.held, self.is_past) = (lease, version, held, is_past);
-        for duty in wants {
-            self.want(now, &duty);
+        let MemberHandover { lease, version, requested_duties, held_duties, is_superseded } = handover;
+        self.lease = lease;
+        self.version = version;
+        self.held_duties = held_duties;
+        self.is_superseded = is_superseded;
+        for duty in requested_duties {
+            self.request(now, &duty);
         }
         true
     }
 
     /// Takes some guards out.
     #[cfg(feature = "unguarded")]
-    pub fn without(mut self, unguarded: Unguarded) -> Self {
-        self.lease.guard(unguarded.lease);
-        self.unguarded = unguarded;
+    pub fn with_guards_disabled(mut self, disabled_guards: DisabledGuards) -> Self {
+        self.lease.disable_guards(disabled_guards.lease);
+        self.disabled_guards = disabled_guards;
         self
     }
 
     /// Wants to hold a duty, from now on; false where it wants too many.
-    pub fn want(&mut self, now: Moment, duty: &Duty) -> bool {
-        if self.wants.contains_key(duty) {
+    pub fn request(&mut self, now: Moment, duty: &Duty) -> bool {
+        if self.requested_duties.contains_key(duty) {
             return true;
         }
-        if self.wants.len() >= MOST_WATCHED {
+        if self.requested_duties.len() >= MAX_WATCHED_DUTIES {
             return false;
         }
         let claim_at = Some(self.claim_after(now));
-        self.wants.insert(duty.clone(), Want { claim_at, rests_until: Moment::default() });
-        self.next_look = now;
+        self.requested_duties
+            .insert(duty.clone(), RequestedDuty { claim_at, yielded_until: Moment::default() });
+        self.next_refresh = now;
         true
     }
 
     /// Does not want it any more: gives it up at once where it is held.
-    pub fn give_up(&mut self, now: Moment, duty: &Duty) {
-        self.wants.remove(duty);
-        self.others.remove(duty);
-        self.notes.remove(duty);
-        if let Some(held) = self.held.get_mut(duty) {
-            held.given_up = true;
-            self.next_look = now;
+    pub fn release(&mut self, now: Moment, duty: &Duty) {
+        self.requested_duties.remove(duty);
+        self.observed_duties.remove(duty);
+        self.unpublished_notes.remove(duty);
+        if let Some(held) = self.held_duties.get_mut(duty) {
+            held.is_releasing = true;
+            self.next_refresh = now;
         }
     }
 
     /// Gives it up where it is held, wants to be told of it all the same, and does not claim it for so long.
-    pub fn pass_on(&mut self, now: Moment, duty: &Duty, rest: Duration) {
-        if let Some(want) = self.wants.get_mut(duty) {
-            want.rests_until = now + rest;
-            want.claim_at = want.claim_at.map(|at| at.max(now + rest));
+    pub fn yield_duty(&mut self, now: Moment, duty: &Duty, cooldown: Duration) {
+        if let Some(request) = self.requested_duties.get_mut(duty) {
+            request.yielded_until = now + cooldown;
+            request.claim_at = request.claim_at.map(|at| at.max(now + cooldown));
         }
-        if let Some(held) = self.held.get_mut(duty) {
-            held.given_up = true;
-            self.next_look = now;
+        if let Some(held) = self.held_duties.get_mut(duty) {
+            held.is_releasing = true;
+            self.next_refresh = now;
         }
     }
 
     /// Tells all that want a duty something of it, while it is held.
-    pub fn tell(&mut self, now: Moment, duty: &Duty, words: Words) {
-        let is_new = self.notes.get(duty) != Some(&words);
-        if is_new && self.held.get(duty).is_some_and(|held| !held.given_up) {
-            self.notes.insert(duty.clone(), words);
-            self.next_look = now;
+    pub fn publish_note(&mut self, now: Moment, duty: &Duty, payload: Payload) {
+        let is_new = self.unpublished_notes.get(duty) != Some(&payload);
+        if is_new && self.held_duties.get(duty).is_some_and(|held| !held.is_releasing) {
+            self.unpublished_notes.insert(duty.clone(), payload);
+            self.next_refresh = now;
         }
     }
 
     /// What was told last of a duty that it wants, and when that was agreed on at the latest.
     pub fn note(&self, duty: &Duty) -> Option<(&Note, Moment)> {
-        let (note, at) = self.others.get(duty)?.note.as_ref()?;
+        let (note, at) = self.observed_duties.get(duty)?.note.as_ref()?;
         Some((note, *at))
     }
 
     /// Gives all up: the process ends.
-    pub fn give_all_up(&mut self, now: Moment) {
-        let all: Vec<Duty> = self.wants.keys().chain(self.held.keys()).cloned().collect();
-        all.iter().for_each(|duty| self.give_up(now, duty));
+    pub fn release_all(&mut self, now: Moment) {
+        let all: Vec<Duty> = self.requested_duties.keys().chain(self.held_duties.keys()).cloned().collect();
+        all.iter().for_each(|duty| self.release(now, duty));
     }
 
     /// All that it wants.
-    pub fn wants(&self) -> impl Iterator<Item = &Duty> + '_ {
-        self.wants.keys()
+    pub fn requested_duties(&self) -> impl Iterator<Item = &Duty> + '_ {
+        self.requested_duties.keys()
     }
 
     /// Under which epoch it may act on a duty now. To be asked right before each act.
-    pub fn may_act(&self, now: Moment, duty: &Duty) -> Option<Epoch> {
-        let held = self.held.get(duty).filter(|held| !held.given_up)?;
-        (self.lease.holds(now) && !self.is_past).then_some(held.epoch)
+    pub fn active_epoch(&self, now: Moment, duty: &Duty) -> Option<Epoch> {
+        let held = self.held_duties.get(duty).filter(|held| !held.is_releasing)?;
+        (self.lease.is_valid(now) && !self.is_superseded).then_some(held.epoch)
     }
 
-    /// Until when it may act on what it holds.
-    pub fn lease(&self) -> Option<Moment> {
+    /// When the lease of this member ends.
+    pub fn lease_until(&self) -> Option<Moment> {
         self.lease.until()
     }
 
     /// What it may act on now.
-    pub fn acts_on(&self, now: Moment) -> impl Iterator<Item = (&Duty, Epoch)> + '_ {
-        self.held.keys().filter_map(move |duty| Some((duty, self.may_act(now, duty)?)))
+    pub fn active_duties(&self, now: Moment) -> impl Iterator<Item = (&Duty, Epoch)> + '_ {
+        self.held_duties.keys().filter_map(move |duty| Some((duty, self.active_epoch(now, duty)?)))
     }
 
     /// Who holds a duty that it wants, as last told.
     pub fn holder(&self, duty: &Duty) -> Option<(MemberId, Epoch)> {
-        self.others.get(duty)?.grant
+        self.observed_duties.get(duty)?.holder
     }
 
     /// Whether a newer start of this member exists: this process has no say any more.
-    pub fn is_past(&self) -> bool {
-        self.is_past
+    pub fn is_superseded(&self) -> bool {
+        self.is_superseded
     }
 
     /// When it last heard from the group.
-    pub fn heard(&self) -> Moment {
-        self.heard
+    pub fn last_contact(&self) -> Moment {
+        self.last_contact
     }
 
     /// The group says how things stand.
-    pub fn told(&mut self, now: Moment, view: View) {
-        // A voter that is cut off from the others answers, too, and gets nothing agreed on.
-        let is_stuck = view.version <= self.version
-            && self.lease.waits_since().is_some_and(|at| now - at > self.terms.lease * LOOK_LEASES);
-        if !is_stuck {
-            self.heard = now;
+    pub fn handle_view(&mut self, now: Moment, view: MemberView) {
+        // A voter that is cut off from the others still answers, but gets nothing decided.
+        let is_stalled = view.version <= self.version
+            && self
+                .lease
+                .oldest_unacknowledged()
+                .is_some_and(|at| now - at > self.terms.duration * REFRESH_LEASES);
+        if !is_stalled {
+            self.last_contact = now;
         }
         let is_old = view.version < self.version;
         #[cfg(feature = "unguarded")]
-        let is_old = is_old && !self.unguarded.any_view;
+        let is_old = is_old && !self.disabled_guards.accept_old_views;
         if is_old {
             return;
         }
         self.version = view.version;
-        self.is_past |= view.newest_life.is_some_and(|newest| newest > self.life);
-        self.lease.told(now, view.session, &self.terms);
-        let before = std::mem::take(&mut self.held);
-        for (duty, life, epoch) in view.holds.into_iter().filter(|(_, life, _)| *life == self.life) {
-            debug_assert_eq!(life, self.life);
+        self.is_superseded |= view.newest_incarnation.is_some_and(|newest| newest > self.incarnation);
+        self.lease.acknowledge(now, view.session, &self.terms);
+        let before = std::mem::take(&mut self.held_duties);
+        for (duty, incarnation, epoch) in
+            view.held_duties.into_iter().filter(|(_, incarnation, _)| *incarnation == self.incarnation)
+        {
+            debug_assert_eq!(incarnation, self.incarnation);
             let known = before.get(&duty).filter(|held| held.epoch == epoch);
-            // Granted though it is not wanted any more: it goes back.
-            let given_up = known.is_some_and(|held| held.given_up) || !self.wants.contains_key(&duty);
-            if given_up {
-                self.next_look = self.next_look.min(now + CLAIM_AGAIN);
+            // A duty that was granted after its request was withdrawn is released again.
+            let is_releasing =
+                known.is_some_and(|held| held.is_releasing) || !self.requested_duties.contains_key(&duty);
+            if is_releasing {
+                self.next_refresh = self.next_refresh.min(now + CLAIM_RETRY_INTERVAL);
             }
-            self.held.insert(duty, Held { epoch, given_up });
+            self.held_duties.insert(duty, HeldDuty { epoch, is_releasing });
         }
-        for Watched { duty, grant, note } in view.watched {
-            let Some(Want { claim_at, rests_until }) = self.wants.get(&duty).copied() else { continue };
+        for WatchedDuty { duty, grant, note } in view.watched_duties {
+            let Some(RequestedDuty { claim_at, yielded_until }) = self.requested_duties.get(&duty).copied()
+            else {
+                continue;
+            };
             let claim_at = match grant {
-                None => claim_at.or_else(|| Some(self.claim_after(now).max(rests_until))),
+                None => claim_at.or_else(|| Some(self.claim_after(now).max(yielded_until))),
                 Some(_) => None,
             };
-            let other = self.others.entry(duty.clone()).or_default();
-            other.grant = grant.map(|grant| (grant.holder, grant.epoch));
+            let observed = self.observed_duties.entry(duty.clone()).or_default();
+            observed.holder = grant.map(|grant| (grant.holder, grant.epoch));
             if let Some((note, ago_us)) = note {
                 // Each voter counts from when it saw it, so that the earliest of what was said is nearest.
                 let at = Moment(now.0.saturating_sub(ago_us));
-                let known = other.note.as_ref().filter(|(known, _)| *known == note).map(|(_, at)| *at);
-                other.note = Some((note, known.map_or(at, |known| known.min(at))));
+                let known = observed.note.as_ref().filter(|(known, _)| *known == note).map(|(_, at)| *at);
+                observed.note = Some((note, known.map_or(at, |known| known.min(at))));
             }
-            self.wants.insert(duty, Want { claim_at, rests_until });
+            self.requested_duties.insert(duty, RequestedDuty { claim_at, yielded_until });
         }
         // What is agreed on is not said again, nor what cannot be any more.
-        let (held, others) = (&self.held, &self.others);
-        self.notes.retain(|duty, words| {
-            let told = others.get(duty).and_then(|other| other.note.as_ref()).map(|(note, _)| note);
-            held.get(duty).is_some_and(|held| {
-                !told.is_some_and(|note| note.epoch == held.epoch && note.words == *words)
+        let (held_duties, observed_duties) = (&self.held_duties, &self.observed_duties);
+        self.unpublished_notes.retain(|duty, payload| {
+            let decided =
+                observed_duties.get(duty).and_then(|observed| observed.note.as_ref()).map(|(note, _)| note);
+            held_duties.get(duty).is_some_and(|held| {
+                !decided.is_some_and(|note| note.epoch == held.epoch && note.payload == *payload)
             })
         });
     }
 
     fn claim_after(&mut self, now: Moment) -> Moment {
-        let held = u32::try_from(self.held.len()).unwrap_or(u32::MAX);
-        let wait = CLAIM_SPREAD.mul_f64(self.rng.f64()) + CLAIM_HELD.saturating_mul(held).min(CLAIM_MOST);
-        now + wait
+        let held_count = u32::try_from(self.held_duties.len()).unwrap_or(u32::MAX);
+        let jitter = MAX_CLAIM_JITTER.mul_f64(self.rng.f64());
+        now + (jitter + CLAIM_DELAY_PER_HELD_DUTY.saturating_mul(held_count).min(MAX_HELD_DUTIES_DELAY))
     }
 
     /// When the next turn is due, if nothing happens before.
-    pub fn next_turn(&self) -> Option<Moment> {
-        if self.wants.is_empty() && self.held.is_empty() {
+    pub fn next_poll(&self) -> Option<Moment> {
+        if self.requested_duties.is_empty() && self.held_duties.is_empty() {
             return None;
         }
-        let beat = (!self.held.is_empty()).then_some(self.next_beat);
-        let claims = self.wants.values().filter_map(|want| want.claim_at);
-        claims.chain(beat).chain([self.next_look]).min()
+        let heartbeat = (!self.held_duties.is_empty()).then_some(self.next_heartbeat);
+        let claims = self.requested_duties.values().filter_map(|request| request.claim_at);
+        claims.chain(heartbeat).chain([self.next_refresh]).min()
     }
 
     /// Lets time pass; what it asks, and of which voter.
-    pub fn turn(&mut self, now: Moment) -> Option<(MemberId, Ask)> {
-        if self.next_turn().is_none_or(|due| due > now) || self.voters.is_empty() || self.is_past {
+    pub fn poll(&mut self, now: Moment) -> Option<(MemberId, MemberRequest)> {
+        if self.next_poll().is_none_or(|due| due > now) || self.voters.is_empty() || self.is_superseded {
             return None;
         }
-        if now - self.heard > self.terms.lease * LOOK_LEASES {
+        if now - self.last_contact > self.terms.duration * REFRESH_LEASES {
             // That one is gone, or cannot be reached from here.
-            self.voter = (self.voter + 1) % self.voters.len();
-            self.heard = now;
+            self.voter_index = (self.voter_index + 1) % self.voters.len();
+            self.last_contact = now;
             // What that one was told is told again.
-            self.lease.forget_sent();
+            self.lease.clear_unacknowledged();
         }
-        let claim = self
-            .wants
-            .iter()
-            .find(|(duty, want)| want.claim_at.is_some_and(|at| at <= now) && !self.held.contains_key(*duty));
+        let claim = self.requested_duties.iter().find(|(duty, request)| {
+            request.claim_at.is_some_and(|at| at <= now) && !self.held_duties.contains_key(*duty)
+        });
         let claim = claim.map(|(duty, _)| duty.clone());
-        if let Some(want) = claim.as_ref().and_then(|duty| self.wants.get_mut(duty)) {
-            let again = CLAIM_AGAIN.mul_f64(1.0 + self.rng.f64());
-            want.claim_at = Some(now + again);
+        if let Some(request) = claim.as_ref().and_then(|duty| self.requested_duties.get_mut(duty)) {
+            let retry_after = CLAIM_RETRY_INTERVAL.mul_f64(1.0 + self.rng.f64());
+            request.claim_at = Some(now + retry_after);
         }
-        for (duty, want) in &mut self.wants {
-            if self.held.contains_key(duty) {
-                want.claim_at = None;
+        for (duty, request) in &mut self.requested_duties {
+            if self.held_duties.contains_key(duty) {
+                request.claim_at = None;
             }
         }
-        let beat = (claim.is_some() || !self.held.is_empty()).then(|| self.lease.give(now));
-        if beat.is_some() {
-            self.next_beat = now + self.terms.beat();
+        let heartbeat =
+            (claim.is_some() || !self.held_duties.is_empty()).then(|| self.lease.record_heartbeat(now));
+        if heartbeat.is_some() {
+            self.next_heartbeat = now + self.terms.heartbeat_interval();
         }
-        let look = self.terms.lease * LOOK_LEASES;
-        self.next_look = now + look.mul_f64(0.75 + 0.5 * self.rng.f64());
-        let given_up = self.held.iter().filter(|(_, held)| held.given_up);
-        let releases: Vec<_> = given_up.map(|(duty, held)| (duty.clone(), held.epoch)).collect();
+        let refresh_interval = self.terms.duration * REFRESH_LEASES;
+        self.next_refresh = now + refresh_interval.mul_f64(0.75 + 0.5 * self.rng.f64());
+        let releasing = self.held_duties.iter().filter(|(_, held)| held.is_releasing);
+        let releases: Vec<_> = releasing.map(|(duty, held)| (duty.clone(), held.epoch)).collect();
         if !releases.is_empty() {
-            self.next_look = now + self.terms.beat();
+            self.next_refresh = now + self.terms.heartbeat_interval();
         }
-        let watches = self.wants.keys().cloned().collect();
-        let noted = |(duty, words): (&Duty, &Words)| {
-            let held = self.held.get(duty)?;
-            Some((duty.clone(), held.epoch, words.clone()))
+        let watched_duties = self.requested_duties.keys().cloned().collect();
+        let with_epoch = |(duty, payload): (&Duty, &Payload)| {
+            let held = self.held_duties.get(duty)?;
+            Some((duty.clone(), held.epoch, payload.clone()))
         };
-        let notes: Vec<_> = self.notes.iter().filter_map(noted).collect();
+        let notes: Vec<_> = self.unpublished_notes.iter().filter_map(with_epoch).collect();
         if !notes.is_empty() {
-            self.next_look = now + self.terms.beat();
+            self.next_refresh = now + self.terms.heartbeat_interval();
         }
-        let ask = Ask { life: self.life, beat, claim, releases, notes, watches };
-        Some((self.voters[self.voter], ask))
+        let request = MemberRequest {
+            incarnation: self.incarnation,
+            heartbeat,
+            claim,
+            releases,
+            notes,
+            watched_duties,
+        };
+        Some((self.voters[self.voter_index], request))
     }
 
     /// How it stands, for a look.
-    pub fn standing(&self) -> String {
+    pub fn debug_state(&self) -> String {
         let Member {
-            lease, wants, held, others, next_beat, next_look, heard, is_past, voter, version, ..
+            lease,
+            requested_duties,
+            held_duties,
+            observed_duties,
+            next_heartbeat,
+            next_refresh,
+            last_contact,
+            is_superseded,
+            voter_index,
+            version,
+            ..
         } = self;
         format!(
-            "asks {voter}, version {version}, past {is_past}, heard {heard:?}, beat {next_beat:?}, look {next_look:?}, \
-             {lease:?}, wants {wants:?}, holds {held:?}, others {others:?}"
+                        "voter index {voter_index}, version {version}, superseded {is_superseded}, last contact {last_contact:?}, \
+                         next heartbeat {next_heartbeat:?}, next refresh {next_refresh:?}, {lease:?}, requested {requested_duties:?}, \
+                         held {held_duties:?}, observed {observed_duties:?}"
         )
     }
 
     /// Whether it holds nothing and wants nothing.
-    pub fn is_free(&self) -> bool {
-        self.wants.is_empty() && self.held.is_empty()
+    pub fn is_idle(&self) -> bool {
+        self.requested_duties.is_empty() && self.held_duties.is_empty()
     }
 
     /// Who it is.
--- a/crates/gullcart-group/src/say.rs
+++ b/crates/gullcart-group/src/message.rs
@@ -1,50 +1,50 @@
 //! What members say to each other. Everything that comes from outside is checked before it is listened to.
 
-use crate::log::Image;
-use crate::order::Stamp;
+use crate::log::VoterSnapshot;
+use crate::message_order::MessageStamp;
 use crate::table::{Command, Grant, Note, Session};
-use crate::vocabulary::{Beat, Duty, Epoch, Life, MemberId, Words};
+use crate::types::{Duty, Epoch, HeartbeatNumber, Incarnation, MemberId, Payload};
 use omnipaxos::messages::Message;
 use serde::{Deserialize, Serialize};
 
 /// Duties that one member watches, or holds, at most.
-pub const MOST_WATCHED: usize = 1024;
+pub const MAX_WATCHED_DUTIES: usize = 1024;
 
 /// What a member asks of a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct MemberRequest {
     /// In which start of its process.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// A sign of life, where it holds or claims something.
-    pub beat: Option<Beat>,
+    pub heartbeat: Option<HeartbeatNumber>,
     /// What it claims with that sign of life.
     pub claim: Option<Duty>,
     /// What it gives up.
     pub releases: Vec<(Duty, Epoch)>,
     /// What it tells of duties that it holds.
-    pub notes: Vec<(Duty, Epoch, Words)>,
+    pub notes: Vec<(Duty, Epoch, Payload)>,
     /// What it wants to be told of.
-    pub watches: Vec<Duty>,
+    pub watched_duties: Vec<Duty>,
 }
 
 /// How the agreed table stands for one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct View {
+pub struct MemberView {
     /// How many commands the table comes from: one that is behind another says nothing new.
     pub version: u64,
     /// Its session.
     pub session: Option<Session>,
     /// The newest life of it that was heard of.
-    pub newest_life: Option<Life>,
+    pub newest_incarnation: Option<Incarnation>,
     /// What it holds, in whatever life.
-    pub holds: Vec<(Duty, Life, Epoch)>,
+    pub held_duties: Vec<(Duty, Incarnation, Epoch)>,
     /// How what it watches stands.
-    pub watched: Vec<Watched>,
+    pub watched_duties: Vec<WatchedDuty>,
 }
 
 /// How a duty stands that a member watches.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Watched {
+pub struct WatchedDuty {
     /// Which.
     pub duty: Duty,
     /// Who holds it.
@@ -56,61 +56,62 @@
 
 /// What one process says to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Say {
+pub enum PeerMessage {
     /// A voter to another one: the library's own words.
-    Vote(Stamp, Box<Message<Command>>),
+    Consensus(MessageStamp, Box<Message<Command>>),
     /// A voter to one that lacks what is no longer kept one by one: all that it keeps.
-    Base(Stamp, Box<Image>),
+    Snapshot(MessageStamp, Box<VoterSnapshot>),
     /// A voter to one that spoke to another run of it: which one there is.
-    Here(Stamp),
+    CurrentRun(MessageStamp),
     /// A member to a voter.
-    Ask(Ask),
+    Request(MemberRequest),
     /// A voter to a member.
-    View(View),
+    View(MemberView),
 }
 
 /// Why something is not listened to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
-    /// It is not from whom it says, or not for who got it.
-    #[error("it names another sender or receiver")]
+pub enum MessageError {
+    /// The sender or receiver named in the message differs from the actual one.
+    #[error("the message names another sender or receiver")]
     Address,
-    /// It asks for more than anybody needs.
-    #[error("it is too long")]
-    Length,
-    /// It is for voters alone.
-    #[error("it is for voters, or from one")]
-    Voter,
+    /// A list in the message is longer than any member needs.
+    #[error("the message is too long")]
+    TooLong,
+    /// Only voters may send or receive this message.
+    #[error("the message is only valid from or to a voter")]
+    NotVoter,
 }
 
-impl Say {
+impl PeerMessage {
     /// Checks what came from a member that is known to be that one.
-    pub fn check(&self, from: MemberId, to: MemberId, voters: &[MemberId]) -> Result<(), Refused> {
+    pub fn check(&self, from: MemberId, to: MemberId, voters: &[MemberId]) -> Result<(), MessageError> {
         match self {
-            Say::Vote(_, message) => {
+            PeerMessage::Consensus(_, message) => {
                 if !(voters.contains(&from) && voters.contains(&to)) {
-                    return Err(Refused::Voter);
+                    return Err(MessageError::NotVoter);
                 }
-                let honest = message.get_sender() == from.0 && message.get_receiver() == to.0;
-                honest.then_some(()).ok_or(Refused::Address)
+                let is_addressed = message.get_sender() == from.0 && message.get_receiver() == to.0;
+                is_addressed.then_some(()).ok_or(MessageError::Address)
             }
-            Say::Base(..) | Say::Here(..) => {
-                let both = voters.contains(&from) && voters.contains(&to);
-                both.then_some(()).ok_or(Refused::Voter)
+            PeerMessage::Snapshot(..) | PeerMessage::CurrentRun(..) => {
+                let are_voters = voters.contains(&from) && voters.contains(&to);
+                are_voters.then_some(()).ok_or(MessageError::NotVoter)
             }
-            Say::Ask(ask) => {
+            PeerMessage::Request(request) => {
                 if !voters.contains(&to) {
-                    return Err(Refused::Voter);
+                    return Err(MessageError::NotVoter);
                 }
-                let most = ask.watches.len().max(ask.releases.len()).max(ask.notes.len());
-                (most <= MOST_WATCHED).then_some(()).ok_or(Refused::Length)
+                let length =
+                    request.watched_duties.len().max(request.releases.len()).max(request.notes.len());
+                (length <= MAX_WATCHED_DUTIES).then_some(()).ok_or(MessageError::TooLong)
             }
-            Say::View(view) => {
+            PeerMessage::View(view) => {
                 if !voters.contains(&from) {
-                    return Err(Refused::Voter);
+                    return Err(MessageError::NotVoter);
                 }
-                let most = view.holds.len().max(view.watched.len());
-                (most <= 2 * MOST_WATCHED).then_some(()).ok_or(Refused::Length)
+                let length = view.held_duties.len().max(view.watched_duties.len());
+                (length <= 2 * MAX_WATCHED_DUTIES).then_some(()).ok_or(MessageError::TooLong)
             }
         }
     }
--- a/crates/gullcart-group/src/node.rs
+++ b/crates/gullcart-group/src/node.rs
@@ -1,20 +1,20 @@
 //! One process of the group: a member, and a voter where it is one.
 
-use crate::log::{Image, Record};
-use crate::member::{Member, Packed};
-use crate::order::{Heard, Order, Run};
-use crate::pace::Pace;
-use crate::say::{Refused, Say};
+use crate::log::{Record, VoterSnapshot};
+use crate::member::{Member, MemberHandover};
+use crate::message::{MessageError, PeerMessage};
+use crate::message_order::{MessageOrder, Reception, RunId};
+use crate::retry_pacer::RetryPacer;
 use crate::table::Table;
-use crate::vocabulary::{MemberId, Moment, Terms};
+use crate::types::{LeaseTerms, MemberId, Moment};
 use crate::voter::{Voter, VoterError};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 /// Before the same voter is told again which run there is.
-const HERE_AGAIN: Duration = Duration::from_millis(50);
+const RUN_NOTICE_INTERVAL: Duration = Duration::from_millis(50);
 /// Rounds in which a voter and its own member answer each other within a turn.
-const ROUNDS: usize = 4;
+const MAX_LOCAL_ROUNDS: usize = 4;
 
 /// What is to be done, in this order: records kept for good, then messages sent. Where records cannot be kept nothing may be
 /// sent, and the node must be made anew from what was kept ([`Node::halt`] until then).
@@ -23,7 +23,7 @@
     /// To be kept.
     pub records: Vec<Record>,
     /// To others.
-    pub messages: Vec<(MemberId, Say)>,
+    pub messages: Vec<(MemberId, PeerMessage)>,
 }
 
 /// One process.
@@ -33,38 +33,38 @@
     /// Who asks and holds.
     pub member: Member,
     voter: Option<Voter>,
-    order: Order,
+    order: MessageOrder,
     /// Voters that spoke to another run of this one.
-    elsewhere: BTreeSet<MemberId>,
-    told: Pace<MemberId>,
+    wrong_run_senders: BTreeSet<MemberId>,
+    run_notice_pacer: RetryPacer<MemberId>,
     #[cfg(feature = "unguarded")]
-    hears_late_words: bool,
+    accepts_late_messages: bool,
 }
 
 impl Node {
     /// A process in a run of its own; it votes where it is one of the voters and has what it kept.
     pub fn new(
         me: MemberId,
-        run: Run,
+        run: RunId,
         voters: &[MemberId],
-        terms: Terms,
-        kept: Option<Image>,
+        terms: LeaseTerms,
+        stored: Option<VoterSnapshot>,
         seed: u64,
         now: Moment,
     ) -> Result<Self, VoterError> {
-        let voter = kept.filter(|_| voters.contains(&me));
-        let voter = voter.map(|image| Voter::new(me, voters, terms, image, now)).transpose()?;
-        let member = Member::new(me, run.life, voters, terms, seed, now);
+        let voter = stored.filter(|_| voters.contains(&me));
+        let voter = voter.map(|snapshot| Voter::new(me, voters, terms, snapshot, now)).transpose()?;
+        let member = Member::new(me, run.incarnation, voters, terms, seed, now);
         Ok(Node {
             me,
             voters: voters.to_vec(),
             member,
             voter,
-            order: Order::new(run),
-            elsewhere: BTreeSet::new(),
-            told: Pace::new(HERE_AGAIN),
+            order: MessageOrder::new(run),
+            wrong_run_senders: BTreeSet::new(),
+            run_notice_pacer: RetryPacer::new(RUN_NOTICE_INTERVAL),
             #[cfg(feature = "unguarded")]
-            hears_late_words: false,
+            accepts_late_messages: false,
         })
     }
 
@@ -89,111 +89,132 @@
     }
 
     /// Votes no more: what it promised last cannot be kept.
-    pub fn halt(&mut self) {
+    pub fn stop_voting(&mut self) {
         self.voter = None;
     }
 
-    /// Votes again, from what was kept.
-    pub fn vote_again(&mut self, terms: Terms, image: Image, now: Moment) -> Result<(), VoterError> {
-        self.voter = Some(Voter::new(self.me, &self.voters, terms, image, now)?);
-        self.order.begin_anew();
+    /// Starts voting from persisted state, which is empty if this member has never voted.
+    pub fn start_voting(
+        &mut self,
+        terms: LeaseTerms,
+        snapshot: VoterSnapshot,
+        now: Moment,
+    ) -> Result<(), VoterError> {
+        self.voter = Some(Voter::new(self.me, &self.voters, terms, snapshot, now)?);
+        self.order.restart();
         Ok(())
     }
 
     /// Goes on at once in the place and in the life of a process that stopped for it; false where it cannot have been that one.
-    pub fn go_on(&mut self, packed: Packed, now: Moment) -> bool {
-        let goes_on = self.member.go_on(packed, now);
-        if let Some(voter) = self.voter.as_mut().filter(|_| goes_on) {
-            voter.go_on();
+    pub fn resume(&mut self, handover: MemberHandover, now: Moment) -> bool {
+        let is_resumed = self.member.resume(handover, now);
+        if let Some(voter) = self.voter.as_mut().filter(|_| is_resumed) {
+            voter.resume_leadership();
         }
-        goes_on
+        is_resumed
     }
 
-    /// Something came from a member that is known to be that one.
-    pub fn hear(&mut self, now: Moment, from: MemberId, say: Say) -> Result<(), Refused> {
-        say.check(from, self.me, &self.voters)?;
-        if let (Say::Vote(stamp, _) | Say::Base(stamp, _) | Say::Here(stamp), Some(_)) = (&say, &self.voter) {
-            let heard = self.order.hear(from, *stamp);
-            if heard == Heard::Elsewhere {
-                self.elsewhere.insert(from);
+    /// Handles a message from another member, whose identity has been verified.
+    pub fn handle_message(
+        &mut self,
+        now: Moment,
+        from: MemberId,
+        message: PeerMessage,
+    ) -> Result<(), MessageError> {
+        message.check(from, self.me, &self.voters)?;
+        if let (
+            PeerMessage::Consensus(stamp, _)
+            | PeerMessage::Snapshot(stamp, _)
+            | PeerMessage::CurrentRun(stamp),
+            Some(_),
+        ) = (&message, &self.voter)
+        {
+            let reception = self.order.receive(from, *stamp);
+            if reception == Reception::WrongRun {
+                self.wrong_run_senders.insert(from);
             }
-            if heard != Heard::InOrder && !self.is_order_left() {
+            if reception != Reception::InOrder && !self.is_order_disabled() {
                 return Ok(());
             }
         }
-        match (say, &mut self.voter) {
-            (Say::Vote(_, message), Some(voter)) => voter.vote(*message),
-            (Say::Base(_, image), Some(voter)) => match voter.install(now, *image) {
-                Ok(true) => self.order.begin_anew(),
+        match (message, &mut self.voter) {
+            (PeerMessage::Consensus(_, message), Some(voter)) => voter.handle_consensus(*message),
+            (PeerMessage::Snapshot(_, snapshot), Some(voter)) => match voter.install_snapshot(now, *snapshot)
+            {
+                Ok(true) => self.order.restart(),
                 Ok(false) => {}
                 // Only the voters of this group are let in, and with them it can go on.
                 Err(_) => self.voter = None,
             },
-            (Say::Ask(ask), Some(voter)) => voter.ask(now, from, ask),
-            (Say::View(view), _) => self.member.told(now, view),
+            (PeerMessage::Request(request), Some(voter)) => voter.handle_request(now, from, request),
+            (PeerMessage::View(view), _) => self.member.handle_view(now, view),
             // It votes no more, or was only told that somebody is there.
-            (Say::Here(_), _) | (_, None) => {}
+            (PeerMessage::CurrentRun(_), _) | (_, None) => {}
         }
         Ok(())
     }
 
-    fn is_order_left(&self) -> bool {
+    fn is_order_disabled(&self) -> bool {
         #[cfg(feature = "unguarded")]
-        return self.hears_late_words;
+        return self.accepts_late_messages;
         #[cfg(not(feature = "unguarded"))]
         false
     }
 
     /// Takes the order of words out.
     #[cfg(feature = "unguarded")]
-    pub fn hear_late_words(&mut self, hears: bool) {
-        self.hears_late_words = hears;
+    pub fn accept_late_messages(&mut self, accepts: bool) {
+        self.accepts_late_messages = accepts;
     }
 
     /// When the next turn is due, if nothing comes before.
-    pub fn next_turn(&self) -> Option<Moment> {
-        let voter = self.voter.as_ref().map(Voter::next_turn);
-        [voter, self.member.next_turn()].into_iter().flatten().min()
+    pub fn next_poll(&self) -> Option<Moment> {
+        let voter = self.voter.as_ref().map(Voter::next_poll);
+        [voter, self.member.next_poll()].into_iter().flatten().min()
     }
 
     /// Lets time pass, and hands out what is to be done.
-    pub fn turn(&mut self, now: Moment) -> Output {
+    pub fn poll(&mut self, now: Moment) -> Output {
         let mut output = Output::default();
-        for _ in 0..ROUNDS {
-            let asked = self.member.turn(now);
-            let is_idle = asked.is_none();
-            if let Some((to, ask)) = asked {
+        for _ in 0..MAX_LOCAL_ROUNDS {
+            let request = self.member.poll(now);
+            let is_idle = request.is_none();
+            if let Some((to, request)) = request {
                 match &mut self.voter {
-                    Some(voter) if to == self.me => voter.ask(now, to, ask),
-                    _ => output.messages.push((to, Say::Ask(ask))),
+                    Some(voter) if to == self.me => voter.handle_request(now, to, request),
+                    _ => output.messages.push((to, PeerMessage::Request(request))),
                 }
             }
             let Some(voter) = &mut self.voter else { break };
-            let done = voter.turn(now);
-            output.records.extend(done.records);
+            let result = voter.poll(now);
+            output.records.extend(result.records);
             let order = &mut self.order;
-            let votes = done.votes.into_iter();
-            output.messages.extend(votes.map(|(to, vote)| (to, Say::Vote(order.stamp(to), Box::new(vote)))));
-            let bases = done.bases.into_iter();
-            output
-                .messages
-                .extend(bases.map(|(to, image)| (to, Say::Base(order.stamp(to), Box::new(image)))));
-            let mut told = false;
-            for (to, view) in done.views {
+            let consensus = result.consensus_messages.into_iter();
+            output.messages.extend(
+                consensus
+                    .map(|(to, message)| (to, PeerMessage::Consensus(order.stamp(to), Box::new(message)))),
+            );
+            let snapshots = result.snapshots.into_iter();
+            output.messages.extend(
+                snapshots
+                    .map(|(to, snapshot)| (to, PeerMessage::Snapshot(order.stamp(to), Box::new(snapshot)))),
+            );
+            let mut has_own_view = false;
+            for (to, view) in result.views {
                 if to == self.me {
-                    told = true;
-                    self.member.told(now, view);
+                    has_own_view = true;
+                    self.member.handle_view(now, view);
                 } else {
-                    output.messages.push((to, Say::View(view)));
+                    output.messages.push((to, PeerMessage::View(view)));
                 }
             }
-            if is_idle && !told {
+            if is_idle && !has_own_view {
                 break;
             }
         }
-        for to in std::mem::take(&mut self.elsewhere) {
-            if self.voter.is_some() && self.told.is_due(now, to) {
-                output.messages.push((to, Say::Here(self.order.stamp(to))));
+        for to in std::mem::take(&mut self.wrong_run_senders) {
+            if self.voter.is_some() && self.run_notice_pacer.is_due(now, to) {
+                output.messages.push((to, PeerMessage::CurrentRun(self.order.stamp(to))));
             }
         }
         // To itself it says nothing over the network.
--- a/crates/gullcart-group/src/table.rs
+++ b/crates/gullcart-group/src/table.rs
@@ -5,28 +5,28 @@
 //! says what it was proposed on, and does nothing where that is no longer so. A stretch of commands that is taken in once more
 //! from its beginning to the last one changes nothing: the library does that where it joins what it compacted.
 
-use crate::vocabulary::{Beat, Duty, Epoch, Life, MemberId, Words};
+use crate::types::{Duty, Epoch, HeartbeatNumber, Incarnation, MemberId, Payload};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Members that are remembered, and duties that are held, at most.
-pub const MOST_MEMBERS: usize = 1024;
+pub const MAX_MEMBERS: usize = 1024;
 /// Duties held at a time at most.
-pub const MOST_DUTIES: usize = 16_384;
+pub const MAX_DUTIES: usize = 16_384;
 /// Duties of which something was told, at most.
-const MOST_NOTES: usize = 1024;
+const MAX_NOTES: usize = 1024;
 
 /// What is agreed on, one after the other.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Command {
     /// A member gave a sign of life, and wants to hold its duties on, or to claim one.
-    Beat {
+    Heartbeat {
         /// Who.
         member: MemberId,
         /// In which start of its process.
-        life: Life,
+        incarnation: Incarnation,
         /// Its number, higher than those before.
-        beat: Beat,
+        heartbeat: HeartbeatNumber,
         /// What it asks for with it.
         claim: Option<Duty>,
     },
@@ -35,7 +35,7 @@
         /// Who.
         member: MemberId,
         /// In which life.
-        life: Life,
+        incarnation: Incarnation,
         /// Which.
         duty: Duty,
         /// As it was granted.
@@ -46,22 +46,22 @@
         /// Who.
         member: MemberId,
         /// In which life.
-        life: Life,
+        incarnation: Incarnation,
         /// Of which.
         duty: Duty,
         /// As it was granted.
         epoch: Epoch,
         /// What.
-        words: Words,
+        payload: Payload,
     },
     /// A voter has not heard from a member for longer than its lease since this sign of life.
     Expire {
         /// Who.
         member: MemberId,
         /// In which life.
-        life: Life,
+        incarnation: Incarnation,
         /// Its last sign of life that the voter knows of.
-        beat: Beat,
+        heartbeat: HeartbeatNumber,
     },
 }
 
@@ -69,9 +69,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Session {
     /// In which life.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// The last sign of life.
-    pub beat: Beat,
+    pub heartbeat: HeartbeatNumber,
 }
 
 /// A duty that is held.
@@ -80,7 +80,7 @@
     /// By whom.
     pub holder: MemberId,
     /// In which life.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// Under which epoch.
     pub epoch: Epoch,
 }
@@ -91,35 +91,35 @@
     /// Under which epoch.
     pub epoch: Epoch,
     /// What.
-    pub words: Words,
+    pub payload: Payload,
 }
 
 /// Guards of the table that a test can take out.
 #[cfg(feature = "unguarded")]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Unguarded {
+pub struct DisabledGuards {
     /// A lease ends though signs of life came after the one it is to have ended with.
-    pub expires_whatever_came_since: bool,
+    pub expire_despite_newer_heartbeat: bool,
     /// A new life takes over what the one before holds.
-    pub new_life_inherits: bool,
+    pub new_incarnation_inherits: bool,
     /// A duty that is held is granted to who claims it.
-    pub grants_what_is_held: bool,
+    pub grant_held_duties: bool,
     /// Epochs begin anew when a duty was given up.
-    pub epochs_begin_anew: bool,
+    pub reset_epochs: bool,
     /// Who held a duty once is listened to.
-    pub listens_to_past_holders: bool,
+    pub accept_notes_of_past_holders: bool,
 }
 
 /// The agreed table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Table {
     /// The last epoch that was granted.
-    epoch: Epoch,
+    last_epoch: Epoch,
     /// The newest life of each member, and its last sign of life: older ones are never listened to again.
-    lives: BTreeMap<MemberId, Session>,
+    latest_sessions: BTreeMap<MemberId, Session>,
     /// Members that may hold something.
     sessions: BTreeMap<MemberId, Session>,
-    duties: BTreeMap<Duty, Grant>,
+    grants: BTreeMap<Duty, Grant>,
     notes: BTreeMap<Duty, Note>,
 }
 
@@ -135,13 +135,13 @@
     }
 
     /// The newest life that was heard of.
-    pub fn newest_life(&self, member: MemberId) -> Option<Life> {
-        self.lives.get(&member).map(|session| session.life)
+    pub fn newest_incarnation(&self, member: MemberId) -> Option<Incarnation> {
+        self.latest_sessions.get(&member).map(|session| session.incarnation)
     }
 
     /// Who holds a duty.
     pub fn grant(&self, duty: &Duty) -> Option<Grant> {
-        self.duties.get(duty).copied()
+        self.grants.get(duty).copied()
     }
 
     /// What was told last of a duty.
@@ -151,7 +151,7 @@
 
     /// All that is held.
     pub fn grants(&self) -> impl Iterator<Item = (&Duty, Grant)> + '_ {
-        self.duties.iter().map(|(duty, grant)| (duty, *grant))
+        self.grants.iter().map(|(duty, grant)| (duty, *grant))
     }
 
     /// Takes in what was agreed on next; duties that have another holder, or none, or of which something was told by it.
@@ -159,80 +159,80 @@
         self.apply_guarded(
             command,
             #[cfg(feature = "unguarded")]
-            Unguarded::default(),
+            DisabledGuards::default(),
         )
     }
 
     /// The same, without some guards.
     #[cfg(feature = "unguarded")]
-    pub fn apply_without(&mut self, command: &Command, unguarded: Unguarded) {
-        self.apply_guarded(command, unguarded);
+    pub fn apply_unguarded(&mut self, command: &Command, disabled: DisabledGuards) {
+        self.apply_guarded(command, disabled);
     }
 
     fn apply_guarded(
         &mut self,
         command: &Command,
-        #[cfg(feature = "unguarded")] unguarded: Unguarded,
+        #[cfg(feature = "unguarded")] disabled: DisabledGuards,
     ) -> Vec<Duty> {
         let mut changed = Vec::new();
         match command {
-            Command::Beat { member, life, beat, claim } => {
-                let now = Session { life: *life, beat: *beat };
+            Command::Heartbeat { member, incarnation, heartbeat, claim } => {
+                let current = Session { incarnation: *incarnation, heartbeat: *heartbeat };
                 // An older life, or a sign of life that newer ones have passed.
-                if self.lives.get(member).is_some_and(|newest| now <= *newest) {
+                if self.latest_sessions.get(member).is_some_and(|newest| current <= *newest) {
                     return changed;
                 }
-                if self.lives.len() >= MOST_MEMBERS && !self.lives.contains_key(member) {
+                if self.latest_sessions.len() >= MAX_MEMBERS && !self.latest_sessions.contains_key(member) {
                     return changed;
                 }
-                self.lives.insert(*member, now);
-                let session = self.sessions.entry(*member).or_insert(now);
+                self.latest_sessions.insert(*member, current);
+                let session = self.sessions.entry(*member).or_insert(current);
                 // The process before may not know that it is over. What it holds stays its own until its lease has run out,
                 // which nothing renews from now on.
                 #[cfg(feature = "unguarded")]
-                if unguarded.new_life_inherits && session.life < now.life {
-                    session.life = now.life;
-                    for grant in self.duties.values_mut().filter(|grant| grant.holder == *member) {
-                        grant.life = now.life;
+                if disabled.new_incarnation_inherits && session.incarnation < current.incarnation {
+                    session.incarnation = current.incarnation;
+                    for grant in self.grants.values_mut().filter(|grant| grant.holder == *member) {
+                        grant.incarnation = current.incarnation;
                     }
                 }
-                if session.life != now.life {
+                if session.incarnation != current.incarnation {
                     return changed;
                 }
-                *session = now;
+                *session = current;
                 let Some(duty) = claim else { return changed };
-                let is_held = self.duties.contains_key(duty);
+                let is_held = self.grants.contains_key(duty);
                 #[cfg(feature = "unguarded")]
-                let is_held = is_held && !unguarded.grants_what_is_held;
-                if !is_held && self.duties.len() < MOST_DUTIES {
+                let is_held = is_held && !disabled.grant_held_duties;
+                if !is_held && self.grants.len() < MAX_DUTIES {
                     // One count for all duties: it goes on whatever becomes of them.
-                    self.epoch.0 += 1;
-                    let grant = Grant { holder: *member, life: *life, epoch: self.epoch };
-                    self.duties.insert(duty.clone(), grant);
+                    self.last_epoch.0 += 1;
+                    let grant = Grant { holder: *member, incarnation: *incarnation, epoch: self.last_epoch };
+                    self.grants.insert(duty.clone(), grant);
                     changed.push(duty.clone());
                 }
             }
-            Command::Release { member, life, duty, epoch } => {
-                let given = Grant { holder: *member, life: *life, epoch: *epoch };
-                if self.duties.get(duty) == Some(&given) {
-                    self.duties.remove(duty);
+            Command::Release { member, incarnation, duty, epoch } => {
+                let expected_grant = Grant { holder: *member, incarnation: *incarnation, epoch: *epoch };
+                if self.grants.get(duty) == Some(&expected_grant) {
+                    self.grants.remove(duty);
                     changed.push(duty.clone());
                     #[cfg(feature = "unguarded")]
-                    if unguarded.epochs_begin_anew {
-                        self.epoch = Epoch(0);
+                    if disabled.reset_epochs {
+                        self.last_epoch = Epoch(0);
                     }
                 }
             }
-            Command::Note { member, life, duty, epoch, words } => {
-                let given = Grant { holder: *member, life: *life, epoch: *epoch };
-                let is_given = self.duties.get(duty) == Some(&given);
+            Command::Note { member, incarnation, duty, epoch, payload } => {
+                let expected_grant = Grant { holder: *member, incarnation: *incarnation, epoch: *epoch };
+                let is_holder = self.grants.get(duty) == Some(&expected_grant);
                 #[cfg(feature = "unguarded")]
-                let is_given = is_given || unguarded.listens_to_past_holders;
-                let note = Note { epoch: *epoch, words: words.clone() };
-                if !is_given || self.notes.get(duty) == Some(&note) {
+                let is_holder = is_holder || disabled.accept_notes_of_past_holders;
+                let note = Note { epoch: *epoch, payload: payload.clone() };
+                if !is_holder || self.notes.get(duty) == Some(&note) {
                     return changed;
                 }
-                if self.notes.len() >= MOST_NOTES && !self.notes.contains_key(duty) {
+                if self.notes.len() >= MAX_NOTES && !self.notes.contains_key(duty) {
                     // The one of longest ago.
                     let oldest = self.notes.iter().min_by_key(|(_, note)| note.epoch);
                     if let Some(oldest) = oldest.map(|(duty, _)| duty.clone()) {
@@ -242,21 +242,24 @@
                 self.notes.insert(duty.clone(), note);
                 changed.push(duty.clone());
             }
-            Command::Expire { member, life, beat } => {
-                let last = Session { life: *life, beat: *beat };
+            Command::Expire { member, incarnation, heartbeat } => {
+                let last = Session { incarnation: *incarnation, heartbeat: *heartbeat };
                 let is_last = self.sessions.get(member) == Some(&last);
                 #[cfg(feature = "unguarded")]
                 let is_last = is_last
-                    || (unguarded.expires_whatever_came_since
-                        && self.sessions.get(member).is_some_and(|session| session.life == *life));
+                    || (disabled.expire_despite_newer_heartbeat
+                        && self
+                            .sessions
+                            .get(member)
+                            .is_some_and(|session| session.incarnation == *incarnation));
                 if is_last {
                     self.sessions.remove(member);
-                    self.duties.retain(|duty, grant| {
-                        let stays = grant.holder != *member;
-                        if !stays {
+                    self.grants.retain(|duty, grant| {
+                        let keep = grant.holder != *member;
+                        if !keep {
                             changed.push(duty.clone());
                         }
-                        stays
+                        keep
                     });
                 }
             }
--- a/crates/gullcart-group/src/vocabulary.rs
+++ b/crates/gullcart-group/src/types.rs
@@ -12,8 +12,8 @@
 
 impl Add<Duration> for Moment {
     type Output = Moment;
-    fn add(self, span: Duration) -> Moment {
-        Moment(self.0.saturating_add(span.as_micros() as u64))
+    fn add(self, duration: Duration) -> Moment {
+        Moment(self.0.saturating_add(duration.as_micros() as u64))
     }
 }
 
@@ -25,7 +25,7 @@
     }
 }
 
-macro_rules! number {
+macro_rules! number_type {
     ($(#[$doc:meta])* $name:ident, $prefix:literal) => {
         $(#[$doc])*
         #[derive(
@@ -40,17 +40,17 @@
     };
 }
 
-number!(/// A member, by the number that its folder was born with; never 0.
+number_type!(/// Identifies a member of the group. Assigned in the group's file and never reused; never 0.
     MemberId, "member ");
-number!(/// Which start of a member's process: each is numbered higher than all before it.
-    Life, "life ");
-number!(/// Which sign of life within one start.
-    Beat, "beat ");
-number!(/// Which grant: each grant of any duty has a higher one than all before it. It fences what was done under older ones.
+number_type!(/// Counts the starts of a member's process. Each start has a higher number than all before it.
+        Incarnation, "incarnation ");
+number_type!(/// Counts the heartbeats of one incarnation.
+        HeartbeatNumber, "heartbeat ");
+number_type!(/// Numbers a grant. Each grant of any duty has a higher epoch than all grants before it, so that it can be used as a
     Epoch, "epoch ");
 
 /// Bytes of a duty's name at most.
-pub const LONGEST_DUTY: usize = 64;
+pub const MAX_DUTY_NAME_BYTES: usize = 64;
 
 /// What one member holds at a time, by name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -60,7 +60,7 @@
 impl Duty {
     /// The duty of a name; none where that is empty or too long.
     pub fn new(name: &str) -> Option<Self> {
-        (1..=LONGEST_DUTY).contains(&name.len()).then(|| Duty(name.to_owned()))
+        (1..=MAX_DUTY_NAME_BYTES).contains(&name.len()).then(|| Duty(name.to_owned()))
     }
 
     /// Its name.
@@ -89,17 +89,17 @@
 }
 
 /// Bytes that a holder may tell of a duty at most.
-pub const LONGEST_WORDS: usize = 32;
+pub const MAX_PAYLOAD_BYTES: usize = 32;
 
 /// What a holder tells of a duty. What it means is its own affair.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "Vec<u8>", into = "Vec<u8>")]
-pub struct Words(Vec<u8>);
+pub struct Payload(Vec<u8>);
 
-impl Words {
+impl Payload {
     /// Some bytes; none where they are too many.
     pub fn new(bytes: &[u8]) -> Option<Self> {
-        (bytes.len() <= LONGEST_WORDS).then(|| Words(bytes.to_vec()))
+        (bytes.len() <= MAX_PAYLOAD_BYTES).then(|| Payload(bytes.to_vec()))
     }
 
     /// The bytes.
@@ -108,45 +108,45 @@
     }
 }
 
-impl TryFrom<Vec<u8>> for Words {
+impl TryFrom<Vec<u8>> for Payload {
     type Error = &'static str;
     fn try_from(bytes: Vec<u8>) -> Result<Self, Self::Error> {
-        Words::new(&bytes).ok_or("a holder may tell 32 bytes at most")
+        Payload::new(&bytes).ok_or("a payload has at most 32 bytes")
     }
 }
 
-impl From<Words> for Vec<u8> {
-    fn from(words: Words) -> Vec<u8> {
-        words.0
+impl From<Payload> for Vec<u8> {
+    fn from(payload: Payload) -> Vec<u8> {
+        payload.0
     }
 }
 
 /// How long things take. The same for all members of a group: the group's file is compared when they meet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Terms {
+pub struct LeaseTerms {
     /// For how long a member may act on what it holds, from before it gave the sign of life that was heard.
-    pub lease: Duration,
+    pub duration: Duration,
     /// How much faster or slower a clock may run than the right time, in parts of a million; beyond it nothing is promised.
     pub drift_ppm: u32,
 }
 
-impl Default for Terms {
+impl Default for LeaseTerms {
     fn default() -> Self {
-        Terms { lease: Duration::from_secs(1), drift_ppm: 20_000 }
+        LeaseTerms { duration: Duration::from_secs(1), drift_ppm: 20_000 }
     }
 }
 
-impl Terms {
+impl LeaseTerms {
     /// How long a voter waits after it heard a sign of life until it may propose that the lease is over: the lease on the
     /// slowest clock of a member, counted on its own fastest.
-    pub fn patience(&self) -> Duration {
+    pub fn expiry_timeout(&self) -> Duration {
         let drift = f64::from(self.drift_ppm.min(500_000)) / 1e6;
-        self.lease.mul_f64((1.0 + drift) / (1.0 - drift))
+        self.duration.mul_f64((1.0 + drift) / (1.0 - drift))
     }
 
     /// Between two signs of life: two may be lost within a lease.
-    pub fn beat(&self) -> Duration {
-        self.lease / 4
+    pub fn heartbeat_interval(&self) -> Duration {
+        self.duration / 4
     }
 }
 
--- a/crates/gullcart-group/tests/library.rs
+++ b/crates/gullcart-group/tests/library.rs
@@ -1,72 +1,79 @@
 //! What the agreement's library leaves to its user, each found by random days first and played here step by step.
 
-use gullcart_group::log::Image;
-use gullcart_group::say::Ask;
-use gullcart_group::vocabulary::*;
-use gullcart_group::voter::{Output, Voter, TICK};
+use gullcart_group::log::VoterSnapshot;
+use gullcart_group::message::MemberRequest;
+use gullcart_group::types::*;
+use gullcart_group::voter::{Output, Voter, TICK_INTERVAL};
 
-struct Three {
+struct Cluster {
     voters: Vec<Voter>,
     now: Moment,
-    beat: u64,
+    heartbeat: u64,
 }
 
 /// No lease ends meanwhile.
-fn terms() -> Terms {
-    Terms { lease: std::time::Duration::from_secs(3600), ..Terms::default() }
+fn terms() -> LeaseTerms {
+    LeaseTerms { duration: std::time::Duration::from_secs(3600), ..LeaseTerms::default() }
 }
 
 fn ids() -> Vec<MemberId> {
     (1..=3).map(MemberId).collect()
 }
 
-impl Three {
+impl Cluster {
     fn new() -> Self {
         let now = Moment(1_000_000);
-        let voter = |me| Voter::new(me, &ids(), terms(), Image::default(), now).unwrap();
-        Three { voters: ids().into_iter().map(voter).collect(), now, beat: 0 }
+        let voter = |me| Voter::new(me, &ids(), terms(), VoterSnapshot::default(), now).unwrap();
+        Cluster { voters: ids().into_iter().map(voter).collect(), now, heartbeat: 0 }
     }
 
-    fn turn(&mut self, place: usize) -> Output {
-        self.voters[place].turn(self.now)
+    fn poll(&mut self, index: usize) -> Output {
+        self.voters[index].poll(self.now)
     }
 
     /// Hands a voter's words to the others.
     fn deliver(&mut self, output: Output) {
-        for (to, vote) in output.votes {
-            self.voters[to.0 as usize - 1].vote(vote);
+        for (to, message) in output.consensus_messages {
+            self.voters[to.0 as usize - 1].handle_consensus(message);
         }
-        for (to, image) in output.bases {
-            self.voters[to.0 as usize - 1].install(self.now, image).unwrap();
+        for (to, snapshot) in output.snapshots {
+            self.voters[to.0 as usize - 1].install_snapshot(self.now, snapshot).unwrap();
         }
     }
 
     /// Lets time pass until all is said, and some more.
     fn settle(&mut self) {
         for _ in 0..60 {
-            self.now = self.now + TICK;
-            for place in 0..3 {
-                let output = self.turn(place);
+            self.now = self.now + TICK_INTERVAL;
+            for index in 0..3 {
+                let output = self.poll(index);
                 self.deliver(output);
             }
         }
     }
 
     fn leader(&self) -> usize {
-        self.voters[0].leader().expect("they have settled").0 as usize - 1
+        self.voters[0].leader().expect("a leader is elected").0 as usize - 1
     }
 
-    /// A member claims a duty of its own, through the leader.
-    fn claim(&mut self, leader: usize) {
-        self.beat += 1;
-        let claim = Duty::new(&format!("duty-{}", self.beat));
-        let beat = Some(Beat(self.beat));
-        let ask =
-            Ask { life: Life(1), beat, claim, releases: Vec::new(), notes: Vec::new(), watches: Vec::new() };
-        self.voters[leader].ask(self.now, MemberId(9), ask);
+    /// Lets a member claim a new duty through a voter.
+    fn claim(&mut self, voter: usize) {
+        self.heartbeat += 1;
+        let claim = Duty::new(&format!("duty-{}", self.heartbeat));
+        let heartbeat = Some(HeartbeatNumber(self.heartbeat));
+        let request = MemberRequest {
+            incarnation: Incarnation(1),
+            heartbeat,
+            claim,
+            releases: Vec::new(),
+            notes: Vec::new(),
+            watched_duties: Vec::new(),
+        };
+        self.voters[voter].handle_request(self.now, MemberId(9), request);
     }
 
-    fn agree(&self) -> bool {
+    /// Whether all voters have applied the same commands and have the same table.
+    fn has_converged(&self) -> bool {
         let versions: Vec<u64> = self.voters.iter().map(Voter::version).collect();
         versions.windows(2).all(|two| two[0] == two[1])
             && self.voters.windows(2).all(|two| two[0].table() == two[1].table())
@@ -75,75 +82,75 @@
 
 /// A leader that comes back with what it kept, before the others have missed it, leads a new round.
 #[test]
-fn a_leader_that_comes_back_at_once_leads_again_or_follows() {
-    let mut three = Three::new();
-    three.settle();
-    let leader = three.leader();
-    let gullcart_group::log::Record::Image(image) = three.voters[leader].image() else {
-        panic!("not an image")
+fn a_leader_that_restarts_at_once_leads_again_or_follows() {
+    let mut cluster = Cluster::new();
+    cluster.settle();
+    let leader = cluster.leader();
+    let gullcart_group::log::Record::Snapshot(snapshot) = cluster.voters[leader].snapshot_record() else {
+        panic!("not a snapshot")
     };
     let id = MemberId(leader as u64 + 1);
-    three.voters[leader] = Voter::new(id, &ids(), terms(), *image, three.now).unwrap();
-    three.settle();
-    for place in 0..3 {
-        three.claim(place);
-        three.settle();
+    cluster.voters[leader] = Voter::new(id, &ids(), terms(), *snapshot, cluster.now).unwrap();
+    cluster.settle();
+    for index in 0..3 {
+        cluster.claim(index);
+        cluster.settle();
     }
-    assert!(three.agree());
-    assert_eq!(three.voters[0].table().grants().count(), 3);
+    assert!(cluster.has_converged());
+    assert_eq!(cluster.voters[0].table().grants().count(), 3);
 }
 
 /// A voter that was away for longer than entries are kept one by one is given all of it.
 #[test]
-fn who_lacks_what_is_no_longer_kept_is_given_the_table() {
-    let mut three = Three::new();
-    three.settle();
-    let leader = three.leader();
+fn a_voter_that_lacks_compacted_entries_gets_a_snapshot() {
+    let mut cluster = Cluster::new();
+    cluster.settle();
+    let leader = cluster.leader();
     let away = (leader + 1) % 3;
-    three.voters.iter_mut().for_each(|voter| voter.keep_entries(8));
+    cluster.voters.iter_mut().for_each(|voter| voter.set_max_entries(8));
     for _ in 0..40 {
-        three.claim(leader);
-        three.now = three.now + TICK;
+        cluster.claim(leader);
+        cluster.now = cluster.now + TICK_INTERVAL;
         for _ in 0..2 {
-            for place in (0..3).filter(|place| *place != away) {
-                let mut output = three.turn(place);
-                output.votes.retain(|(to, _)| to.0 as usize - 1 != away);
-                three.deliver(output);
+            for index in (0..3).filter(|index| *index != away) {
+                let mut output = cluster.poll(index);
+                output.consensus_messages.retain(|(to, _)| to.0 as usize - 1 != away);
+                cluster.deliver(output);
             }
         }
     }
-    assert!(three.voters[leader].log_len().1 <= 8);
+    assert!(cluster.voters[leader].log_len().1 <= 8);
     // It hears of it with the next entry.
-    three.claim(leader);
-    three.settle();
-    assert!(three.agree());
-    assert_eq!(three.voters[away].table().grants().count(), 41);
+    cluster.claim(leader);
+    cluster.settle();
+    assert!(cluster.has_converged());
+    assert_eq!(cluster.voters[away].table().grants().count(), 41);
 }
 
 /// All that was agreed on is a table by now, and the voters are made anew from it: who held something then is watched from the
 /// first moment, and its lease ends where it gives no more signs of life.
 #[test]
-fn leases_end_though_nothing_was_decided_since_voters_began() {
-    let mut three = Three::new();
-    three.settle();
-    let leader = three.leader();
-    three.claim(leader);
-    three.settle();
-    assert_eq!(three.voters[0].table().sessions().count(), 1);
-    let short = Terms { lease: std::time::Duration::from_secs(1), ..Terms::default() };
-    for place in 0..3 {
-        three.voters[place].keep_entries(0);
-        let output = three.turn(place);
-        three.deliver(output);
-        assert_eq!(three.voters[place].log_len().1, 0, "nothing is kept one by one");
-        let gullcart_group::log::Record::Image(image) = three.voters[place].image() else {
-            panic!("not an image")
+fn leases_expire_after_a_restart_without_new_entries() {
+    let mut cluster = Cluster::new();
+    cluster.settle();
+    let leader = cluster.leader();
+    cluster.claim(leader);
+    cluster.settle();
+    assert_eq!(cluster.voters[0].table().sessions().count(), 1);
+    let short = LeaseTerms { duration: std::time::Duration::from_secs(1), ..LeaseTerms::default() };
+    for index in 0..3 {
+        cluster.voters[index].set_max_entries(0);
+        let output = cluster.poll(index);
+        cluster.deliver(output);
+        assert_eq!(cluster.voters[index].log_len().1, 0, "all entries are compacted");
+        let gullcart_group::log::Record::Snapshot(snapshot) = cluster.voters[index].snapshot_record() else {
+            panic!("not a snapshot")
         };
-        let id = MemberId(place as u64 + 1);
-        three.voters[place] = Voter::new(id, &ids(), short, *image, three.now).unwrap();
+        let id = MemberId(index as u64 + 1);
+        cluster.voters[index] = Voter::new(id, &ids(), short, *snapshot, cluster.now).unwrap();
     }
-    three.settle();
-    three.settle();
-    assert!(three.agree());
-    assert_eq!(three.voters[0].table().sessions().count(), 0);
+    cluster.settle();
+    cluster.settle();
+    assert!(cluster.has_converged());
+    assert_eq!(cluster.voters[0].table().sessions().count(), 0);
 }
--- a/crates/gullcart-group/tests/model.rs
+++ b/crates/gullcart-group/tests/model.rs
@@ -4,16 +4,16 @@
 //!
 //! What the library brings about is taken for granted here (one order of commands); `random.rs` tries that.
 
-use gullcart_group::lease::{self, Lease, Watch};
-use gullcart_group::table::{Command, Table, Unguarded};
-use gullcart_group::vocabulary::*;
+use gullcart_group::lease::{self, Lease, LeaseMonitor};
+use gullcart_group::table::{Command, DisabledGuards, Table};
+use gullcart_group::types::*;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 /// Time goes on in steps of a second; clocks are right, or a step behind.
-const STEP: u64 = 1_000_000;
-const LEASE: u64 = 1;
+const STEP_US: u64 = 1_000_000;
+const LEASE_STEPS: u64 = 1;
 
 fn duty() -> Duty {
     Duty::new("d").unwrap()
@@ -24,35 +24,35 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Without {
-    table: Unguarded,
-    lease: lease::Unguarded,
+struct DisabledGuardSet {
+    table: DisabledGuards,
+    lease: lease::DisabledGuards,
     /// Voters wait for the lease alone.
-    no_drift: bool,
+    ignore_drift: bool,
     /// Voters propose the end of a lease as soon as they see it.
-    no_patience: bool,
+    expire_at_once: bool,
     /// What is told of a session is believed whichever life it is of, and whatever was told before.
-    any_view: bool,
+    accept_old_views: bool,
 }
 
 #[derive(Clone, Debug)]
 struct Group {
-    without: Without,
+    disabled: DisabledGuardSet,
     couriers: usize,
     steps: u64,
-    beats: u64,
-    deaths: usize,
+    heartbeats: u64,
+    crashes: usize,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Process {
-    life: u64,
+    incarnation: u64,
     clock: u64,
     lease: Lease,
     /// Under which epoch it holds the duty, and how far the table had come that it was told of.
     held: Option<Epoch>,
     version: usize,
-    beats: u64,
+    heartbeats: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -64,54 +64,54 @@
     proposed: BTreeSet<Command>,
     couriers: Vec<Process>,
     /// One voter's view; any voter may be the one that leads.
-    watch: Watch,
+    lease_monitor: LeaseMonitor,
     voter_clock: u64,
-    deaths: usize,
+    crashes: usize,
     /// Epochs that were acted under, and by which courier in which life.
-    acted: BTreeSet<(Epoch, usize, u64)>,
+    actions_by_epoch: BTreeSet<(Epoch, usize, u64)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    Time,
-    Clock(usize),
-    VoterClock,
+    AdvanceTime,
+    AdvanceClock(usize),
+    AdvanceVoterClock,
     Claim(usize),
-    Beat(usize),
+    Heartbeat(usize),
     Release(usize),
-    Agree(Command),
-    Tell(usize, usize),
-    Look,
-    End,
-    Die(usize),
+    Decide(Command),
+    DeliverView(usize, usize),
+    Observe,
+    Expire,
+    Crash(usize),
 }
 
-fn terms() -> Terms {
-    Terms { lease: Duration::from_micros(LEASE * STEP), drift_ppm: 0 }
+fn terms() -> LeaseTerms {
+    LeaseTerms { duration: Duration::from_micros(LEASE_STEPS * STEP_US), drift_ppm: 0 }
 }
 
 impl Group {
-    fn lease(&self, life: u64) -> Lease {
-        let mut lease = Lease::new(Life(life));
-        lease.guard(self.without.lease);
+    fn lease(&self, incarnation: u64) -> Lease {
+        let mut lease = Lease::new(Incarnation(incarnation));
+        lease.disable_guards(self.disabled.lease);
         lease
     }
 
-    fn may_act(process: &Process) -> Option<Epoch> {
-        process.held.filter(|_| process.lease.holds(Moment(process.clock * STEP)))
+    fn active_epoch(process: &Process) -> Option<Epoch> {
+        process.held.filter(|_| process.lease.is_valid(Moment(process.clock * STEP_US)))
     }
 
-    fn patience(&self) -> Duration {
+    fn expiry_timeout(&self) -> Duration {
         // A voter's clock may catch up by a step while a courier's falls behind by one: a lease that is acted on to its last
         // step lasts for its length by the right time, and for a step more on the voter's clock.
-        let drift = if self.without.no_drift { 0 } else { 1 };
-        Duration::from_micros((LEASE + drift) * STEP)
+        let drift = if self.disabled.ignore_drift { 0 } else { 1 };
+        Duration::from_micros((LEASE_STEPS + drift) * STEP_US)
     }
 
-    fn note_acts(state: &mut State) {
+    fn record_actions(state: &mut State) {
         for (courier, process) in state.couriers.iter().enumerate() {
-            if let Some(epoch) = Group::may_act(process) {
-                state.acted.insert((epoch, courier, process.life));
+            if let Some(epoch) = Group::active_epoch(process) {
+                state.actions_by_epoch.insert((epoch, courier, process.incarnation));
             }
         }
     }
@@ -122,36 +122,42 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let process =
-            |_| Process { life: 1, clock: 1, lease: self.lease(1), held: None, version: 0, beats: 0 };
+        let process = |_| Process {
+            incarnation: 1,
+            clock: 1,
+            lease: self.lease(1),
+            held: None,
+            version: 0,
+            heartbeats: 0,
+        };
         vec![State {
             time: 1,
             tables: vec![Table::default()],
             proposed: BTreeSet::new(),
             couriers: (0..self.couriers).map(process).collect(),
-            watch: Watch::default(),
+            lease_monitor: LeaseMonitor::default(),
             voter_clock: 1,
-            deaths: 0,
-            acted: BTreeSet::new(),
+            crashes: 0,
+            actions_by_epoch: BTreeSet::new(),
         }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Step>) {
         let clocks = state.couriers.iter().map(|process| process.clock).chain([state.voter_clock]);
         if state.time < self.steps && clocks.clone().all(|clock| clock >= state.time) {
-            actions.push(Step::Time);
+            actions.push(Step::AdvanceTime);
         }
         if state.voter_clock < state.time {
-            actions.push(Step::VoterClock);
+            actions.push(Step::AdvanceVoterClock);
         }
-        let last = state.tables.last().expect("there is the first one");
+        let last = state.tables.last().expect("there is always a first table");
         for (courier, process) in state.couriers.iter().enumerate() {
             if process.clock < state.time {
-                actions.push(Step::Clock(courier));
+                actions.push(Step::AdvanceClock(courier));
             }
-            if process.beats < self.beats {
+            if process.heartbeats < self.heartbeats {
                 if process.held.is_some() {
-                    actions.push(Step::Beat(courier));
+                    actions.push(Step::Heartbeat(courier));
                 } else {
                     actions.push(Step::Claim(courier));
                 }
@@ -159,151 +165,157 @@
             if process.held.is_some() {
                 actions.push(Step::Release(courier));
             }
-            let from = if self.without.any_view { 0 } else { process.version + 1 };
-            actions.extend((from..state.tables.len()).map(|version| Step::Tell(courier, version)));
-            if state.deaths < self.deaths {
-                actions.push(Step::Die(courier));
+            let from = if self.disabled.accept_old_views { 0 } else { process.version + 1 };
+            actions.extend((from..state.tables.len()).map(|version| Step::DeliverView(courier, version)));
+            if state.crashes < self.crashes {
+                actions.push(Step::Crash(courier));
             }
         }
         for command in &state.proposed {
             let mut next = last.clone();
-            next.apply_without(command, self.without.table);
+            next.apply_unguarded(command, self.disabled.table);
             // One that does nothing leads nowhere else.
             if next != *last {
-                actions.push(Step::Agree(command.clone()));
+                actions.push(Step::Decide(command.clone()));
             }
         }
-        actions.extend([Step::Look, Step::End]);
+        actions.extend([Step::Observe, Step::Expire]);
     }
 
     fn next_state(&self, before: &State, step: Step) -> Option<State> {
         let mut state = before.clone();
         match step {
-            Step::Time => state.time += 1,
-            Step::Clock(courier) => state.couriers[courier].clock += 1,
-            Step::VoterClock => state.voter_clock += 1,
-            Step::Claim(courier) | Step::Beat(courier) => {
+            Step::AdvanceTime => state.time += 1,
+            Step::AdvanceClock(courier) => state.couriers[courier].clock += 1,
+            Step::AdvanceVoterClock => state.voter_clock += 1,
+            Step::Claim(courier) | Step::Heartbeat(courier) => {
                 let process = &mut state.couriers[courier];
-                process.beats += 1;
-                let beat = process.lease.give(Moment(process.clock * STEP));
+                process.heartbeats += 1;
+                let heartbeat = process.lease.record_heartbeat(Moment(process.clock * STEP_US));
                 let claim = process.held.is_none().then(duty);
-                state.proposed.insert(Command::Beat {
+                state.proposed.insert(Command::Heartbeat {
                     member: id(courier),
-                    life: Life(process.life),
-                    beat,
+                    incarnation: Incarnation(process.incarnation),
+                    heartbeat,
                     claim,
                 });
             }
             Step::Release(courier) => {
                 let process = &mut state.couriers[courier];
                 let epoch = process.held.take()?;
-                let (member, life) = (id(courier), Life(process.life));
-                state.proposed.insert(Command::Release { member, life, duty: duty(), epoch });
+                let (member, incarnation) = (id(courier), Incarnation(process.incarnation));
+                state.proposed.insert(Command::Release { member, incarnation, duty: duty(), epoch });
             }
-            Step::Agree(command) => {
+            Step::Decide(command) => {
                 let mut table = state.tables.last()?.clone();
-                table.apply_without(&command, self.without.table);
+                table.apply_unguarded(&command, self.disabled.table);
                 state.tables.push(table);
             }
-            Step::Tell(courier, version) => {
+            Step::DeliverView(courier, version) => {
                 let table = state.tables[version].clone();
                 let process = &mut state.couriers[courier];
                 process.version = version;
-                let now = Moment(process.clock * STEP);
-                process.lease.told(now, table.session(id(courier)), &terms());
-                let mine = |grant: &gullcart_group::table::Grant| {
-                    grant.holder == id(courier) && grant.life == Life(process.life)
+                let now = Moment(process.clock * STEP_US);
+                process.lease.acknowledge(now, table.session(id(courier)), &terms());
+                let is_own = |grant: &gullcart_group::table::Grant| {
+                    grant.holder == id(courier) && grant.incarnation == Incarnation(process.incarnation)
                 };
-                process.held = table.grant(&duty()).filter(mine).map(|grant| grant.epoch);
+                process.held = table.grant(&duty()).filter(is_own).map(|grant| grant.epoch);
             }
-            Step::Look => {
+            Step::Observe => {
                 let table = state.tables.last()?.clone();
-                state.watch.look(Moment(state.voter_clock * STEP), &table);
+                state.lease_monitor.observe(Moment(state.voter_clock * STEP_US), &table);
             }
-            Step::End => {
-                let patience = if self.without.no_patience { Duration::ZERO } else { self.patience() };
+            Step::Expire => {
+                let expiry_timeout =
+                    if self.disabled.expire_at_once { Duration::ZERO } else { self.expiry_timeout() };
                 // A moment later than the step, so that a whole one has passed where the clock shows one.
-                let now = Moment(state.voter_clock * STEP);
-                for (member, session) in state.watch.over(now, patience) {
-                    let lease = gullcart_group::table::Session { ..session };
-                    state.proposed.insert(Command::Expire { member, life: lease.life, beat: lease.beat });
+                let now = Moment(state.voter_clock * STEP_US);
+                for (member, session) in state.lease_monitor.expired(now, expiry_timeout) {
+                    let incarnation = session.incarnation;
+                    let heartbeat = session.heartbeat;
+                    state.proposed.insert(Command::Expire { member, incarnation, heartbeat });
                 }
             }
-            Step::Die(courier) => {
-                state.deaths += 1;
+            Step::Crash(courier) => {
+                state.crashes += 1;
                 let process = &mut state.couriers[courier];
-                process.life += 1;
-                process.lease = self.lease(process.life);
-                (process.held, process.version, process.beats) = (None, 0, 0);
+                process.incarnation += 1;
+                process.lease = self.lease(process.incarnation);
+                (process.held, process.version, process.heartbeats) = (None, 0, 0);
             }
         }
-        Group::note_acts(&mut state);
+        Group::record_actions(&mut state);
         (state != *before).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always("no two act on a duty at one moment", |_, state| {
-                state.couriers.iter().filter(|process| Group::may_act(process).is_some()).count() <= 1
+            Property::<Self>::always("at most one courier acts on a duty at a time", |_, state| {
+                state.couriers.iter().filter(|process| Group::active_epoch(process).is_some()).count() <= 1
             }),
-            Property::<Self>::always("an epoch is of one courier in one life", |_, state| {
-                let acted: Vec<_> = state.acted.iter().collect();
-                acted.windows(2).all(|two| two[0].0 != two[1].0)
+            Property::<Self>::always("an epoch belongs to one incarnation of one courier", |_, state| {
+                let actions: Vec<_> = state.actions_by_epoch.iter().collect();
+                actions.windows(2).all(|two| two[0].0 != two[1].0)
             }),
-            Property::<Self>::sometimes("a duty is handed on", |_, state| {
-                let by: BTreeSet<usize> = state.acted.iter().map(|(_, courier, _)| *courier).collect();
-                by.len() > 1
+            Property::<Self>::sometimes("a duty is passed to another courier", |_, state| {
+                let couriers: BTreeSet<usize> =
+                    state.actions_by_epoch.iter().map(|(_, courier, _)| *courier).collect();
+                couriers.len() > 1
             }),
         ]
     }
 }
 
-fn small(without: Without) -> Group {
-    Group { without, couriers: 2, steps: 4, beats: 1, deaths: 0 }
+fn small(disabled: DisabledGuardSet) -> Group {
+    Group { disabled, couriers: 2, steps: 4, heartbeats: 1, crashes: 0 }
 }
 
 #[test]
-fn no_two_hold_a_duty() {
-    let honest = small(Without::default());
+fn at_most_one_courier_holds_a_duty() {
+    let correct = small(DisabledGuardSet::default());
     let models = match std::env::var("GROUP_MODEL").ok() {
-        None => vec![honest.clone(), Group { deaths: 1, steps: 2, ..honest }],
+        None => vec![correct.clone(), Group { crashes: 1, steps: 2, ..correct }],
         // Larger ones, one at a time: they take minutes and some GB of memory.
         Some(which) => vec![match which.as_str() {
-            "longer" => Group { steps: 5, ..honest },
-            "three" => Group { couriers: 3, steps: 3, ..honest },
-            "busy" => Group { beats: 2, steps: 2, ..honest },
-            "dying" => Group { deaths: 1, steps: 3, ..honest },
-            other => panic!("GROUP_MODEL is {other}: there are longer, three, busy and dying"),
+            "longer" => Group { steps: 5, ..correct },
+            "three" => Group { couriers: 3, steps: 3, ..correct },
+            "busy" => Group { heartbeats: 2, steps: 2, ..correct },
+            "dying" => Group { crashes: 1, steps: 3, ..correct },
+            other => panic!("GROUP_MODEL is {other}: use longer, three, busy or dying"),
         }],
     };
     for model in models {
         let checker = model.clone().checker().threads(2).spawn_bfs().join();
         println!("{} states: {model:?}", checker.unique_state_count());
-        checker.assert_no_discovery("no two act on a duty at one moment");
-        checker.assert_no_discovery("an epoch is of one courier in one life");
+        checker.assert_no_discovery("at most one courier acts on a duty at a time");
+        checker.assert_no_discovery("an epoch belongs to one incarnation of one courier");
     }
 }
 
 #[test]
-fn each_guard_that_is_taken_out_has_a_counterexample() {
-    let all = Without::default();
-    let (table, lease) = (Unguarded::default(), lease::Unguarded::default());
-    let of_table = |table| Without { table, ..all };
-    let of_lease = |lease| Without { lease, ..all };
-    let died = |without| Group { deaths: 1, steps: 2, ..small(without) };
-    let busy = |without| Group { beats: 2, steps: 3, ..small(without) };
+fn each_disabled_guard_has_a_counterexample() {
+    let all = DisabledGuardSet::default();
+    let (table, lease) = (DisabledGuards::default(), lease::DisabledGuards::default());
+    let of_table = |table| DisabledGuardSet { table, ..all };
+    let of_lease = |lease| DisabledGuardSet { lease, ..all };
+    let with_crash = |disabled| Group { crashes: 1, steps: 2, ..small(disabled) };
+    let busy = |disabled| Group { heartbeats: 2, steps: 3, ..small(disabled) };
     let cases = [
-        ("counts from the answer", small(of_lease(lease::Unguarded { counts_from_answer: true, ..lease }))),
-        ("no check", small(of_lease(lease::Unguarded { no_check: true, ..lease }))),
-        ("no patience", small(Without { no_patience: true, ..all })),
-        ("no drift", small(Without { no_drift: true, ..all })),
-        ("any view", small(Without { any_view: true, ..all })),
-        ("grants what is held", small(of_table(Unguarded { grants_what_is_held: true, ..table }))),
-        ("epochs begin anew", small(of_table(Unguarded { epochs_begin_anew: true, ..table }))),
-        ("a new life inherits", died(of_table(Unguarded { new_life_inherits: true, ..table }))),
+        ("start at response", small(of_lease(lease::DisabledGuards { start_at_response: true, ..lease }))),
+        ("skip check", small(of_lease(lease::DisabledGuards { skip_check: true, ..lease }))),
+        ("expire at once", small(DisabledGuardSet { expire_at_once: true, ..all })),
+        ("ignore drift", small(DisabledGuardSet { ignore_drift: true, ..all })),
+        ("accept old views", small(DisabledGuardSet { accept_old_views: true, ..all })),
+        ("grant held duties", small(of_table(DisabledGuards { grant_held_duties: true, ..table }))),
+        ("reset epochs", small(of_table(DisabledGuards { reset_epochs: true, ..table }))),
         (
-            "expires whatever came since",
-            busy(of_table(Unguarded { expires_whatever_came_since: true, ..table })),
+            "new incarnation inherits",
+            with_crash(of_table(DisabledGuards { new_incarnation_inherits: true, ..table })),
+        ),
+        (
+            "expire despite newer heartbeat",
+            busy(of_table(DisabledGuards { expire_despite_newer_heartbeat: true, ..table })),
         ),
     ];
     for (name, model) in cases {
--- a/crates/gullcart-peers/src/bin/gullcart-duty.rs
+++ b/crates/gullcart-peers/src/bin/gullcart-duty.rs
@@ -5,7 +5,7 @@
 //! On a line on its standard input it leaves the group and ends; its log says `status` with the group's standing as JSON.
 #![forbid(unsafe_code)]
 
-use gullcart_group::vocabulary::Duty;
+use gullcart_group::types::Duty;
 use gullcart_peers::handle::{start, Handle};
 use gullcart_peers::settings::Settings;
 use std::io::{BufRead, Write};
@@ -16,18 +16,18 @@
 use std::time::Duration;
 
 /// Between two acts.
-const GAP: Duration = Duration::from_millis(2);
-/// Acts between two words on how the group stands.
-const STATUS: u32 = 50;
+const ACTION_INTERVAL: Duration = Duration::from_millis(2);
+/// Number of rounds between two status lines.
+const ROUNDS_PER_STATUS: u32 = 50;
 
-fn say(line: &str) {
+fn write_log(line: &str) {
     // A log that is read no more is nobody's loss.
     let _ = writeln!(std::io::stderr(), "{line}");
 }
 
-fn act(group: &Handle, duties: &[Duty], partner: &mut TcpStream) -> std::io::Result<()> {
+fn send_actions(group: &Handle, duties: &[Duty], partner: &mut TcpStream) -> std::io::Result<()> {
     for duty in duties {
-        if let Some(epoch) = group.may_act(duty) {
+        if let Some(epoch) = group.active_epoch(duty) {
             partner.write_all(format!("{duty} {}\n", epoch.0).as_bytes())?;
         }
     }
@@ -41,42 +41,42 @@
     let names = std::env::var("DUTY_NAMES")?;
     let duties: Vec<Duty> = names.split(',').filter_map(Duty::new).collect();
     for duty in &duties {
-        if !group.want(duty.clone()) {
-            say(&format!("{duty} is not asked for: there are too many"));
+        if !group.request(duty.clone()) {
+            write_log(&format!("{duty} was not requested: too many requests are queued"));
         }
     }
     let mut partner = TcpStream::connect(std::env::var("DUTY_PARTNER")?)?;
     partner.set_nodelay(true)?;
     partner.write_all(format!("{me}\n").as_bytes())?;
-    say(&format!("listening address={}", group.address()));
-    let (tell, told) = channel();
+    write_log(&format!("listening address={}", group.address()));
+    let (lines, received) = channel();
     std::thread::spawn(move || {
         for line in std::io::stdin().lock().lines().map_while(Result::ok) {
-            if tell.send(line).is_err() {
+            if lines.send(line).is_err() {
                 return;
             }
         }
     });
-    let mut count = 0u32;
+    let mut rounds = 0u32;
     loop {
-        match told.recv_timeout(GAP) {
+        match received.recv_timeout(ACTION_INTERVAL) {
             Ok(line) if line == "follow" => {
                 let settings = Settings::read(&PathBuf::from(std::env::var("GULLCART_GROUP")?))?;
-                say(&format!("follows {}", group.follow(settings)));
+                write_log(&format!("settings queued: {}", group.apply_settings(settings)));
             }
             Ok(_) => {
                 let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build()?;
-                let heard = runtime.block_on(group.leave(Duration::from_secs(2)));
-                say(&format!("left {heard}"));
+                let released = runtime.block_on(group.leave(Duration::from_secs(2)));
+                write_log(&format!("left the group; releases confirmed: {released}"));
                 return Ok(());
             }
-            Err(RecvTimeoutError::Disconnected) => std::thread::sleep(GAP),
+            Err(RecvTimeoutError::Disconnected) => std::thread::sleep(ACTION_INTERVAL),
             Err(RecvTimeoutError::Timeout) => {}
         }
-        act(&group, &duties, &mut partner)?;
-        count = count.wrapping_add(1);
-        if count.is_multiple_of(STATUS) {
-            say(&format!("status {}", serde_json::to_string(&group.status())?));
+        send_actions(&group, &duties, &mut partner)?;
+        rounds = rounds.wrapping_add(1);
+        if rounds.is_multiple_of(ROUNDS_PER_STATUS) {
+            write_log(&format!("status {}", serde_json::to_string(&group.status())?));
         }
     }
 }
@@ -85,7 +85,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            say(&format!("cannot go on: {error}"));
+            write_log(&format!("error: {error}"));
             ExitCode::FAILURE
         }
     }
--- a/crates/gullcart-peers/src/folder/tests.rs
+++ b/crates/gullcart-peers/src/folder/tests.rs
@@ -8,20 +8,22 @@
 }
 
 #[test]
-fn a_folder_knows_itself_and_a_copy_is_another() {
+fn a_restart_is_recognized_and_a_copy_of_the_folder_gets_a_new_identity() {
     let dir = Dir(std::env::temp_dir().join(format!("gullcart-keep-{}", std::process::id())));
     let path = dir.0.join("group");
-    let (mut keep, origin, _) = Keep::open(&path, 1 << 20, 7, None).unwrap();
-    assert!(matches!(origin, Origin::New(_)));
-    let first = origin.passport();
-    keep.passport(&first).unwrap();
-    assert!(matches!(Keep::open(&path, 1 << 20, 8, None), Err(KeepError::Folder(_))), "it is locked");
-    drop(keep);
+    let (mut folder, origin, _) = GroupFolder::open(&path, 1 << 20, 7, None).unwrap();
+    assert!(matches!(origin, FolderOrigin::New(_)));
+    let first = origin.into_identity();
+    folder.save_identity(&first).unwrap();
+    assert!(matches!(GroupFolder::open(&path, 1 << 20, 8, None), Err(FolderError::Io(_))), "it is locked");
+    drop(folder);
     let copy = gullcart_standins::folder::Copy::take(&path).unwrap();
-    let (keep, origin, _) = Keep::open(&path, 1 << 20, 8, None).unwrap();
-    assert!(matches!(&origin, Origin::Same(now) if now.birth == first.birth && now.life.0 == 2));
-    drop(keep);
+    let (folder, origin, _) = GroupFolder::open(&path, 1 << 20, 8, None).unwrap();
+    assert!(
+        matches!(&origin, FolderOrigin::Restarted(restarted) if restarted.folder_id == first.folder_id && restarted.incarnation.0 == 2)
+    );
+    drop(folder);
     copy.put_back().unwrap();
-    let (_keep, origin, _) = Keep::open(&path, 1 << 20, 9, None).unwrap();
-    assert!(matches!(origin, Origin::Copied(_)), "{origin:?}");
+    let (_folder, origin, _) = GroupFolder::open(&path, 1 << 20, 9, None).unwrap();
+    assert!(matches!(origin, FolderOrigin::Copied(_)), "{origin:?}");
 }
--- a/crates/gullcart-peers/src/group.rs
+++ b/crates/gullcart-peers/src/group.rs
@@ -1,19 +1,21 @@
 //! The group's loop, on a thread of its own with a runtime of its own. It moves bytes between connections, the folder and the
 //! node, and decides nothing.
 
-use crate::folder::{Keep, KeepError};
-use crate::net::{self, Event, Net};
-use crate::roster::{self, Change};
+use crate::folder::{FolderError, GroupFolder};
+use crate::net::{self, Connections, Event};
+use crate::roster::{self, MemberChanges};
 use crate::settings::Settings;
-use crate::vocabulary::{now, DutyStatus, Given, GroupError, Look, Shared, Status, Wish};
-use gullcart_group::door::{Door, Left, Origin, Passport};
-use gullcart_group::log::{Image, Record};
-use gullcart_group::member::Packed;
+use crate::types::{
+    now, DutyObservation, DutyStatus, GroupError, GroupHandover, GroupRequest, Shared, Status,
+};
+use gullcart_group::log::{Record, VoterSnapshot};
+use gullcart_group::member::MemberHandover;
+use gullcart_group::membership::{FolderHandover, FolderOrigin, Membership, ReplicaIdentity};
+use gullcart_group::message_order::RunId;
 use gullcart_group::node::Node;
-use gullcart_group::order::Run;
-use gullcart_group::seat::{Opened, Seat, Step};
-use gullcart_group::vocabulary::{Duty, Life, MemberId};
+use gullcart_group::types::{Duty, Incarnation, MemberId};
 use gullcart_group::voter::Voter;
+use gullcart_group::voting_state::{ReopenResult, VotingState, VotingStep};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -26,56 +28,75 @@
 use tracing::{error, info, warn};
 
 /// Events that wait for the loop; what comes beyond them is lost, as on a bad line.
-const EVENTS: usize = 4096;
+const MAX_QUEUED_EVENTS: usize = 4096;
 /// Events taken up in one turn.
-const BATCH: usize = 256;
+const MAX_EVENTS_PER_POLL: usize = 256;
 /// The longest that the loop sleeps.
-const LONGEST: Duration = Duration::from_millis(500);
+const MAX_SLEEP: Duration = Duration::from_millis(500);
 /// A process that leaves stays for so long after it has given all up.
-const LINGER: Duration = Duration::from_millis(250);
+const LEAVE_LINGER: Duration = Duration::from_millis(250);
 /// Another one that holds a duty is believed to for so many leases after the group was heard last: who only watches asks it
 /// every other lease.
-const BELIEVED_LEASES: u32 = 4;
+const REMOTE_HOLDER_LEASES: u32 = 4;
 /// Steps of the seat in one turn at most; the rest is for the next one.
-const STEPS: usize = 8;
+const MAX_VOTING_STEPS: usize = 8;
 
 /// All that a loop begins with.
-pub(crate) struct Begin {
+pub(crate) struct GroupStart {
     settings: Settings,
-    folder: PathBuf,
-    keep: Keep,
-    image: Image,
-    passport: Passport,
-    trouble: Option<String>,
+    folder_path: PathBuf,
+    folder: GroupFolder,
+    snapshot: VoterSnapshot,
+    identity: ReplicaIdentity,
+    problem: Option<String>,
     /// The member that it goes on as.
-    member: Option<Packed>,
-    /// The one that this process was given, whatever became of its life.
-    wants: Vec<Duty>,
+    member: Option<MemberHandover>,
+    /// The duties that the previous process requested, even if its incarnation does not continue.
+    requested_duties: Vec<Duty>,
     listener: TcpListener,
     address: SocketAddr,
 }
 
-impl Begin {
-    /// Opens the folder and the address.
-    pub fn open(settings: Settings, folder: &Path, given: Option<Given>) -> Result<Self, GroupError> {
-        let left: Option<Left> = given.as_ref().map(|given| given.left);
-        let (mut keep, origin, image) = Keep::open(folder, settings.disk, fastrand::u64(1..), left)?;
+impl GroupStart {
+    /// Opens the folder and binds the address.
+    pub fn open(
+        settings: Settings,
+        folder_path: &Path,
+        handover: Option<GroupHandover>,
+    ) -> Result<Self, GroupError> {
+        let folder_handover: Option<FolderHandover> = handover.as_ref().map(|handover| handover.folder);
+        let (mut folder, origin, snapshot) =
+            GroupFolder::open(folder_path, settings.disk_bytes, fastrand::u64(1..), folder_handover)?;
         let listen = |error| GroupError::Listen(settings.listen, error);
         let listener = TcpListener::bind(settings.listen).map_err(listen)?;
         listener.set_nonblocking(true).map_err(listen)?;
         let address = listener.local_addr().map_err(listen)?;
-        let trouble = match &origin {
-            Origin::Copied(_) => Some("its folder is a copy, or was put back: it is a new member".to_owned()),
-            Origin::New(_) | Origin::Same(_) | Origin::GoesOn(_) => None,
+        let problem = match &origin {
+            FolderOrigin::Copied(_) => {
+                Some("its folder is a copy or was restored: it is treated as new".to_owned())
+            }
+            FolderOrigin::New(_) | FolderOrigin::Restarted(_) | FolderOrigin::Continued(_) => None,
         };
-        let goes_on = matches!(origin, Origin::GoesOn(_));
-        let passport = origin.passport();
+        let is_continued = matches!(origin, FolderOrigin::Continued(_));
+        let identity = origin.into_identity();
         // Before anybody hears of this life, or of this process in it: it is never used again.
-        keep.passport(&passport)?;
-        let wants = given.as_ref().map(|given| given.member.wants().to_vec()).unwrap_or_default();
-        let member = given.filter(|_| goes_on).map(|given| given.member);
-        let folder = folder.to_owned();
-        Ok(Begin { settings, folder, keep, image, passport, trouble, member, wants, listener, address })
+        folder.save_identity(&identity)?;
+        let requested_duties =
+            handover.as_ref().map(|handover| handover.member.requested_duties().to_vec()).unwrap_or_default();
+        let member = handover.filter(|_| is_continued).map(|handover| handover.member);
+        let folder_path = folder_path.to_owned();
+        Ok(GroupStart {
+            settings,
+            folder_path,
+            folder,
+            snapshot,
+            identity,
+            problem,
+            member,
+            requested_duties,
+            listener,
+            address,
+        })
     }
 
     /// Where it listens.
@@ -87,144 +108,163 @@
 struct Group {
     settings: Settings,
     /// Members for which there is room.
-    room: usize,
-    folder: PathBuf,
+    capacity: usize,
+    folder_path: PathBuf,
     /// None while it fails: then nothing may be promised.
-    keep: Option<Keep>,
+    folder: Option<GroupFolder>,
     /// What it kept when it was opened again.
-    kept: Option<Image>,
-    door: Rc<RefCell<Door>>,
-    seat: Seat,
+    reopened_snapshot: Option<VoterSnapshot>,
+    membership: Rc<RefCell<Membership>>,
+    voting_state: VotingState,
     node: Node,
-    net: Net,
+    connections: Connections,
     shared: Arc<Mutex<Shared>>,
     changed: Arc<Notify>,
-    life: Life,
+    incarnation: Incarnation,
 }
 
 /// Belongs to the group until the courier leaves it, or is gone.
 pub(crate) async fn run(
-    begin: Begin,
+    start: GroupStart,
     shared: Arc<Mutex<Shared>>,
     changed: Arc<Notify>,
-    mut wishes: mpsc::Receiver<Wish>,
+    mut requests: mpsc::Receiver<GroupRequest>,
 ) -> Result<(), GroupError> {
-    let Begin { settings, folder, keep, image, passport, trouble, member, wants, listener, .. } = begin;
-    let life = passport.life;
-    let door = Door::new(settings.me, &settings.ids(), &settings.voters(), passport.clone());
-    let votes = door.may_vote().then_some(image);
-    let (seed, seat) = (fastrand::u64(..), Seat::new(votes.is_some(), trouble));
-    let run = Run { life, hand: passport.hand, begun: 0 };
-    let mut node = Node::new(settings.me, run, &settings.voters(), settings.terms, votes, seed, now())?;
-    for duty in &wants {
-        node.member.want(now(), duty);
+    let GroupStart {
+        settings,
+        folder_path,
+        folder,
+        snapshot,
+        identity,
+        problem,
+        member,
+        requested_duties,
+        listener,
+        ..
+    } = start;
+    let incarnation = identity.incarnation;
+    let membership =
+        Membership::new(settings.me, &settings.member_ids(), &settings.voter_ids(), identity.clone());
+    let voter_state = membership.may_vote().then_some(snapshot);
+    let seed = fastrand::u64(..);
+    let voting_state = VotingState::new(voter_state.is_some(), problem);
+    let run = RunId { incarnation, handovers: identity.handovers, restarts: 0 };
+    let mut node =
+        Node::new(settings.me, run, &settings.voter_ids(), settings.terms, voter_state, seed, now())?;
+    for duty in &requested_duties {
+        node.member.request(now(), duty);
     }
     if let Some(member) = member {
-        let goes_on = node.go_on(member, now());
-        info!(goes_on, "this process takes the place of another one in the group");
+        let goes_on = node.resume(member, now());
+        info!(goes_on, "continues the member of another process");
     }
-    let door = Rc::new(RefCell::new(door));
-    let (events, mut heard) = mpsc::channel(EVENTS);
-    let net = net::open(&settings, listener, door.clone(), events);
+    let membership = Rc::new(RefCell::new(membership));
+    let (events, mut received) = mpsc::channel(MAX_QUEUED_EVENTS);
+    let connections = net::open(&settings, listener, membership.clone(), events);
     let mut group = Group {
-        room: settings.room(),
+        capacity: settings.member_capacity(),
         settings,
-        folder,
-        keep: Some(keep),
-        kept: None,
-        door,
-        seat,
+        folder_path,
+        folder: Some(folder),
+        reopened_snapshot: None,
+        membership,
+        voting_state,
         node,
-        net,
+        connections,
         shared,
         changed,
-        life,
+        incarnation,
     };
-    let mut batch = Vec::with_capacity(BATCH);
+    let mut batch = Vec::with_capacity(MAX_EVENTS_PER_POLL);
     let mut leaving: Option<oneshot::Sender<()>> = None;
     let mut ends_at = None;
     loop {
-        group.turn();
-        let mut longest = LONGEST;
-        if leaving.is_some() && group.node.member.is_free() {
+        group.poll();
+        let mut max_sleep = MAX_SLEEP;
+        if leaving.is_some() && group.node.member.is_idle() {
             // All that was held is given up, as the group has agreed. Where this voter leads, the others need it yet to hear
             // that, and to agree on who is next.
-            let until = *ends_at.get_or_insert(now() + LINGER);
+            let until = *ends_at.get_or_insert(now() + LEAVE_LINGER);
             if now() >= until {
                 if let Some(done) = leaving.take() {
                     let _ = done.send(());
                 }
                 return Ok(());
             }
-            longest = until - now();
+            max_sleep = until - now();
         }
-        let due = group.node.next_turn().map_or(longest, |due| due - now()).min(longest);
+        let due = group.node.next_poll().map_or(max_sleep, |due| due - now()).min(max_sleep);
         tokio::select! {
-            wish = wishes.recv() => match wish {
-                Some(Wish::Want(duty)) => {
-                    if !group.node.member.want(now(), &duty) {
-                        warn!(%duty, "too many duties are wanted; this one is not asked for");
+            request = requests.recv() => match request {
+                Some(GroupRequest::Request(duty)) => {
+                    if !group.node.member.request(now(), &duty) {
+                        warn!(%duty, "too many duties are requested; this one is ignored");
                     }
                 }
-                Some(Wish::GiveUp(duty)) => group.node.member.give_up(now(), &duty),
-                Some(Wish::PassOn(duty, rest)) => group.node.member.pass_on(now(), &duty, rest),
-                Some(Wish::Tell(duty, words)) => group.node.member.tell(now(), &duty, words),
-                Some(Wish::Follow(settings)) => group.follow(*settings),
-                Some(Wish::Leave(done)) => {
-                    group.node.member.give_all_up(now());
+                Some(GroupRequest::Release(duty)) => group.node.member.release(now(), &duty),
+                Some(GroupRequest::Yield(duty, cooldown)) => group.node.member.yield_duty(now(), &duty, cooldown),
+                Some(GroupRequest::PublishNote(duty, payload)) => group.node.member.publish_note(now(), &duty, payload),
+                Some(GroupRequest::ApplySettings(settings)) => group.apply_settings(*settings),
+                Some(GroupRequest::Leave(done)) => {
+                    group.node.member.release_all(now());
                     leaving = Some(done);
                 }
-                Some(Wish::Pack(done)) => {
-                    let left = group.door.borrow().passport().left();
-                    let given = Given { member: group.node.member.pack(), left };
+                Some(GroupRequest::HandOver(done)) => {
+                    let folder = group.membership.borrow().identity().handover();
+                    let handover = GroupHandover { member: group.node.member.hand_over(), folder };
                     // The folder first: who is told may open it.
                     drop(group);
-                    let _ = done.send(Box::new(given));
+                    let _ = done.send(Box::new(handover));
                     return Ok(());
                 }
                 None => return Ok(()),
             },
-            _ = heard.recv_many(&mut batch, BATCH) => {}
+            _ = received.recv_many(&mut batch, MAX_EVENTS_PER_POLL) => {}
             () = sleep(due.max(Duration::from_millis(1))) => {}
         }
         for event in batch.drain(..) {
-            group.heard(event);
+            group.handle_event(event);
         }
     }
 }
 
 impl Group {
     /// All of what another file says, or nothing.
-    fn follow(&mut self, settings: Settings) {
-        match roster::change(&self.settings, &settings, self.room) {
-            Ok(change) if change == Change::default() => {}
-            Ok(change) => {
-                let (added, removed) = (change.added.len(), change.removed.len());
-                info!(added, removed, members = settings.members.len(), "the group has other members");
-                self.door.borrow_mut().belong(&settings.ids());
-                self.net.follow(&settings, &change);
+    fn apply_settings(&mut self, settings: Settings) {
+        match roster::diff(&self.settings, &settings, self.capacity) {
+            Ok(changes) if changes == MemberChanges::default() => {}
+            Ok(changes) => {
+                let (added, removed) = (changes.added.len(), changes.removed.len());
+                info!(
+                    added,
+                    removed,
+                    members = settings.members.len(),
+                    "the members of the group have changed"
+                );
+                self.membership.borrow_mut().set_members(&settings.member_ids());
+                self.connections.apply_changes(&settings, &changes);
                 self.settings = settings;
             }
-            Err(error) => error!(%error, "the file of the group was read again; the group stays as it was"),
+            Err(error) => error!(%error, "the group's settings file was read again and rejected"),
         }
     }
 
-    fn heard(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Met(member) => {
-                let votes = self.door.borrow().may_vote();
-                info!(%member, votes, "a member of the group was met");
+            Event::Connected(member) => {
+                let votes = self.membership.borrow().may_vote();
+                info!(%member, votes, "connected to a member of the group");
                 if let Some(voter) = self.node.voter_mut() {
                     voter.reconnected(member);
                 }
             }
-            Event::Said(from, say) => {
-                if let Err(error) = self.node.hear(now(), from, *say) {
-                    warn!(%from, %error, "what a member said is not listened to");
+            Event::Message(from, message) => {
+                if let Err(error) = self.node.handle_message(now(), from, *message) {
+                    warn!(%from, %error, "a message from a member was rejected");
                 }
             }
-            Event::Changed => {}
-            Event::Asked(reply) => {
+            Event::IdentityChanged => {}
+            Event::StatusRequested(reply) => {
                 // Who does not wait any more has given up.
                 let _ = reply.send(self.status());
             }
@@ -232,108 +272,116 @@
     }
 
     /// What a turn wrote is kept before anything of it is said.
-    fn turn(&mut self) {
-        self.settle();
-        let output = self.node.turn(now());
-        if output.records.is_empty() || self.keep_records(output.records) {
-            for (to, say) in output.messages {
-                self.net.send(to, say);
+    fn poll(&mut self) {
+        self.update_voting();
+        let output = self.node.poll(now());
+        if output.records.is_empty() || self.persist_records(output.records) {
+            for (to, message) in output.messages {
+                self.connections.send(to, message);
             }
         }
-        self.show();
+        self.publish_state();
     }
 
     /// Does what the seat says is to be done first.
-    fn settle(&mut self) {
-        let mut is_changed = std::mem::take(&mut *self.net.is_changed.borrow_mut());
-        for _ in 0..STEPS {
-            let (votes, is_new) = (self.node.voter().is_some(), std::mem::take(&mut is_changed));
-            let Some(step) = self.seat.next(now(), &self.door.borrow(), votes, is_new) else { return };
+    fn update_voting(&mut self) {
+        let mut is_changed = std::mem::take(&mut *self.connections.identity_changed.borrow_mut());
+        for _ in 0..MAX_VOTING_STEPS {
+            let (is_voting, is_new) = (self.node.voter().is_some(), std::mem::take(&mut is_changed));
+            let Some(step) = self.voting_state.next_step(now(), &self.membership.borrow(), is_voting, is_new)
+            else {
+                return;
+            };
             match step {
-                Step::Halt => {
-                    self.node.halt();
-                    if !self.seat.is_open() {
+                VotingStep::StopVoting => {
+                    self.node.stop_voting();
+                    if !self.voting_state.is_folder_open() {
                         // Its lock, too: it is judged anew when it is opened again.
-                        self.keep = None;
+                        self.folder = None;
                     }
                 }
-                Step::Open => self.open_again(),
-                Step::Keep => {
-                    let passport = self.door.borrow().passport().clone();
-                    let kept = self.keep.as_mut().map(|keep| keep.passport(&passport));
-                    if let Some(Err(error)) = kept {
-                        self.lose_folder(&error);
+                VotingStep::ReopenFolder => self.reopen_folder(),
+                VotingStep::SaveIdentity => {
+                    let identity = self.membership.borrow().identity().clone();
+                    let result = self.folder.as_mut().map(|folder| folder.save_identity(&identity));
+                    if let Some(Err(error)) = result {
+                        self.folder_failed(&error);
                     }
                 }
-                Step::Begin => self.vote(Image::default()),
-                Step::Resume => match self.kept.take() {
-                    Some(image) => self.vote(image),
+                VotingStep::StartVoting => self.start_voting(VoterSnapshot::default()),
+                VotingStep::ResumeVoting => match self.reopened_snapshot.take() {
+                    Some(snapshot) => self.start_voting(snapshot),
                     None => return,
                 },
             }
         }
     }
 
-    fn vote(&mut self, image: Image) {
-        if let Err(error) = self.node.vote_again(self.settings.terms, image, now()) {
-            error!(%error, "this courier cannot vote");
+    fn start_voting(&mut self, snapshot: VoterSnapshot) {
+        if let Err(error) = self.node.start_voting(self.settings.terms, snapshot, now()) {
+            error!(%error, "this member cannot vote");
         }
     }
 
-    fn open_again(&mut self) {
-        self.keep = None;
-        // As this process left it, it is its own, and in the same life.
-        let left = self.door.borrow().passport().left();
-        let opened = match Keep::open(&self.folder, self.settings.disk, fastrand::u64(1..), Some(left)) {
-            Ok((keep, Origin::GoesOn(_), image)) => {
-                (self.keep, self.kept) = (Some(keep), Some(image));
-                Opened::Own
+    fn reopen_folder(&mut self) {
+        self.folder = None;
+        // If it is still as this process left it, it is the same folder, and the incarnation continues.
+        let handover = self.membership.borrow().identity().handover();
+        let result = match GroupFolder::open(
+            &self.folder_path,
+            self.settings.disk_bytes,
+            fastrand::u64(1..),
+            Some(handover),
+        ) {
+            Ok((folder, FolderOrigin::Continued(_), snapshot)) => {
+                (self.folder, self.reopened_snapshot) = (Some(folder), Some(snapshot));
+                ReopenResult::SameFolder
             }
-            Ok(_) => Opened::Other,
-            Err(error) => Opened::Failed(error.to_string()),
+            Ok(_) => ReopenResult::DifferentFolder,
+            Err(error) => ReopenResult::Failed(error.to_string()),
         };
-        self.seat.opened(opened);
-        info!(trouble = self.seat.trouble(), "the folder of the group was opened again");
+        self.voting_state.folder_reopened(result);
+        info!(trouble = self.voting_state.problem(), "reopened the group's folder");
     }
 
-    fn keep_records(&mut self, records: Vec<Record>) -> bool {
-        let Some(keep) = &mut self.keep else { return false };
-        let mut kept = keep.records(records);
-        if kept.is_ok() && keep.is_long() {
-            if let Some(Record::Image(image)) = self.node.voter().map(Voter::image) {
-                kept = keep.whole(self.door.borrow().passport(), *image);
+    fn persist_records(&mut self, records: Vec<Record>) -> bool {
+        let Some(folder) = &mut self.folder else { return false };
+        let mut result = folder.append_records(records);
+        if result.is_ok() && folder.should_rewrite() {
+            if let Some(Record::Snapshot(snapshot)) = self.node.voter().map(Voter::snapshot_record) {
+                result = folder.rewrite(self.membership.borrow().identity(), *snapshot);
             }
         }
-        kept.inspect_err(|error| self.lose_folder(error)).is_ok()
+        result.inspect_err(|error| self.folder_failed(error)).is_ok()
     }
 
     /// Nothing is promised any more, until the folder can be written again.
-    fn lose_folder(&mut self, why: &KeepError) {
-        error!(%why, "what the group keeps cannot be written: this courier votes no more for now");
-        self.seat.failed(now(), &why.to_string());
-        self.node.halt();
-        self.keep = None;
+    fn folder_failed(&mut self, why: &FolderError) {
+        error!(%why, "the group's folder cannot be written: this member stops voting for now");
+        self.voting_state.folder_failed(now(), &why.to_string());
+        self.node.stop_voting();
+        self.folder = None;
     }
 
-    fn show(&self) {
+    fn publish_state(&self) {
         let member = &self.node.member;
-        let until = member.lease().unwrap_or_default();
+        let until = member.lease_until().unwrap_or_default();
         let held: BTreeMap<_, _> =
-            member.acts_on(now()).map(|(duty, epoch)| (duty.clone(), (epoch, until))).collect();
-        let believed = member.heard() + self.settings.terms.lease * BELIEVED_LEASES;
-        let look = |duty: &Duty| {
+            member.active_duties(now()).map(|(duty, epoch)| (duty.clone(), (epoch, until))).collect();
+        let believed_until = member.last_contact() + self.settings.terms.duration * REMOTE_HOLDER_LEASES;
+        let observe = |duty: &Duty| {
             let other = member.holder(duty).filter(|(holder, _)| *holder != self.settings.me);
-            let told = member.note(duty);
-            let told = told.map(|(note, at)| (note.epoch, note.words.bytes().to_vec(), at));
-            (duty.clone(), Look { other_until: other.map(|_| believed), told })
+            let note = member.note(duty);
+            let note = note.map(|(note, at)| (note.epoch, note.payload.bytes().to_vec(), at));
+            (duty.clone(), DutyObservation { held_elsewhere_until: other.map(|_| believed_until), note })
         };
-        let looks: BTreeMap<_, _> = member.wants().map(look).collect();
+        let observations: BTreeMap<_, _> = member.requested_duties().map(observe).collect();
         if let Ok(mut shared) = self.shared.lock() {
-            if !shared.held.keys().eq(held.keys()) || shared.looks != looks {
+            if !shared.held_duties.keys().eq(held.keys()) || shared.requested_duties != observations {
                 self.changed.notify_one();
             }
-            (shared.held, shared.looks) = (held, looks);
-            if std::mem::take(&mut shared.is_asked) {
+            (shared.held_duties, shared.requested_duties) = (held, observations);
+            if std::mem::take(&mut shared.is_status_requested) {
                 shared.status = self.status();
             }
         }
@@ -347,29 +395,29 @@
                 name: duty.name().to_owned(),
                 holder: Some(grant.holder.0),
                 epoch: Some(grant.epoch.0),
-                since_ms: voter.held_since(duty).map_or(0, |at| (now - at).as_millis() as u64),
-                why: None,
+                since_ms: voter.unchanged_since(duty).map_or(0, |at| (now - at).as_millis() as u64),
+                vacancy_reason: None,
             });
             duties.extend(held);
-            duties.extend(voter.vacant(now).map(|(duty, since, why)| DutyStatus {
+            duties.extend(voter.vacant_duties(now).map(|(duty, since, reason)| DutyStatus {
                 name: duty.name().to_owned(),
                 holder: None,
                 epoch: None,
                 since_ms: (now - since).as_millis() as u64,
-                why: Some(why.to_string()),
+                vacancy_reason: Some(reason.to_string()),
             }));
         }
         Status {
             me: self.settings.me.0,
-            life: self.life.0,
+            incarnation: self.incarnation.0,
             votes: voter.is_some(),
-            trouble: self.seat.trouble().map(str::to_owned),
+            problem: self.voting_state.problem().map(str::to_owned),
             leader: voter.and_then(Voter::leader).map(|MemberId(leader)| leader),
             version: voter.map_or(0, Voter::version),
             duties,
-            holds: member.acts_on(now).map(|(duty, _)| duty.name().to_owned()).collect(),
-            reached: self.net.reached().iter().map(|member| member.0).collect(),
-            heard_ms: (now - member.heard()).as_millis() as u64,
+            held_duties: member.active_duties(now).map(|(duty, _)| duty.name().to_owned()).collect(),
+            reachable_members: self.connections.reached().iter().map(|member| member.0).collect(),
+            last_contact_ms: (now - member.last_contact()).as_millis() as u64,
         }
     }
 }
--- a/crates/gullcart-peers/src/handle.rs
+++ b/crates/gullcart-peers/src/handle.rs
@@ -1,10 +1,10 @@
 //! The courier's side of the group: a handle that says what may be done, from what was agreed on last and the clock, and waits
 //! for nobody.
 
-use crate::group::{run, Begin};
+use crate::group::{run, GroupStart};
 use crate::settings::Settings;
-use crate::vocabulary::{now, Given, GroupError, Look, Shared, Status, Wish};
-use gullcart_group::vocabulary::{Duty, Epoch, Words};
+use crate::types::{now, DutyObservation, GroupError, GroupHandover, GroupRequest, Shared, Status};
+use gullcart_group::types::{Duty, Epoch, Payload};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::{Arc, Mutex};
@@ -16,14 +16,14 @@
 use tracing::{error, info};
 
 /// Wishes of the courier that wait.
-const WISHES: usize = 1024;
+const MAX_QUEUED_REQUESTS: usize = 1024;
 /// Between two looks whether the thread has ended.
-const ENDING: Duration = Duration::from_millis(1);
+const THREAD_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// The courier's side.
 pub struct Handle {
     shared: Arc<Mutex<Shared>>,
-    wishes: mpsc::Sender<Wish>,
+    requests: mpsc::Sender<GroupRequest>,
     address: SocketAddr,
     thread: JoinHandle<()>,
     changed: Arc<Notify>,
@@ -36,27 +36,27 @@
     }
 
     /// Under which epoch a duty may be acted on now; to be asked right before each act.
-    pub fn may_act(&self, duty: &Duty) -> Option<Epoch> {
-        self.holds(duty).map(|(epoch, _)| epoch)
+    pub fn active_epoch(&self, duty: &Duty) -> Option<Epoch> {
+        self.held_lease(duty).map(|(epoch, _)| epoch)
     }
 
     /// The same, and for how long if nothing more is heard.
-    pub fn holds(&self, duty: &Duty) -> Option<(Epoch, Duration)> {
+    pub fn held_lease(&self, duty: &Duty) -> Option<(Epoch, Duration)> {
         let shared = self.shared.lock().ok()?;
-        let (epoch, until) = shared.held.get(duty)?;
-        // The clock last: the lock may have been waited for.
-        let left = *until - now();
-        (!left.is_zero()).then_some((*epoch, left))
+        let (epoch, until) = shared.held_duties.get(duty)?;
+        // The clock is read after the lock, which may have been waited for.
+        let remaining = *until - now();
+        (!remaining.is_zero()).then_some((*epoch, remaining))
     }
 
     /// How a duty stands that is wanted.
-    pub fn look(&self, duty: &Duty) -> Option<Look> {
-        self.shared.lock().ok()?.looks.get(duty).cloned()
+    pub fn observe(&self, duty: &Duty) -> Option<DutyObservation> {
+        self.shared.lock().ok()?.requested_duties.get(duty).cloned()
     }
 
     /// All that is wanted.
-    pub fn wants(&self) -> Vec<Duty> {
-        self.shared.lock().map(|shared| shared.looks.keys().cloned().collect()).unwrap_or_default()
+    pub fn requested_duties(&self) -> Vec<Duty> {
+        self.shared.lock().map(|shared| shared.requested_duties.keys().cloned().collect()).unwrap_or_default()
     }
 
     /// Notified when what is held, or how something wanted stands, has changed.
@@ -65,105 +65,110 @@
     }
 
     /// Wants to hold a duty; false where too much is asked at once.
-    pub fn want(&self, duty: Duty) -> bool {
-        self.wishes.try_send(Wish::Want(duty)).is_ok()
+    pub fn request(&self, duty: Duty) -> bool {
+        self.requests.try_send(GroupRequest::Request(duty)).is_ok()
     }
 
     /// Wants it no more: it is not acted on from here on, whatever the group has heard of that.
-    pub fn give_up(&self, duty: Duty) -> bool {
+    pub fn release(&self, duty: Duty) -> bool {
         if let Ok(mut shared) = self.shared.lock() {
-            shared.held.remove(&duty);
+            shared.held_duties.remove(&duty);
         }
-        self.wishes.try_send(Wish::GiveUp(duty)).is_ok()
+        self.requests.try_send(GroupRequest::Release(duty)).is_ok()
     }
 
     /// Gives it up where it is held, wants to hear of it all the same, and does not claim it for so long.
-    pub fn pass_on(&self, duty: Duty, rest: Duration) -> bool {
+    pub fn yield_duty(&self, duty: Duty, cooldown: Duration) -> bool {
         if let Ok(mut shared) = self.shared.lock() {
-            shared.held.remove(&duty);
+            shared.held_duties.remove(&duty);
         }
-        self.wishes.try_send(Wish::PassOn(duty, rest)).is_ok()
+        self.requests.try_send(GroupRequest::Yield(duty, cooldown)).is_ok()
     }
 
     /// Tells all that want a duty something of it, while it is held here.
-    pub fn tell(&self, duty: Duty, words: Words) -> bool {
-        self.wishes.try_send(Wish::Tell(duty, words)).is_ok()
+    pub fn publish_note(&self, duty: Duty, payload: Payload) -> bool {
+        self.requests.try_send(GroupRequest::PublishNote(duty, payload)).is_ok()
     }
 
     /// Follows another file, as far as that may change in service; what of it is refused is in the log. False where too much is
     /// asked at once.
-    pub fn follow(&self, settings: Settings) -> bool {
-        self.wishes.try_send(Wish::Follow(Box::new(settings))).is_ok()
+    pub fn apply_settings(&self, settings: Settings) -> bool {
+        self.requests.try_send(GroupRequest::ApplySettings(Box::new(settings))).is_ok()
     }
 
     /// How the group stood when it was last looked at or changed.
     pub fn status(&self) -> Status {
         let Ok(mut shared) = self.shared.lock() else { return Status::default() };
-        shared.is_asked = true;
+        shared.is_status_requested = true;
         shared.status.clone()
     }
 
     /// Whether the group has ended by itself: the courier goes on without.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.thread.is_finished()
     }
 
     /// What is held is not acted on any more by this process, whatever it does.
-    fn clear(&self) {
+    fn clear_held(&self) {
         if let Ok(mut shared) = self.shared.lock() {
-            shared.held.clear();
+            shared.held_duties.clear();
         }
     }
 
     /// Gives all up and ends; whether the group has heard of it in time. The loop ends soon after, whatever was heard.
-    pub async fn leave(self, within: Duration) -> bool {
-        let (done, left) = oneshot::channel();
-        self.clear();
-        let told = self.wishes.try_send(Wish::Leave(done)).is_ok();
-        told && timeout(within, left).await.is_ok_and(|left| left.is_ok())
-    }
-
-    /// Stops without giving anything up, for another process of the same folder to go on in this one's place. The folder and the
-    /// address are free after this, where something is given.
-    pub async fn give_away(self, within: Duration) -> Option<Given> {
-        let (done, given) = oneshot::channel();
-        self.clear();
-        self.wishes.try_send(Wish::Pack(done)).ok()?;
-        let ended = timeout(within, async {
-            let given = given.await.ok()?;
+    pub async fn leave(self, time_limit: Duration) -> bool {
+        let (done, released) = oneshot::channel();
+        self.clear_held();
+        let is_queued = self.requests.try_send(GroupRequest::Leave(done)).is_ok();
+        is_queued && timeout(time_limit, released).await.is_ok_and(|released| released.is_ok())
+    }
+
+    /// Stops without releasing anything, so that another process can continue with the same folder. If a state is returned, the
+    /// folder and the address are free.
+    pub async fn hand_over(self, time_limit: Duration) -> Option<GroupHandover> {
+        let (done, handover) = oneshot::channel();
+        self.clear_held();
+        self.requests.try_send(GroupRequest::HandOver(done)).ok()?;
+        let ended = timeout(time_limit, async {
+            let handover = handover.await.ok()?;
             while !self.thread.is_finished() {
-                sleep(ENDING).await;
+                sleep(THREAD_POLL_INTERVAL).await;
             }
-            Some(*given)
+            Some(*handover)
         });
         ended.await.ok().flatten()
     }
 }
 
-/// Begins to belong to the group, or goes on in the place of a process that gave itself up to this one.
-pub fn start(settings: Settings, folder: &Path, given: Option<Given>) -> Result<Handle, GroupError> {
-    let begin = Begin::open(settings, folder, given)?;
-    let address = begin.address();
+/// Starts a member, or continues one that another process has handed over.
+pub fn start(
+    settings: Settings,
+    folder: &Path,
+    handover: Option<GroupHandover>,
+) -> Result<Handle, GroupError> {
+    let group_start = GroupStart::open(settings, folder, handover)?;
+    let address = group_start.address();
     let shared = Arc::new(Mutex::new(Shared::default()));
-    let (wishes, wished) = mpsc::channel(WISHES);
-    let (told, changed) = (shared.clone(), Arc::new(Notify::new()));
-    let tell = changed.clone();
-    let work = move || {
+    let (requests, queued) = mpsc::channel(MAX_QUEUED_REQUESTS);
+    let (thread_shared, changed) = (shared.clone(), Arc::new(Notify::new()));
+    let thread_changed = changed.clone();
+    let run_thread = move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        let done = runtime
-            .map_err(GroupError::Thread)
-            .and_then(|runtime| LocalSet::new().block_on(&runtime, run(begin, told.clone(), tell, wished)));
-        if let Err(error) = done {
-            error!(%error, "this courier belongs to no group any more, and goes on by itself");
-            if let Ok(mut shared) = told.lock() {
-                shared.held.clear();
+        let result = runtime.map_err(GroupError::Thread).and_then(|runtime| {
+            LocalSet::new()
+                .block_on(&runtime, run(group_start, thread_shared.clone(), thread_changed, queued))
+        });
+        if let Err(error) = result {
+            error!(%error, "the group's thread has failed; this courier continues without a group");
+            if let Ok(mut shared) = thread_shared.lock() {
+                shared.held_duties.clear();
                 shared.status.votes = false;
-                shared.status.trouble = Some(error.to_string());
+                shared.status.problem = Some(error.to_string());
             }
         }
     };
     let thread =
-        std::thread::Builder::new().name("group".to_owned()).spawn(work).map_err(GroupError::Thread)?;
-    info!(%address, "the group listens");
-    Ok(Handle { shared, wishes, address, thread, changed })
+        std::thread::Builder::new().name("group".to_owned()).spawn(run_thread).map_err(GroupError::Thread)?;
+    info!(%address, "listening for members of the group");
+    Ok(Handle { shared, requests, address, thread, changed })
 }
--- a/crates/gullcart-peers/src/lib.rs
+++ b/crates/gullcart-peers/src/lib.rs
@@ -6,12 +6,12 @@
 #![forbid(unsafe_code)]
 
 pub mod folder;
-mod frames;
+mod frame_io;
 mod group;
 pub mod handle;
 mod net;
 pub mod operator;
+pub mod protocol;
 pub mod roster;
-pub mod sealed;
 pub mod settings;
-pub mod vocabulary;
+pub mod types;
--- a/crates/gullcart-peers/src/net.rs
+++ b/crates/gullcart-peers/src/net.rs
@@ -1,14 +1,17 @@
 //! Connections of a group: each member calls each other one, says what it has to say on that connection, and hears on those
 //! that the others opened. What cannot be said is lost, which the group is made for.
 
-use crate::frames::{bad, greet, read_frame, write_frame, write_greeting};
-use crate::roster::Change;
-use crate::sealed::{Greeting, Opening, SealError, Sealed, CODE, MOST_FRAME, MOST_GREETING, VERSION};
+use crate::frame_io::{exchange_hellos, invalid_data, read_frame, write_frame, write_hello};
+use crate::protocol::{
+    ConnectionPurpose, FrameCodec, FrameError, Hello, MAC_BYTES, MAX_FRAME_BYTES, MAX_HELLO_BYTES,
+    PROTOCOL_VERSION,
+};
+use crate::roster::MemberChanges;
 use crate::settings::Settings;
-use crate::vocabulary::{Status, OPERATOR};
-use gullcart_group::door::{Door, Turned};
-use gullcart_group::say::Say;
-use gullcart_group::vocabulary::MemberId;
+use crate::types::{Status, OPERATOR};
+use gullcart_group::membership::{AdmissionError, Membership};
+use gullcart_group::message::PeerMessage;
+use gullcart_group::types::MemberId;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -23,66 +26,67 @@
 use tracing::{debug, warn};
 
 /// Words to one member that wait to be said; more are lost.
-const WAITING: usize = 1024;
+const MAX_QUEUED_MESSAGES: usize = 1024;
 /// Between two calls to a member that cannot be reached, at first and at most; a chance part of it is taken off.
-const BACK_OFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(2));
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 /// How long a call, and the first words, may take.
-const PATIENCE: Duration = Duration::from_millis(800);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(800);
 /// How long what was written may not be taken by the other side.
-const STALLED: Duration = Duration::from_secs(2);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// A connection on which nothing was said for so long gets an empty frame, and one on which nothing came for longer is closed.
-const QUIET: Duration = Duration::from_secs(2);
-const SILENT: Duration = Duration::from_secs(7);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+const READ_TIMEOUT: Duration = Duration::from_secs(7);
 /// Connections from operators, and from members whose connection before is not closed yet, beside one from each member; and
 /// between two that cannot be accepted.
-const MORE_CALLERS: usize = 8;
-const PAUSE: Duration = Duration::from_millis(20);
+const EXTRA_CONNECTIONS: usize = 8;
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// What the loop hears.
 pub enum Event {
     /// A connection to a member is up.
-    Met(MemberId),
+    Connected(MemberId),
     /// A member said something.
-    Said(MemberId, Box<Say>),
+    Message(MemberId, Box<PeerMessage>),
     /// Somebody was met for the first time.
-    Changed,
+    IdentityChanged,
     /// An operator asks how the group stands.
-    Asked(oneshot::Sender<Status>),
+    StatusRequested(oneshot::Sender<Status>),
 }
 
 /// The connections.
-pub struct Net {
-    out: BTreeMap<MemberId, mpsc::Sender<Say>>,
-    site: Rc<Site>,
+pub struct Connections {
+    outgoing: BTreeMap<MemberId, mpsc::Sender<PeerMessage>>,
+    context: Rc<ConnectionContext>,
     reached: Rc<RefCell<BTreeSet<MemberId>>>,
     /// The door has learnt something that is to be kept.
-    pub is_changed: Rc<RefCell<bool>>,
+    pub identity_changed: Rc<RefCell<bool>>,
 }
 
-impl Net {
+impl Connections {
     /// Says something to a member, if it can be reached.
-    pub fn send(&self, to: MemberId, say: Say) {
-        if let Some(out) = self.out.get(&to) {
-            // What finds no place is lost.
-            let _ = out.try_send(say);
+    pub fn send(&self, to: MemberId, message: PeerMessage) {
+        if let Some(outgoing) = self.outgoing.get(&to) {
+            // Dropped if the queue is full.
+            let _ = outgoing.try_send(message);
         }
     }
 
     /// Talks to others from now on, and no more to some.
-    pub fn follow(&mut self, settings: &Settings, change: &Change) {
-        for gone in &change.removed {
+    pub fn apply_changes(&mut self, settings: &Settings, changes: &MemberChanges) {
+        for removed in &changes.removed {
             // Its connection ends with what there is to say.
-            self.out.remove(gone);
+            self.outgoing.remove(removed);
         }
-        for member in settings.talks_to().filter(|member| change.added.contains(member)) {
-            self.talk_to(MemberId(member.number), member.address);
+        for member in settings.peers().filter(|member| changes.added.contains(member)) {
+            self.open_connection(MemberId(member.number), member.address);
         }
     }
 
-    fn talk_to(&mut self, to: MemberId, address: SocketAddr) {
-        let (say, said) = mpsc::channel(WAITING);
-        self.out.insert(to, say);
-        spawn_local(call(self.site.clone(), to, address, said));
+    fn open_connection(&mut self, to: MemberId, address: SocketAddr) {
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        self.outgoing.insert(to, sender);
+        spawn_local(maintain_connection(self.context.clone(), to, address, receiver));
     }
 
     /// Members that can be talked to.
@@ -92,84 +96,96 @@
 }
 
 /// What all connections share.
-struct Site {
+struct ConnectionContext {
     me: MemberId,
-    group: u64,
+    group_id: u64,
     key: Vec<u8>,
-    door: Rc<RefCell<Door>>,
+    membership: Rc<RefCell<Membership>>,
     events: mpsc::Sender<Event>,
     reached: Rc<RefCell<BTreeSet<MemberId>>>,
-    is_changed: Rc<RefCell<bool>>,
-    callers: RefCell<usize>,
-    most_callers: usize,
+    identity_changed: Rc<RefCell<bool>>,
+    open_connections: RefCell<usize>,
+    max_connections: usize,
 }
 
 /// Calls all others, and hears those that call.
 pub fn open(
     settings: &Settings,
     listener: std::net::TcpListener,
-    door: Rc<RefCell<Door>>,
+    membership: Rc<RefCell<Membership>>,
     events: mpsc::Sender<Event>,
-) -> Net {
-    let (reached, is_changed) = (Rc::default(), Rc::default());
-    let site = Rc::new(Site {
+) -> Connections {
+    let (reached, identity_changed) = (Rc::default(), Rc::default());
+    let context = Rc::new(ConnectionContext {
         me: settings.me,
-        group: settings.group(),
+        group_id: settings.group_id(),
         key: settings.key.clone(),
-        door,
+        membership,
         events,
         reached: Rc::clone(&reached),
-        is_changed: Rc::clone(&is_changed),
-        callers: RefCell::default(),
-        most_callers: settings.room() + MORE_CALLERS,
+        identity_changed: Rc::clone(&identity_changed),
+        open_connections: RefCell::default(),
+        max_connections: settings.member_capacity() + EXTRA_CONNECTIONS,
     });
-    spawn_local(accept(listener, site.clone()));
-    let mut net = Net { out: BTreeMap::new(), site, reached, is_changed };
-    for member in settings.talks_to() {
-        net.talk_to(MemberId(member.number), member.address);
+    spawn_local(accept(listener, context.clone()));
+    let mut connections = Connections { outgoing: BTreeMap::new(), context, reached, identity_changed };
+    for member in settings.peers() {
+        connections.open_connection(MemberId(member.number), member.address);
     }
-    net
+    connections
 }
 
-impl Site {
-    fn greeting(&self, to: MemberId, answers: Option<u128>) -> Greeting {
-        let card = self.door.borrow().card(to);
-        Greeting { version: VERSION, card, to: to.0, group: self.group, nonce: fastrand::u128(..), answers }
+impl ConnectionContext {
+    fn hello(&self, to: MemberId, reply_to: Option<u128>) -> Hello {
+        let handshake = self.membership.borrow().handshake(to);
+        Hello {
+            version: PROTOCOL_VERSION,
+            handshake,
+            to: to.0,
+            group_id: self.group_id,
+            nonce: fastrand::u128(..),
+            reply_to,
+        }
     }
 
     /// Lets somebody in, or not.
-    fn meet(&self, greeting: &Greeting) -> io::Result<()> {
-        if greeting.group != self.group {
-            return Err(bad(SealError::Group));
+    fn admit(&self, hello: &Hello) -> io::Result<()> {
+        if hello.group_id != self.group_id {
+            return Err(invalid_data(FrameError::Group));
         }
-        let met = self.door.borrow_mut().meet(greeting.card);
-        match met {
+        let admitted = self.membership.borrow_mut().admit(hello.handshake);
+        match admitted {
             Ok(false) => Ok(()),
             Ok(true) => {
-                *self.is_changed.borrow_mut() = true;
-                let _ = self.events.try_send(Event::Changed);
+                *self.identity_changed.borrow_mut() = true;
+                let _ = self.events.try_send(Event::IdentityChanged);
                 Ok(())
             }
-            Err(turned) => Err(io::Error::new(io::ErrorKind::PermissionDenied, turned)),
+            Err(rejection) => Err(io::Error::new(io::ErrorKind::PermissionDenied, rejection)),
         }
     }
 }
 
-/// Keeps a connection to one member, and says on it what there is to say.
-async fn call(site: Rc<Site>, to: MemberId, address: SocketAddr, mut said: mpsc::Receiver<Say>) {
-    let mut wait = BACK_OFF.0;
-    let mut last = String::new();
+/// Keeps a connection to one member open, and sends the queued messages on it.
+async fn maintain_connection(
+    context: Rc<ConnectionContext>,
+    to: MemberId,
+    address: SocketAddr,
+    mut messages: mpsc::Receiver<PeerMessage>,
+) {
+    let mut backoff = MIN_BACKOFF;
+    let mut last_error = String::new();
     loop {
-        let called = timeout(PATIENCE, begin(&site, to, address)).await;
-        match called.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())) {
-            Ok((stream, sealed)) => {
-                (wait, last) = (BACK_OFF.0, String::new());
-                site.reached.borrow_mut().insert(to);
+        let connected = timeout(HANDSHAKE_TIMEOUT, connect(&context, to, address)).await;
+        match connected.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())) {
+            Ok((stream, codec)) => {
+                (backoff, last_error) = (MIN_BACKOFF, String::new());
+                context.reached.borrow_mut().insert(to);
                 // What waited was said to nobody, and is old by now.
-                while said.try_recv().is_ok() {}
-                let _ = site.events.try_send(Event::Met(to));
-                let ended = talk(stream, sealed, &mut said).await;
-                site.reached.borrow_mut().remove(&to);
+                while messages.try_recv().is_ok() {}
+                let _ = context.events.try_send(Event::Connected(to));
+                let ended = send_messages(stream, codec, &mut messages).await;
+                context.reached.borrow_mut().remove(&to);
                 match ended {
                     Ok(()) => return,
                     Err(error) => debug!(%to, %error, "the connection to a member has ended"),
@@ -177,121 +193,136 @@
             }
             Err(error) => {
                 let why = error.to_string();
-                if why != last && error.kind() != io::ErrorKind::ConnectionRefused {
-                    warn!(%to, why, "a member cannot be talked to");
+                if why != last_error && error.kind() != io::ErrorKind::ConnectionRefused {
+                    warn!(%to, why, "cannot connect to a member");
                 }
-                last = why;
-                if said.is_closed() {
+                last_error = why;
+                if messages.is_closed() {
                     return;
                 }
             }
         }
-        sleep(wait.mul_f64(0.5 + 0.5 * fastrand::f64())).await;
-        wait = (wait * 2).min(BACK_OFF.1);
+        sleep(backoff.mul_f64(0.5 + 0.5 * fastrand::f64())).await;
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
 
-async fn begin(site: &Site, to: MemberId, address: SocketAddr) -> io::Result<(TcpStream, Sealed)> {
+/// Opens a connection and exchanges hellos.
+async fn connect(
+    context: &ConnectionContext,
+    to: MemberId,
+    address: SocketAddr,
+) -> io::Result<(TcpStream, FrameCodec)> {
     let mut stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
-    let mine = site.greeting(to, None);
-    let theirs = greet(&mut stream, &mine, &site.key).await?;
-    site.meet(&theirs)?;
-    let mut sealed = Sealed::new(&site.key, &mine, &theirs);
-    write_frame(&mut stream, &mut sealed, &Opening::Member).await?;
-    Ok((stream, sealed))
+    let own = context.hello(to, None);
+    let peer = exchange_hellos(&mut stream, &own, &context.key).await?;
+    context.admit(&peer)?;
+    let mut codec = FrameCodec::new(&context.key, &own, &peer);
+    write_frame(&mut stream, &mut codec, &ConnectionPurpose::Member).await?;
+    Ok((stream, codec))
 }
 
-/// Says what there is to say until the connection fails, or nothing will ever be said again.
-async fn talk(mut stream: TcpStream, mut sealed: Sealed, said: &mut mpsc::Receiver<Say>) -> io::Result<()> {
-    let (mut back, mut out) = stream.split();
-    let mut nothing = [0];
+/// Sends messages until the connection fails or the queue is closed.
+async fn send_messages(
+    mut stream: TcpStream,
+    mut codec: FrameCodec,
+    messages: &mut mpsc::Receiver<PeerMessage>,
+) -> io::Result<()> {
+    let (mut incoming, mut outgoing) = stream.split();
+    let mut unused = [0];
     loop {
         let frame = tokio::select! {
-            say = said.recv() => match say {
-                Some(say) => sealed.write(&say),
+            message = messages.recv() => match message {
+                Some(message) => codec.write(&message),
                 None => return Ok(()),
             },
-            // Nothing comes on this one but its end.
-            _ = back.read(&mut nothing) => return Err(io::ErrorKind::ConnectionReset.into()),
-            () = sleep(QUIET) => Some(0u32.to_le_bytes().to_vec()),
+            // The other side sends nothing on this connection, so a read only returns when it is closed.
+            _ = incoming.read(&mut unused) => return Err(io::ErrorKind::ConnectionReset.into()),
+            () = sleep(KEEPALIVE_INTERVAL) => Some(0u32.to_le_bytes().to_vec()),
         };
         if let Some(frame) = frame {
-            timeout(STALLED, out.write_all(&frame)).await??;
+            timeout(WRITE_TIMEOUT, outgoing.write_all(&frame)).await??;
         }
     }
 }
 
-async fn accept(listener: std::net::TcpListener, site: Rc<Site>) {
+async fn accept(listener: std::net::TcpListener, context: Rc<ConnectionContext>) {
     let Ok(listener) = TcpListener::from_std(listener) else { return };
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if *site.callers.borrow() >= site.most_callers {
+        if *context.open_connections.borrow() >= context.max_connections {
             continue;
         }
-        *site.callers.borrow_mut() += 1;
-        let site = site.clone();
+        *context.open_connections.borrow_mut() += 1;
+        let context = context.clone();
         spawn_local(async move {
-            if let Err(error) = hear(stream, &site).await {
+            if let Err(error) = serve_connection(stream, &context).await {
                 if !matches!(error.kind(), io::ErrorKind::UnexpectedEof | io::ErrorKind::ConnectionReset) {
-                    debug!(%error, "a caller was turned away, or its connection failed");
+                    debug!(%error, "an incoming connection was rejected or has failed");
                 }
             }
-            *site.callers.borrow_mut() -= 1;
+            *context.open_connections.borrow_mut() -= 1;
         });
     }
 }
 
-/// Tells an operator how the group stands.
-async fn answer(mut stream: TcpStream, site: &Site, mut sealed: Sealed) -> io::Result<()> {
-    let (reply, told) = oneshot::channel();
-    let status = timeout(PATIENCE, async {
-        site.events.send(Event::Asked(reply)).await.ok()?;
-        told.await.ok()
+/// Sends the status to an operator's tool.
+async fn send_status(
+    mut stream: TcpStream,
+    context: &ConnectionContext,
+    mut codec: FrameCodec,
+) -> io::Result<()> {
+    let (reply, response) = oneshot::channel();
+    let status = timeout(HANDSHAKE_TIMEOUT, async {
+        context.events.send(Event::StatusRequested(reply)).await.ok()?;
+        response.await.ok()
     });
     let Some(status) = status.await? else { return Ok(()) };
-    timeout(PATIENCE, write_frame(&mut stream, &mut sealed, &status)).await??;
+    timeout(HANDSHAKE_TIMEOUT, write_frame(&mut stream, &mut codec, &status)).await??;
     stream.shutdown().await
 }
 
-async fn hear(mut stream: TcpStream, site: &Site) -> io::Result<()> {
+async fn serve_connection(mut stream: TcpStream, context: &ConnectionContext) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    let opened = timeout(PATIENCE, async {
-        let bytes = read_frame(&mut stream, MOST_GREETING).await?;
-        let theirs = Greeting::read(&site.key, &bytes, site.me.0).map_err(bad)?;
-        let mine = site.greeting(theirs.card.member, Some(theirs.nonce));
+    let opened = timeout(HANDSHAKE_TIMEOUT, async {
+        let bytes = read_frame(&mut stream, MAX_HELLO_BYTES).await?;
+        let peer = Hello::read(&context.key, &bytes, context.me.0).map_err(invalid_data)?;
+        let own = context.hello(peer.handshake.member, Some(peer.nonce));
         // It is told who this is before it is let in: it may have to learn that it is known by another folder.
-        write_greeting(&mut stream, &mine, &site.key).await?;
-        let mut sealed = Sealed::new(&site.key, &theirs, &mine);
-        let bytes = read_frame(&mut stream, MOST_GREETING).await?;
-        let opening: Opening = sealed.read(&bytes).map_err(bad)?;
-        Ok::<_, io::Error>((theirs, mine, sealed, opening))
+        write_hello(&mut stream, &own, &context.key).await?;
+        let mut codec = FrameCodec::new(&context.key, &peer, &own);
+        let bytes = read_frame(&mut stream, MAX_HELLO_BYTES).await?;
+        let purpose: ConnectionPurpose = codec.read(&bytes).map_err(invalid_data)?;
+        Ok::<_, io::Error>((peer, own, codec, purpose))
     });
-    let (theirs, mine, mut sealed, opening) = opened.await??;
-    let from = theirs.card.member;
-    match (opening, from == OPERATOR) {
-        (Opening::Status, true) => return answer(stream, site, Sealed::new(&site.key, &mine, &theirs)).await,
-        (Opening::Member, false) => site.meet(&theirs)?,
-        _ => return Err(bad(SealError::Unreadable)),
+    let (peer, own, mut codec, purpose) = opened.await??;
+    let from = peer.handshake.member;
+    match (purpose, from == OPERATOR) {
+        (ConnectionPurpose::Status, true) => {
+            return send_status(stream, context, FrameCodec::new(&context.key, &own, &peer)).await
+        }
+        (ConnectionPurpose::Member, false) => context.admit(&peer)?,
+        _ => return Err(invalid_data(FrameError::Malformed)),
     }
     loop {
-        let length = timeout(SILENT, stream.read_u32_le()).await?? as usize;
+        let length = timeout(READ_TIMEOUT, stream.read_u32_le()).await?? as usize;
         if length == 0 {
             continue;
         }
-        if !(CODE..=MOST_FRAME).contains(&length) {
-            return Err(bad(SealError::Length(length)));
+        if !(MAC_BYTES..=MAX_FRAME_BYTES).contains(&length) {
+            return Err(invalid_data(FrameError::Length(length)));
         }
         let mut bytes = vec![0; length];
-        timeout(SILENT, stream.read_exact(&mut bytes)).await??;
-        let say: Say = sealed.read(&bytes).map_err(bad)?;
-        if !site.door.borrow().is_member(from) {
-            return Err(io::Error::new(io::ErrorKind::PermissionDenied, Turned::Stranger(from)));
+        timeout(READ_TIMEOUT, stream.read_exact(&mut bytes)).await??;
+        let message: PeerMessage = codec.read(&bytes).map_err(invalid_data)?;
+        if !context.membership.borrow().is_member(from) {
+            return Err(io::Error::new(io::ErrorKind::PermissionDenied, AdmissionError::NotMember(from)));
         }
-        if site.events.send(Event::Said(from, Box::new(say))).await.is_err() {
+        if context.events.send(Event::Message(from, Box::new(message))).await.is_err() {
             return Ok(());
         }
     }
--- a/crates/gullcart-peers/src/net/tests.rs
+++ b/crates/gullcart-peers/src/net/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use gullcart_group::door::{Birth, Card, Mark, Origin};
-use gullcart_group::vocabulary::{Life, Terms};
+use gullcart_group::membership::{FolderFingerprint, FolderId, FolderOrigin, Handshake};
+use gullcart_group::types::{Incarnation, LeaseTerms};
 use tokio::task::LocalSet;
 
 const KEY: &[u8] = b"a key that is for tests alone";
@@ -13,52 +13,71 @@
         votes: true,
     };
     let members = (1..=3).map(member).collect();
-    Settings { me: MemberId(1), listen, key: KEY.to_vec(), terms: Terms::default(), disk: 1 << 20, members }
+    Settings {
+        me: MemberId(1),
+        listen,
+        key: KEY.to_vec(),
+        terms: LeaseTerms::default(),
+        disk_bytes: 1 << 20,
+        members,
+    }
 }
 
 /// What member 2 said once may be said again by anybody who heard it. It is taken for an old word until who called has shown
 /// that it made the code of this very connection.
 #[test]
-fn a_greeting_of_long_ago_lets_nobody_in() {
+fn a_replayed_hello_is_not_admitted() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         listener.set_nonblocking(true).unwrap();
         let address = listener.local_addr().unwrap();
         let settings = settings(address);
-        let passport = Origin::of(None, Mark { device: 1, inode: 1, made_ns: 1 }, 9, None).passport();
-        let door = Door::new(settings.me, &settings.ids(), &settings.voters(), passport);
-        let door = Rc::new(RefCell::new(door));
-        let (events, _heard) = mpsc::channel(16);
-        let _net = open(&settings, listener, door.clone(), events);
-        let card = Card { member: MemberId(2), birth: Birth(5), life: Life(1), knows_you: None };
-        let group = settings.group();
-        let old = Greeting { version: VERSION, card, to: 1, group, nonce: 7, answers: None };
-        let knows = || door.borrow().card(MemberId(2)).knows_you;
-        let greeted = async |greeting: &Greeting| {
+        let identity =
+            FolderOrigin::determine(None, FolderFingerprint { device: 1, inode: 1, created_ns: 1 }, 9, None)
+                .into_identity();
+        let membership =
+            Membership::new(settings.me, &settings.member_ids(), &settings.voter_ids(), identity);
+        let membership = Rc::new(RefCell::new(membership));
+        let (events, _received) = mpsc::channel(16);
+        let _connections = open(&settings, listener, membership.clone(), events);
+        let handshake = Handshake {
+            member: MemberId(2),
+            folder_id: FolderId(5),
+            incarnation: Incarnation(1),
+            expected_folder_id: None,
+        };
+        let group_id = settings.group_id();
+        let replayed =
+            Hello { version: PROTOCOL_VERSION, handshake, to: 1, group_id, nonce: 7, reply_to: None };
+        let known_folder = || membership.borrow().handshake(MemberId(2)).expected_folder_id;
+        let exchange = async |hello: &Hello| {
             let mut stream = TcpStream::connect(address).await.unwrap();
-            write_greeting(&mut stream, greeting, KEY).await.unwrap();
-            let bytes = read_frame(&mut stream, MOST_GREETING).await.unwrap();
-            (stream, Greeting::read_answer(KEY, &bytes, greeting).unwrap())
+            write_hello(&mut stream, hello, KEY).await.unwrap();
+            let bytes = read_frame(&mut stream, MAX_HELLO_BYTES).await.unwrap();
+            (stream, Hello::read_reply(KEY, &bytes, hello).unwrap())
         };
-        let (mut stream, _) = greeted(&old).await;
+        let (mut stream, _) = exchange(&replayed).await;
         stream.write_all(&[&60u32.to_le_bytes()[..], &[0; 60]].concat()).await.unwrap();
-        assert!(stream.read_u8().await.is_err(), "it is closed on who cannot make the code");
-        assert_eq!(knows(), None);
-        // Nor is one let in that belongs to another group with the same key.
-        let other = Greeting { group: group ^ 1, ..old };
-        let (mut stream, theirs) = greeted(&other).await;
-        let mut sealed = Sealed::new(KEY, &other, &theirs);
-        write_frame(&mut stream, &mut sealed, &Opening::Member).await.unwrap();
+        assert!(
+            stream.read_u8().await.is_err(),
+            "a frame without a valid authentication code closes the connection"
+        );
+        assert_eq!(known_folder(), None);
+        // A member of another group with the same key is rejected.
+        let other = Hello { group_id: group_id ^ 1, ..replayed };
+        let (mut stream, reply) = exchange(&other).await;
+        let mut codec = FrameCodec::new(KEY, &other, &reply);
+        write_frame(&mut stream, &mut codec, &ConnectionPurpose::Member).await.unwrap();
         assert!(stream.read_u8().await.is_err());
-        assert_eq!(knows(), None);
+        assert_eq!(known_folder(), None);
         // Who can is let in, with the same words.
-        let (mut stream, theirs) = greeted(&old).await;
-        let mut sealed = Sealed::new(KEY, &old, &theirs);
-        write_frame(&mut stream, &mut sealed, &Opening::Member).await.unwrap();
-        while knows().is_none() {
+        let (mut stream, reply) = exchange(&replayed).await;
+        let mut codec = FrameCodec::new(KEY, &replayed, &reply);
+        write_frame(&mut stream, &mut codec, &ConnectionPurpose::Member).await.unwrap();
+        while known_folder().is_none() {
             tokio::task::yield_now().await;
         }
-        assert_eq!(knows(), Some(Birth(5)));
+        assert_eq!(known_folder(), Some(FolderId(5)));
     });
 }
--- /dev/null
+++ b/crates/gullcart-peers/src/protocol.rs
@@ -0,0 +1,157 @@
+//! What goes over a connection: first both say who they are and throw a number by chance, then each frame carries a code
+//! made with a key that is of this connection alone. Nothing that was said on another one, or elsewhere in this one, passes.
+
+use gullcart_group::membership::Handshake;
+use hmac::{Hmac, Mac};
+use serde::de::DeserializeOwned;
+use serde::{Deserialize, Serialize};
+use sha2::Sha256;
+use thiserror::Error;
+
+type HmacSha256 = Hmac<Sha256>;
+
+/// The version of what is said; couriers of versions that differ by one understand each other.
+pub const PROTOCOL_VERSION: u16 = 1;
+/// Bytes of a frame at most, and of the first words.
+pub const MAX_FRAME_BYTES: usize = 4 << 20;
+pub const MAX_HELLO_BYTES: usize = 512;
+/// Bytes of a code.
+pub const MAC_BYTES: usize = 32;
+
+/// Why what came is not listened to.
+#[derive(Debug, Error, PartialEq, Eq)]
+pub enum FrameError {
+    /// The authentication code is wrong: the keys differ, or the data was changed.
+    #[error("wrong authentication code: the other side has another key, or the data was changed on the way")]
+    Mac,
+    /// The frame is too long or too short.
+    #[error("invalid frame length of {0} bytes")]
+    Length(usize),
+    /// The contents cannot be decoded.
+    #[error("the contents cannot be decoded")]
+    Malformed,
+    /// The version is not supported.
+    #[error("unsupported protocol version {0}, expected {PROTOCOL_VERSION}")]
+    Version(u16),
+    /// It belongs to another connection.
+    #[error("replay of a hello from another connection")]
+    Replayed,
+    /// The sender's group has other voters or lease terms.
+    #[error("from another group with the same key, or from a settings file with other voters, lease_ms or drift_ppm")]
+    Group,
+    /// It is addressed to another member.
+    #[error("addressed to another member")]
+    Receiver,
+}
+
+/// The first words of each side.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Hello {
+    /// Which version speaks.
+    pub version: u16,
+    /// Who.
+    pub handshake: Handshake,
+    /// To whom.
+    pub to: u64,
+    /// The sender's group ([`crate::settings::Settings::group_id`]); 0 from an operator's tool.
+    pub group_id: u64,
+    /// By chance, so that nothing said before passes again.
+    pub nonce: u128,
+    /// The number of the greeting that this one answers: it was not said before. Who calls shows the same by its first frame.
+    pub reply_to: Option<u128>,
+}
+
+/// The first frame of who called, made for this connection alone: until it has come, a greeting may be one of long ago.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum ConnectionPurpose {
+    /// A member will say what it has to say.
+    Member,
+    /// An operator asks how the group stands.
+    Status,
+}
+
+fn mac(key: &[u8], parts: &[&[u8]]) -> [u8; MAC_BYTES] {
+    let mut mac = HmacSha256::new_from_slice(key).expect("HMAC accepts keys of any length");
+    parts.iter().for_each(|part| mac.update(part));
+    mac.finalize().into_bytes().into()
+}
+
+impl Hello {
+    /// As it goes out.
+    pub fn write(&self, key: &[u8]) -> Vec<u8> {
+        let payload = postcard::to_allocvec(self).unwrap_or_default();
+        [&mac(key, &[b"gullcart greeting", &payload])[..], &payload].concat()
+    }
+
+    /// Reads what came, which has to be for this member.
+    pub fn read(key: &[u8], bytes: &[u8], me: u64) -> Result<Self, FrameError> {
+        if bytes.len() > MAX_HELLO_BYTES || bytes.len() < MAC_BYTES {
+            return Err(FrameError::Length(bytes.len()));
+        }
+        let (received_mac, payload) = bytes.split_at(MAC_BYTES);
+        let mut expected = HmacSha256::new_from_slice(key).expect("HMAC accepts keys of any length");
+        expected.update(b"gullcart greeting");
+        expected.update(payload);
+        expected.verify_slice(received_mac).map_err(|_| FrameError::Mac)?;
+        let hello: Hello = postcard::from_bytes(payload).map_err(|_| FrameError::Malformed)?;
+        if hello.version.abs_diff(PROTOCOL_VERSION) > 1 {
+            return Err(FrameError::Version(hello.version));
+        }
+        (hello.to == me).then_some(hello).ok_or(FrameError::Receiver)
+    }
+
+    /// The same, from who was called: it has to be the one that was meant, and to answer this very call.
+    pub fn read_reply(key: &[u8], bytes: &[u8], call: &Hello) -> Result<Self, FrameError> {
+        let hello = Hello::read(key, bytes, call.handshake.member.0)?;
+        if hello.handshake.member.0 != call.to {
+            return Err(FrameError::Receiver);
+        }
+        (hello.reply_to == Some(call.nonce)).then_some(hello).ok_or(FrameError::Replayed)
+    }
+}
+
+/// One way of a connection, after both have greeted.
+pub struct FrameCodec {
+    key: [u8; MAC_BYTES],
+    sequence: u64,
+}
+
+impl FrameCodec {
+    /// From who called to who was called; the other way with both swapped.
+    pub fn new(key: &[u8], caller: &Hello, called: &Hello) -> Self {
+        let encode = |hello| postcard::to_allocvec(hello).unwrap_or_default();
+        FrameCodec { key: mac(key, &[b"gullcart frames", &encode(caller), &encode(called)]), sequence: 0 }
+    }
+
+    fn next_sequence(&mut self) -> [u8; 8] {
+        self.sequence += 1;
+        self.sequence.to_le_bytes()
+    }
+
+    /// A frame as it goes out, behind its length; none where it is too long to be said.
+    pub fn write<T: Serialize>(&mut self, message: &T) -> Option<Vec<u8>> {
+        let payload = postcard::to_allocvec(message)
+            .ok()
+            .filter(|payload| payload.len() <= MAX_FRAME_BYTES - MAC_BYTES)?;
+        let sequence = self.next_sequence();
+        let frame_mac = mac(&self.key, &[&sequence, &payload]);
+        let length = (MAC_BYTES + payload.len()) as u32;
+        Some([&length.to_le_bytes()[..], &frame_mac, &payload].concat())
+    }
+
+    /// Reads a frame without its length.
+    pub fn read<T: DeserializeOwned>(&mut self, bytes: &[u8]) -> Result<T, FrameError> {
+        if bytes.len() < MAC_BYTES || bytes.len() > MAX_FRAME_BYTES {
+            return Err(FrameError::Length(bytes.len()));
+        }
+        let (received_mac, payload) = bytes.split_at(MAC_BYTES);
+        let mut expected = HmacSha256::new_from_slice(&self.key).expect("HMAC accepts keys of any length");
+        expected.update(&self.next_sequence());
+        expected.update(payload);
+        expected.verify_slice(received_mac).map_err(|_| FrameError::Mac)?;
+        postcard::from_bytes(payload).map_err(|_| FrameError::Malformed)
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/gullcart-peers/src/roster.rs
+++ b/crates/gullcart-peers/src/roster.rs
@@ -3,12 +3,12 @@
 //! tell the two apart.
 
 use crate::settings::{Member, Settings};
-use gullcart_group::vocabulary::MemberId;
+use gullcart_group::types::MemberId;
 use thiserror::Error;
 
 /// What a new file changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Change {
+pub struct MemberChanges {
     /// Who belongs to the group from now on, or is found elsewhere.
     pub added: Vec<Member>,
     /// Who does not, or is found elsewhere.
@@ -17,28 +17,28 @@
 
 /// Why a new file is not followed. Nothing has changed then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Refused {
+pub enum ChangeError {
     /// It is another courier's, or another group's.
-    #[error("name, listen, key, lease_ms, drift_ppm and disk_kb cannot change in service")]
-    Own,
-    /// Other voters, or some of them elsewhere.
-    #[error("who votes, and where, cannot change in service")]
+    #[error("name, listen, key, lease_ms, drift_ppm and disk_kb cannot change without a restart")]
+    FixedSetting,
+    /// The voters or their addresses differ.
+    #[error("the voters and their addresses cannot change without a restart")]
     Voters,
-    /// More members than were counted on at the start.
-    #[error("there is room for {room} members without a start, and it has {members}")]
-    Room {
+    /// There are more members than resources were reserved for at the start.
+    #[error("at most {capacity} members are possible without a restart, and the file has {members}")]
+    Capacity {
         /// As many as there may be.
-        room: usize,
+        capacity: usize,
         /// As many as there would be.
         members: usize,
     },
 }
 
 /// What it takes to go from one file to another. `room` is how many members descriptors were dealt out for.
-pub fn change(from: &Settings, to: &Settings, room: usize) -> Result<Change, Refused> {
-    let own = |s: &Settings| (s.me, s.listen, s.terms, s.disk);
-    if own(from) != own(to) || from.key != to.key {
-        return Err(Refused::Own);
+pub fn diff(from: &Settings, to: &Settings, capacity: usize) -> Result<MemberChanges, ChangeError> {
+    let fixed = |s: &Settings| (s.me, s.listen, s.terms, s.disk_bytes);
+    if fixed(from) != fixed(to) || from.key != to.key {
+        return Err(ChangeError::FixedSetting);
     }
     let voters = |s: &Settings| {
         let mut voters: Vec<_> =
@@ -47,21 +47,21 @@
         voters
     };
     if voters(from) != voters(to) {
-        return Err(Refused::Voters);
+        return Err(ChangeError::Voters);
     }
-    if to.members.len() > room {
-        return Err(Refused::Room { room, members: to.members.len() });
+    if to.members.len() > capacity {
+        return Err(ChangeError::Capacity { capacity, members: to.members.len() });
     }
     // By number and address: what it is called says nothing.
-    let is_in = |members: &[Member], member: &Member| {
+    let contains = |members: &[Member], member: &Member| {
         members.iter().any(|other| (other.number, other.address) == (member.number, member.address))
     };
-    let others = |s: &Settings, t: &Settings| -> Vec<Member> {
-        let gone = s.members.iter().filter(|m| m.number != s.me.0 && !is_in(&t.members, m));
-        gone.cloned().collect()
+    let missing_from = |s: &Settings, t: &Settings| -> Vec<Member> {
+        let missing = s.members.iter().filter(|m| m.number != s.me.0 && !contains(&t.members, m));
+        missing.cloned().collect()
     };
-    let removed = others(from, to).iter().map(|member| MemberId(member.number)).collect();
-    Ok(Change { added: others(to, from), removed })
+    let removed = missing_from(from, to).iter().map(|member| MemberId(member.number)).collect();
+    Ok(MemberChanges { added: missing_from(to, from), removed })
 }
 
 #[cfg(test)]
--- a/crates/gullcart-peers/src/settings/tests.rs
+++ b/crates/gullcart-peers/src/settings/tests.rs
@@ -6,11 +6,11 @@
 }
 
 fn text(top: &str, votes: [bool; 3]) -> String {
-    let member = |(at, votes): (usize, &bool)| {
+    let member = |(index, votes): (usize, &bool)| {
         format!(
-            "[[member]]\nname = \"{at}\"\nnumber = {}\naddress = \"127.0.0.1:{}\"\nvotes = {votes}\n",
-            at + 1,
-            at + 7000
+            "[[member]]\nname = \"{index}\"\nnumber = {}\naddress = \"127.0.0.1:{}\"\nvotes = {votes}\n",
+            index + 1,
+            index + 7000
         )
     };
     let members: String = votes.iter().enumerate().map(member).collect();
@@ -18,9 +18,9 @@
 }
 
 #[test]
-fn the_file_is_strict_and_says_what_is_wrong() {
+fn invalid_settings_are_rejected_with_a_reason() {
     let good = read(&text("", [true; 3])).unwrap();
-    assert_eq!((good.me, good.voters().len(), good.terms), (MemberId(1), 3, Terms::default()));
+    assert_eq!((good.me, good.voter_ids().len(), good.terms), (MemberId(1), 3, LeaseTerms::default()));
     for (top, votes, word) in [
         ("lease_ms = 5", [true; 3], "lease_ms"),
         ("drift_ppm = 900000", [true; 3], "drift_ppm"),
@@ -33,21 +33,21 @@
     }
     // As many as there may be, and one more.
     let more = |count: usize| -> String {
-        let member = |at: usize| {
-            let (number, port) = (at + 1, at + 7000);
-            format!("[[member]]\nname = \"{at}\"\nnumber = {number}\naddress = \"127.0.0.1:{port}\"\n")
+        let member = |index: usize| {
+            let (number, port) = (index + 1, index + 7000);
+            format!("[[member]]\nname = \"{index}\"\nnumber = {number}\naddress = \"127.0.0.1:{port}\"\n")
         };
         text("", [true; 3]) + &(3..count).map(member).collect::<String>()
     };
-    assert_eq!(read(&more(MOST_MEMBERS)).unwrap().members.len(), MOST_MEMBERS);
-    let error = read(&more(MOST_MEMBERS + 1)).unwrap_err();
+    assert_eq!(read(&more(MAX_MEMBERS)).unwrap().members.len(), MAX_MEMBERS);
+    let error = read(&more(MAX_MEMBERS + 1)).unwrap_err();
     assert!(error.contains("1025") && error.contains("1024"), "{error}");
     // Another lease, or another voter, makes another group; another name does not.
-    assert_ne!(read(&text("lease_ms = 2000", [true; 3])).unwrap().group(), good.group());
+    assert_ne!(read(&text("lease_ms = 2000", [true; 3])).unwrap().group_id(), good.group_id());
     let renumbered = text("", [true; 3]).replace("number = 3", "number = 4");
-    assert_ne!(read(&renumbered).unwrap().group(), good.group());
+    assert_ne!(read(&renumbered).unwrap().group_id(), good.group_id());
     let renamed = text("", [true; 3]).replace("name = \"2\"", "name = \"two\"");
-    assert_eq!(read(&renamed).unwrap().group(), good.group());
+    assert_eq!(read(&renamed).unwrap().group_id(), good.group_id());
     let twice = text("", [true; 3]).replace("number = 2", "number = 1");
     assert!(read(&twice).unwrap_err().contains("shares"));
     let nobody = text("", [true; 3]).replace("name = \"0\"\nlisten", "name = \"x\"\nlisten");
