--- a/crates/gullcart-peers/tests/common/mod.rs
+++ b/crates/gullcart-peers/tests/common/mod.rs
@@ -22,7 +22,7 @@
 use tokio::time::{sleep, timeout, Instant};
 
 /// Far longer than anything here takes; only a failing test waits for so long.
-pub const PATIENCE: Duration = Duration::from_secs(40);
+pub const TIMEOUT: Duration = Duration::from_secs(40);
 
 pub struct Process {
     child: Child,
@@ -33,9 +33,9 @@
 /// Where acts land.
 #[derive(Clone)]
 pub struct Partner {
-    begun: Instant,
+    started: Instant,
     acts: Rc<RefCell<BTreeMap<String, Vec<Act>>>>,
-    landed: watch::Receiver<u64>,
+    recorded: watch::Receiver<u64>,
     address: SocketAddr,
 }
 
@@ -49,8 +49,8 @@
     pub listed: Vec<usize>,
     /// What the next processes want, by commas.
     pub duties: String,
-    /// Processes that were stopped so far: each may have been stopped right before an act.
-    pub stops: usize,
+    /// Number of pauses so far. Each may have happened between a check of the lease and the action.
+    pub pauses: usize,
 }
 
 impl Drop for Group {
@@ -64,60 +64,60 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let acts: Rc<RefCell<BTreeMap<String, Vec<Act>>>> = Rc::default();
-        let (tell, landed) = watch::channel(0);
-        let (begun, shared) = (Instant::now(), acts.clone());
+        let (notify, recorded) = watch::channel(0);
+        let (started, shared) = (Instant::now(), acts.clone());
         spawn_local(async move {
-            let tell = Rc::new(tell);
+            let notify = Rc::new(notify);
             while let Ok((stream, _)) = listener.accept().await {
-                let (shared, tell) = (shared.clone(), tell.clone());
+                let (shared, notify) = (shared.clone(), notify.clone());
                 spawn_local(async move {
                     let mut lines = BufReader::new(stream).lines();
                     let Ok(Some(member)) = lines.next_line().await else { return };
                     let member = member.parse().unwrap();
                     while let Ok(Some(line)) = lines.next_line().await {
                         let Some((duty, epoch)) = line.split_once(' ') else { continue };
-                        let at = At(begun.elapsed().as_micros() as u64);
+                        let at = At(started.elapsed().as_micros() as u64);
                         let act = Act { at, member, epoch: epoch.parse().unwrap() };
                         shared.borrow_mut().entry(duty.to_owned()).or_default().push(act);
-                        tell.send_modify(|count| *count += 1);
+                        notify.send_modify(|count| *count += 1);
                     }
                 });
             }
         });
-        Partner { begun, acts, landed, address }
+        Partner { started, acts, recorded, address }
     }
 
     pub fn now(&self) -> At {
-        At(self.begun.elapsed().as_micros() as u64)
+        At(self.started.elapsed().as_micros() as u64)
     }
 
     pub fn acts(&self, duty: &str) -> Vec<Act> {
         self.acts.borrow().get(duty).cloned().unwrap_or_default()
     }
 
-    pub fn holder(&self, duty: &str) -> Option<Act> {
+    pub fn last_act(&self, duty: &str) -> Option<Act> {
         self.acts.borrow().get(duty).and_then(|acts| acts.last().copied())
     }
 
-    fn find(&self, duty: &str, from: usize, is_it: &impl Fn(&Act) -> bool) -> Option<Act> {
+    fn find(&self, duty: &str, from: usize, matches: &impl Fn(&Act) -> bool) -> Option<Act> {
         let acts = self.acts.borrow();
-        acts.get(duty)?.iter().skip(from).find(|act| is_it(act)).copied()
+        acts.get(duty)?.iter().skip(from).find(|act| matches(act)).copied()
     }
 
     /// Waits until an act lands that some other one has not; it.
-    pub async fn until(&self, duty: &str, what: &str, is_it: impl Fn(&Act) -> bool) -> Act {
-        let mut landed = self.landed.clone();
+    pub async fn until(&self, duty: &str, what: &str, matches: impl Fn(&Act) -> bool) -> Act {
+        let mut recorded = self.recorded.clone();
         let from = self.acts(duty).len();
-        let waited = timeout(PATIENCE, async {
+        let waited = timeout(TIMEOUT, async {
             loop {
-                let found = self.find(duty, from, &is_it);
+                let found = self.find(duty, from, &matches);
                 if let Some(act) = found {
                     return act;
                 }
-                landed.changed().await.unwrap();
+                recorded.changed().await.unwrap();
             }
         });
-        waited.await.unwrap_or_else(|_| panic!("never: {what}"))
+        waited.await.unwrap_or_else(|_| panic!("timed out: {what}"))
     }
 
     pub fn gap(&self, duty: &str, from: At, to: At) -> Duration {
@@ -125,8 +125,8 @@
     }
 }
 
-pub fn number(place: usize) -> u64 {
-    place as u64 + 1
+pub fn member_number(index: usize) -> u64 {
+    index as u64 + 1
 }
 
 impl Group {
@@ -136,50 +136,50 @@
     }
 
     /// The same, of which some may come later: they stand in no file yet.
-    pub async fn start_some(members: usize, voters: usize, more: usize, duties: &[&str]) -> Self {
+    pub async fn start_some(members: usize, voters: usize, capacity: usize, duties: &[&str]) -> Self {
         let random = fastrand::u64(..);
         let folder = std::env::temp_dir().join(format!("gullcart-group-{}-{random:x}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        let mesh = Mesh::open(more, random).unwrap();
+        let mesh = Mesh::open(capacity, random).unwrap();
         let partner = Partner::open().await;
-        let processes = (0..more).map(|_| None).collect();
+        let processes = (0..capacity).map(|_| None).collect();
         let listed = (0..members).collect();
         let duties = duties.join(",");
-        let mut group = Group { folder, mesh, processes, partner, voters, listed, duties, stops: 0 };
-        for place in 0..members {
-            group.run(place).await;
+        let mut group = Group { folder, mesh, processes, partner, voters, listed, duties, pauses: 0 };
+        for index in 0..members {
+            group.run(index).await;
         }
         group
     }
 
-    pub fn state(&self, place: usize) -> PathBuf {
-        self.folder.join(format!("state-{place}"))
+    pub fn state(&self, index: usize) -> PathBuf {
+        self.folder.join(format!("state-{index}"))
     }
 
     /// Other members stand in the files from now on, and processes that run are told to read theirs again.
-    pub async fn list(&mut self, listed: Vec<usize>) {
+    pub async fn update_listed(&mut self, listed: Vec<usize>) {
         self.listed = listed;
-        for place in 0..self.processes.len() {
-            if self.processes[place].is_some() {
-                self.write_file(place);
-                let process = self.processes[place].as_mut().unwrap();
+        for index in 0..self.processes.len() {
+            if self.processes[index].is_some() {
+                self.write_file(index);
+                let process = self.processes[index].as_mut().unwrap();
                 process.child.stdin.as_mut().unwrap().write_all(b"follow\n").await.unwrap();
             }
         }
     }
 
-    fn write_file(&self, place: usize) -> PathBuf {
-        let own = self.folder.join(format!("conf-{place}"));
+    fn write_file(&self, index: usize) -> PathBuf {
+        let own = self.folder.join(format!("conf-{index}"));
         std::fs::create_dir_all(&own).unwrap();
         let key = own.join("key");
         std::fs::write(&key, "a key that is for tests alone").unwrap();
         std::fs::set_permissions(&key, std::fs::Permissions::from_mode(0o600)).unwrap();
         let mut text =
-            format!("name = \"m{place}\"\nlisten = \"127.0.0.1:0\"\nkey_file = \"key\"\nlease_ms = 1000\n");
+            format!("name = \"m{index}\"\nlisten = \"127.0.0.1:0\"\nkey_file = \"key\"\nlease_ms = 1000\n");
         for &other in &self.listed {
             let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
-            let address = self.mesh.link(place, other).map_or(nowhere, |link| link.address());
-            let (number, votes) = (number(other), other < self.voters);
+            let address = self.mesh.link(index, other).map_or(nowhere, |link| link.address());
+            let (number, votes) = (member_number(other), other < self.voters);
             text += &format!(
                 "[[member]]\nname = \"m{other}\"\nnumber = {number}\naddress = \"{address}\"\nvotes = {votes}\n"
             );
@@ -190,12 +190,12 @@
     }
 
     /// Starts a process, on the folder that there is.
-    pub async fn run(&mut self, place: usize) {
-        std::fs::create_dir_all(self.state(place)).unwrap();
-        let file = self.write_file(place);
+    pub async fn run(&mut self, index: usize) {
+        std::fs::create_dir_all(self.state(index)).unwrap();
+        let file = self.write_file(index);
         let mut child = Command::new(env!("CARGO_BIN_EXE_gullcart-duty"))
             .env("GULLCART_GROUP", &file)
-            .env("BALANCER_STATE", self.state(place))
+            .env("BALANCER_STATE", self.state(index))
             .env("DUTY_NAMES", &self.duties)
             .env("DUTY_PARTNER", self.partner.address.to_string())
             .stdin(Stdio::piped())
@@ -204,71 +204,71 @@
             .spawn()
             .unwrap();
         let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
-        let first = timeout(PATIENCE, lines.next_line()).await.unwrap().unwrap().unwrap();
+        let first = timeout(TIMEOUT, lines.next_line()).await.unwrap().unwrap().unwrap();
         let address = first.split_once("address=").unwrap_or_else(|| panic!("{first}")).1.parse().unwrap();
-        self.mesh.at(place, Some(address));
+        self.mesh.at(index, Some(address));
         let (status, log) = (Rc::new(RefCell::new(Value::Null)), Rc::new(RefCell::new(Vec::new())));
-        let (told, kept) = (status.clone(), log.clone());
+        let (last_status, lines_seen) = (status.clone(), log.clone());
         spawn_local(async move {
             while let Ok(Some(line)) = lines.next_line().await {
                 match line.strip_prefix("status ") {
-                    Some(json) => *told.borrow_mut() = serde_json::from_str(json).unwrap(),
-                    None => kept.borrow_mut().push(line),
+                    Some(json) => *last_status.borrow_mut() = serde_json::from_str(json).unwrap(),
+                    None => lines_seen.borrow_mut().push(line),
                 }
             }
         });
-        self.processes[place] = Some(Process { child, status, log });
+        self.processes[index] = Some(Process { child, status, log });
     }
 
-    fn signal(&self, place: usize, signal: Signal) {
-        let process = self.processes[place].as_ref().unwrap();
+    fn signal(&self, index: usize, signal: Signal) {
+        let process = self.processes[index].as_ref().unwrap();
         let pid = Pid::from_raw(process.child.id().unwrap() as i32).unwrap();
         kill_process(pid, signal).unwrap();
     }
 
-    pub async fn kill(&mut self, place: usize) {
-        self.signal(place, Signal::KILL);
-        self.mesh.at(place, None);
-        self.processes[place].take().unwrap().child.wait().await.unwrap();
+    pub async fn kill(&mut self, index: usize) {
+        self.signal(index, Signal::KILL);
+        self.mesh.at(index, None);
+        self.processes[index].take().unwrap().child.wait().await.unwrap();
     }
 
-    pub fn stop(&mut self, place: usize) {
-        self.stops += 1;
-        self.signal(place, Signal::STOP);
+    pub fn pause(&mut self, index: usize) {
+        self.pauses += 1;
+        self.signal(index, Signal::STOP);
     }
 
-    pub fn go_on(&self, place: usize) {
-        self.signal(place, Signal::CONT);
+    pub fn resume(&self, index: usize) {
+        self.signal(index, Signal::CONT);
     }
 
     /// Ends a process as a planned end would.
-    pub async fn leave(&mut self, place: usize) {
-        let mut process = self.processes[place].take().unwrap();
+    pub async fn leave(&mut self, index: usize) {
+        let mut process = self.processes[index].take().unwrap();
         process.child.stdin.take().unwrap().write_all(b"leave\n").await.unwrap();
-        timeout(PATIENCE, process.child.wait()).await.unwrap().unwrap();
-        self.mesh.at(place, None);
+        timeout(TIMEOUT, process.child.wait()).await.unwrap().unwrap();
+        self.mesh.at(index, None);
     }
 
-    pub fn status(&self, place: usize) -> Value {
-        self.processes[place].as_ref().map_or(Value::Null, |process| process.status.borrow().clone())
+    pub fn status(&self, index: usize) -> Value {
+        self.processes[index].as_ref().map_or(Value::Null, |process| process.status.borrow().clone())
     }
 
     /// Waits until a process says something of its group.
-    pub async fn status_until(&self, place: usize, what: &str, is_it: impl Fn(&Value) -> bool) -> Value {
-        let waited = timeout(PATIENCE, async {
+    pub async fn status_until(&self, index: usize, what: &str, matches: impl Fn(&Value) -> bool) -> Value {
+        let waited = timeout(TIMEOUT, async {
             loop {
-                let status = self.status(place);
-                if !status.is_null() && is_it(&status) {
+                let status = self.status(index);
+                if !status.is_null() && matches(&status) {
                     return status;
                 }
                 sleep(Duration::from_millis(10)).await;
             }
         });
-        waited.await.unwrap_or_else(|_| panic!("never: {what}; {}", self.status(place)))
+        waited.await.unwrap_or_else(|_| panic!("timed out: {what}; {}", self.status(index)))
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let leaders = (0..self.voters).filter_map(|place| self.status(place)["leader"].as_u64());
+        let leaders = (0..self.voters).filter_map(|index| self.status(index)["leader"].as_u64());
         let mut votes: BTreeMap<u64, usize> = BTreeMap::new();
         leaders.for_each(|leader| *votes.entry(leader).or_default() += 1);
         votes.into_iter().max_by_key(|(_, count)| *count).map(|(leader, _)| leader as usize - 1)
@@ -276,26 +276,26 @@
 
     /// The place of who acts on a duty now.
     pub async fn holder(&self, duty: &str) -> usize {
-        self.partner.until(duty, "somebody holds it", |_| true).await.member as usize - 1
+        self.partner.until(duty, "somebody holds the duty", |_| true).await.member as usize - 1
     }
 
     /// Who has held a duty since it left a process, under a later epoch; how long nothing landed meanwhile.
-    pub async fn handed_on(&self, duty: &str, from: usize) -> (usize, Duration) {
+    pub async fn next_holder(&self, duty: &str, from: usize) -> (usize, Duration) {
         let acts = self.partner.acts(duty);
-        let last = acts.iter().rev().find(|act| act.member == number(from)).unwrap().epoch;
+        let last = acts.iter().rev().find(|act| act.member == member_number(from)).unwrap().epoch;
         if !acts.iter().any(|act| act.epoch > last) {
-            self.partner.until(duty, "it is handed on", |act| act.epoch > last).await;
+            self.partner.until(duty, "the duty is passed on", |act| act.epoch > last).await;
         }
         let acts = self.partner.acts(duty);
         let next = acts.iter().find(|act| act.epoch > last).unwrap();
-        assert_ne!(next.member, number(from));
+        assert_ne!(next.member, member_number(from));
         let before = acts.iter().rev().find(|act| act.epoch <= last).unwrap().at;
         (next.member as usize - 1, next.at - before)
     }
 
     /// Waits until a duty has stayed with one process for so long; which.
-    pub async fn stays(&self, duty: &str, span: Duration) -> usize {
-        let stayed = timeout(PATIENCE, async {
+    pub async fn stable_holder(&self, duty: &str, span: Duration) -> usize {
+        let stayed = timeout(TIMEOUT, async {
             loop {
                 let before = self.holder(duty).await;
                 sleep(span).await;
@@ -304,20 +304,20 @@
                 }
             }
         });
-        stayed.await.expect("it stays where it is without need")
+        stayed.await.expect("the duty keeps moving without a fault")
     }
 
-    /// All that landed was right.
-    pub fn judge(&self) {
+    /// Checks all recorded actions.
+    pub fn check_actions(&self) {
         for (duty, acts) in self.partner.acts.borrow().iter() {
             let found = judge(acts);
             assert!(found.shared.is_empty(), "{duty}: {:?}", found.shared);
-            assert!(found.late.len() <= self.stops, "{duty}: {:?}", found.late);
+            assert!(found.late.len() <= self.pauses, "{duty}: {:?}", found.late);
         }
     }
 }
 
-pub fn play(test: impl std::future::Future<Output = ()>) {
+pub fn block_on(test: impl std::future::Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, test);
 }
--- a/crates/gullcart-peers/tests/faults.rs
+++ b/crates/gullcart-peers/tests/faults.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Random runs in CI; `GROUP_RUNS` and `GROUP_SEED` set others.
-fn runs() -> std::ops::Range<u64> {
+/// The seeds of the random runs in CI. `GROUP_RUNS` sets another number of them, `GROUP_SEED` the first one.
+fn seeds() -> std::ops::Range<u64> {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     let from = number("GROUP_SEED").unwrap_or(1);
     from..from + number("GROUP_RUNS").unwrap_or(2)
@@ -18,7 +18,7 @@
     Duration::from_millis(count)
 }
 
-fn trouble(rng: &mut fastrand::Rng) -> Trouble {
+fn random_trouble(rng: &mut fastrand::Rng) -> Trouble {
     match rng.u8(0..8) {
         0 => Trouble::Cut(Way::There),
         1 => Trouble::Cut(Way::Back),
@@ -42,35 +42,35 @@
     let mut stopped = Vec::new();
     let mut troubles = Vec::new();
     for _ in 0..12 {
-        let place = rng.usize(0..size);
-        let is_up = group.processes[place].is_some() && !stopped.contains(&place);
+        let index = rng.usize(0..size);
+        let is_up = group.processes[index].is_some() && !stopped.contains(&index);
         match rng.u8(0..10) {
             0 | 1 if is_up => {
-                group.kill(place).await;
+                group.kill(index).await;
                 sleep(ms(rng.u64(0..1500))).await;
-                group.run(place).await;
+                group.run(index).await;
             }
             2 | 3 if is_up => {
-                group.stop(place);
-                stopped.push(place);
+                group.pause(index);
+                stopped.push(index);
             }
             4 => {
-                for place in stopped.drain(..) {
-                    group.go_on(place);
+                for index in stopped.drain(..) {
+                    group.resume(index);
                 }
             }
             5 => {
-                let others: Vec<usize> = (0..size).filter(|other| *other != place).collect();
-                troubles.push(group.mesh.partition(&[&[place], &others]).unwrap());
+                let others: Vec<usize> = (0..size).filter(|other| *other != index).collect();
+                troubles.push(group.mesh.partition(&[&[index], &others]).unwrap());
             }
             6 => {
-                let other = (place + 1 + rng.usize(0..size - 1)) % size;
-                troubles.push(group.mesh.partition(&[&[place], &[other]]).unwrap());
+                let other = (index + 1 + rng.usize(0..size - 1)) % size;
+                troubles.push(group.mesh.partition(&[&[index], &[other]]).unwrap());
             }
             7 | 8 => {
-                let other = (place + 1 + rng.usize(0..size - 1)) % size;
-                let trouble = trouble(&mut rng);
-                troubles.push(group.mesh.trouble(place, other, trouble).unwrap());
+                let other = (index + 1 + rng.usize(0..size - 1)) % size;
+                let trouble = random_trouble(&mut rng);
+                troubles.push(group.mesh.trouble(index, other, trouble).unwrap());
             }
             _ => {
                 if let Some(number) = troubles.pop() {
@@ -81,22 +81,22 @@
         sleep(ms(rng.u64(0..900))).await;
     }
     group.mesh.heal().unwrap();
-    for place in stopped {
-        group.go_on(place);
+    for index in stopped {
+        group.resume(index);
     }
     let healed = group.partner.now();
     for duty in ["one", "two", "three"] {
         group.partner.until(duty, "it is held after the last fault", |_| true).await;
     }
     let vacant = group.partner.now() - healed;
-    group.judge();
+    group.check_actions();
     println!("seed {seed}: {size} processes, all held {vacant:?} after the last fault");
 }
 
 #[test]
-fn random_faults_bring_no_two_holders_and_all_duties_are_held_again() {
-    for seed in runs() {
-        play(random_run(seed));
+fn random_faults_cause_no_two_holders_and_all_duties_are_held_again() {
+    for seed in seeds() {
+        block_on(random_run(seed));
     }
 }
 
@@ -109,36 +109,36 @@
 /// How long nothing is done under a duty after its holder was killed, stopped, cut off, and left. `GROUP_FIGURES` sets how
 /// often each; once in CI, for the code.
 #[test]
-fn figures_of_hand_overs() {
-    let times = std::env::var("GROUP_FIGURES").ok().and_then(|times| times.parse().ok()).unwrap_or(1);
-    play(async move {
+fn measure_vacancies() {
+    let count = std::env::var("GROUP_FIGURES").ok().and_then(|count| count.parse().ok()).unwrap_or(1);
+    block_on(async move {
         let mut group = Group::start(3, 3, &["one"]).await;
         let mut holder = group.holder("one").await;
         for what in ["killed", "stopped", "cut off", "leaves"] {
             let mut gaps = Vec::new();
-            for _ in 0..times {
+            for _ in 0..count {
                 let gap;
-                let others: Vec<usize> = (0..3).filter(|place| *place != holder).collect();
+                let others: Vec<usize> = (0..3).filter(|index| *index != holder).collect();
                 let before = holder;
                 match what {
                     "killed" => {
                         group.kill(holder).await;
-                        (holder, gap) = group.handed_on("one", before).await;
+                        (holder, gap) = group.next_holder("one", before).await;
                         group.run(before).await;
                     }
                     "stopped" => {
-                        group.stop(holder);
-                        (holder, gap) = group.handed_on("one", before).await;
-                        group.go_on(before);
+                        group.pause(holder);
+                        (holder, gap) = group.next_holder("one", before).await;
+                        group.resume(before);
                     }
                     "cut off" => {
                         let cut = group.mesh.partition(&[&[holder], &others]).unwrap();
-                        (holder, gap) = group.handed_on("one", before).await;
+                        (holder, gap) = group.next_holder("one", before).await;
                         group.mesh.end(cut).unwrap();
                     }
                     _ => {
                         group.leave(holder).await;
-                        (holder, gap) = group.handed_on("one", before).await;
+                        (holder, gap) = group.next_holder("one", before).await;
                         group.run(before).await;
                     }
                 }
@@ -150,8 +150,8 @@
                     .await;
                 sleep(ms(600)).await;
             }
-            println!("{what}: {times} times, p50, p99 and worst {:?}", percentiles(gaps));
+            println!("{what}: {count} measurements, p50, p99 and maximum {:?}", percentiles(gaps));
         }
-        group.judge();
+        group.check_actions();
     });
 }
--- a/crates/gullcart-peers/tests/processes.rs
+++ b/crates/gullcart-peers/tests/processes.rs
@@ -9,140 +9,143 @@
 use tokio::time::sleep;
 
 /// Longer than any lease.
-const LONG: Duration = Duration::from_millis(2500);
+const LONGER_THAN_LEASE: Duration = Duration::from_millis(2500);
 
 #[test]
-fn a_duty_is_handed_on_when_its_holder_dies_and_stays_when_that_comes_back() {
-    play(async {
+fn a_duty_moves_when_its_holder_is_killed_and_stays_when_that_restarts() {
+    block_on(async {
         let mut group = Group::start(3, 3, &["one", "two"]).await;
         let holder = group.holder("one").await;
         group.kill(holder).await;
-        let (next, _) = group.handed_on("one", holder).await;
+        let (next, _) = group.next_holder("one", holder).await;
         group.run(holder).await;
         group.status_until(holder, "it votes again", |status| status["votes"] == true).await;
-        // Where it went, or to another one on a machine that stands still for seconds; then it stays.
-        let stays = group.stays("one", LONG).await;
-        println!("handed on to {next}, stays with {stays}");
-        group.judge();
+        // The duty stays where it went, or moves once more if the machine stalls for seconds.
+        let stable = group.stable_holder("one", LONGER_THAN_LEASE).await;
+        println!("passed to {next}, stays with {stable}");
+        group.check_actions();
     });
 }
 
 #[test]
-fn a_holder_that_is_stopped_for_longer_than_its_lease_acts_no_more() {
-    play(async {
+fn a_holder_that_is_stopped_for_longer_than_its_lease_acts_no_longer() {
+    block_on(async {
         let mut group = Group::start(3, 3, &["one"]).await;
         let holder = group.holder("one").await;
-        group.stop(holder);
-        group.handed_on("one", holder).await;
-        group.go_on(holder);
+        group.pause(holder);
+        group.next_holder("one", holder).await;
+        group.resume(holder);
         group
-            .status_until(holder, "it knows who has it", |status| {
+            .status_until(holder, "it knows the new holder", |status| {
                 status["duties"]
                     .as_array()
-                    .is_some_and(|all| all.iter().any(|duty| duty["holder"] != number(holder)))
+                    .is_some_and(|all| all.iter().any(|duty| duty["holder"] != member_number(holder)))
             })
             .await;
-        group.stays("one", LONG).await;
-        group.judge();
+        group.stable_holder("one", LONGER_THAN_LEASE).await;
+        group.check_actions();
     });
 }
 
 /// The partner is still reached by who is cut off from the others.
 #[test]
 fn a_holder_that_is_cut_off_from_the_group_alone_stops_by_itself() {
-    play(async {
+    block_on(async {
         let mut group = Group::start(5, 3, &["one"]).await;
         let holder = group.holder("one").await;
-        let others: Vec<usize> = (0..5).filter(|place| *place != holder).collect();
+        let others: Vec<usize> = (0..5).filter(|index| *index != holder).collect();
         let cut = group.mesh.partition(&[&[holder], &others]).unwrap();
-        group.handed_on("one", holder).await;
+        group.next_holder("one", holder).await;
         group.mesh.end(cut).unwrap();
-        group.stays("one", LONG).await;
-        group.judge();
+        group.stable_holder("one", LONGER_THAN_LEASE).await;
+        group.check_actions();
     });
 }
 
 /// A sees B, B sees C, A does not see C: whoever leads, somebody holds it.
 #[test]
 fn a_partial_partition_leaves_no_duty_vacant_for_long() {
-    play(async {
+    block_on(async {
         let mut group = Group::start(3, 3, &["one"]).await;
         group.holder("one").await;
         for (a, c) in [(0, 1), (1, 2), (0, 2)] {
             let cut = group.mesh.partition(&[&[a], &[c]]).unwrap();
-            sleep(LONG).await;
+            sleep(LONGER_THAN_LEASE).await;
             group.holder("one").await;
             group.mesh.end(cut).unwrap();
         }
-        group.judge();
+        group.check_actions();
     });
 }
 
 #[test]
-fn the_leader_that_holds_it_is_stopped() {
-    play(async {
+fn a_leader_that_is_also_the_holder_is_stopped() {
+    block_on(async {
         let mut group = Group::start(3, 3, &["one"]).await;
         let mut holder = group.holder("one").await;
         // Until leader and holder are one.
         while group.leader() != Some(holder) {
             group.kill(holder).await;
-            let (next, _) = group.handed_on("one", holder).await;
+            let (next, _) = group.next_holder("one", holder).await;
             group.run(holder).await;
             group.status_until(holder, "it votes again", |status| status["votes"] == true).await;
             holder = next;
         }
-        group.stop(holder);
-        group.handed_on("one", holder).await;
-        group.go_on(holder);
-        group.stays("one", LONG).await;
-        group.judge();
+        group.pause(holder);
+        group.next_holder("one", holder).await;
+        group.resume(holder);
+        group.stable_holder("one", LONGER_THAN_LEASE).await;
+        group.check_actions();
     });
 }
 
 #[test]
-fn all_are_killed_at_once_and_go_on_under_later_epochs() {
-    play(async {
+fn epochs_increase_after_all_processes_are_killed_at_once() {
+    block_on(async {
         let mut group = Group::start(3, 3, &["one", "two", "three"]).await;
         for _ in 0..3 {
             group.holder("three").await;
             group.holder("one").await;
-            let before = group.partner.holder("one").unwrap().epoch;
-            for place in 0..3 {
-                group.kill(place).await;
+            let before = group.partner.last_act("one").unwrap().epoch;
+            for index in 0..3 {
+                group.kill(index).await;
             }
-            for place in 0..3 {
-                group.run(place).await;
+            for index in 0..3 {
+                group.run(index).await;
             }
-            group.partner.until("one", "it is held anew", |act| act.epoch > before).await;
+            group
+                .partner
+                .until("one", "it is held again under a later epoch", |act| act.epoch > before)
+                .await;
         }
-        group.judge();
+        group.check_actions();
     });
 }
 
 #[test]
-fn two_of_three_lost_means_that_nobody_acts_until_one_is_back() {
-    play(async {
+fn nobody_acts_without_a_majority() {
+    block_on(async {
         let mut group = Group::start(3, 3, &["one"]).await;
         let holder = group.holder("one").await;
-        let others: Vec<usize> = (0..3).filter(|place| *place != holder).collect();
+        let others: Vec<usize> = (0..3).filter(|index| *index != holder).collect();
         for other in &others {
             group.kill(*other).await;
         }
         // Its lease runs out, and nobody can renew it.
-        sleep(LONG).await;
+        sleep(LONGER_THAN_LEASE).await;
         let silent = group.partner.now();
-        sleep(LONG).await;
-        assert!(group.partner.holder("one").unwrap().at < silent, "it acts without a majority");
+        sleep(LONGER_THAN_LEASE).await;
+        assert!(group.partner.last_act("one").unwrap().at < silent, "it acts without a majority");
         group.run(others[0]).await;
         group.holder("one").await;
-        group.judge();
+        group.check_actions();
     });
 }
 
 /// A voter whose folder is lost, or an older copy, is not the one that voted: it stays outside, and the others go on.
 #[test]
 fn a_voter_with_another_folder_does_not_vote() {
-    play(async {
+    block_on(async {
         let mut group = Group::start(3, 3, &["one"]).await;
         group.holder("one").await;
         let folder = group.state(0).join("group");
@@ -155,7 +158,7 @@
                 copy.put_back().unwrap();
             }
             group.run(0).await;
-            let what = "it is told that it is known by another folder";
+            let what = "it learns that it is known with another folder";
             let status = group
                 .status_until(0, what, |status| {
                     status["trouble"].as_str().is_some_and(|why| why.contains("replace"))
@@ -164,52 +167,52 @@
             assert_eq!(status["votes"], false);
             group.holder("one").await;
         }
-        group.judge();
+        group.check_actions();
     });
 }
 
 #[test]
-fn a_holder_that_leaves_hands_on_at_once() {
-    play(async {
+fn a_holder_that_leaves_passes_its_duty_on_at_once() {
+    block_on(async {
         let mut group = Group::start(3, 3, &["one"]).await;
         let holder = group.holder("one").await;
         group.leave(holder).await;
-        let (_, gap) = group.handed_on("one", holder).await;
-        println!("handed on within {gap:?}");
-        group.judge();
+        let (_, gap) = group.next_holder("one", holder).await;
+        println!("passed on within {gap:?}");
+        group.check_actions();
     });
 }
 
 /// Members without a vote come, go and are replaced while the group serves: a file that is read again is all it takes.
 #[test]
-fn members_without_a_vote_are_added_removed_and_replaced_in_service() {
-    play(async {
-        let is_unheard = |s: &Value| s["heard_ms"].as_u64().unwrap() > 1500;
+fn members_without_a_vote_are_added_removed_and_replaced_without_a_restart() {
+    block_on(async {
+        let is_isolated = |s: &Value| s["heard_ms"].as_u64().unwrap() > 1500;
         let mut group = Group::start_some(3, 3, 5, &["one"]).await;
         group.holder("one").await;
         // One that is in nobody's file but its own is turned away, and acts on nothing.
         group.duties = "own".to_owned();
         group.listed = vec![0, 1, 2, 3];
         group.run(3).await;
-        group.status_until(3, "nobody hears it", is_unheard).await;
-        assert!(group.partner.holder("own").is_none());
+        group.status_until(3, "the group ignores it", is_isolated).await;
+        assert!(group.partner.last_act("own").is_none());
         // Added, it gets what it wants.
-        group.list(vec![0, 1, 2, 3]).await;
+        group.update_listed(vec![0, 1, 2, 3]).await;
         assert_eq!(group.holder("own").await, 3);
         // Removed, it loses that with its lease, and another one, added at the same time, gets it.
-        group.list(vec![0, 1, 2, 4]).await;
+        group.update_listed(vec![0, 1, 2, 4]).await;
         group.run(4).await;
-        assert_eq!(group.handed_on("own", 3).await.0, 4);
+        assert_eq!(group.next_holder("own", 3).await.0, 4);
         // Its number with another folder is not the courier that is known, also where the file has it again.
         group.kill(3).await;
         std::fs::remove_dir_all(group.state(3)).unwrap();
-        group.list(vec![0, 1, 2, 3, 4]).await;
+        group.update_listed(vec![0, 1, 2, 3, 4]).await;
         group.run(3).await;
-        group.status_until(3, "nobody hears it", is_unheard).await;
+        group.status_until(3, "the group ignores it", is_isolated).await;
         group.kill(4).await;
         group.run(4).await;
         assert_eq!(group.holder("own").await, 4);
         assert_eq!(group.partner.acts("one").iter().filter(|act| act.member > 3).count(), 0);
-        group.judge();
+        group.check_actions();
     });
 }
