--- a/crates/gullcart-group/src/lease.rs
+++ b/crates/gullcart-group/src/lease.rs
@@ -1,5 +1,6 @@
-//! The two sides of a lease: the member that counts how long it may act, and the voter that waits until it surely may not any
-//! more. Each has its own clock; that the second waits for longer than the first counts is all that is asked of both.
+//! Both sides of a lease: [`Lease`] tells a member until when it may act on its duties, and [`LeaseMonitor`] tells a voter when a
+//! member's lease has certainly run out. They use different clocks; correctness only requires that the voter's timeout is
+//! longer than the member's lease, whatever the drift of the clocks.
 
 use crate::table::{Session, Table};
 use crate::types::{HeartbeatNumber, Incarnation, LeaseTerms, MemberId, Moment};
@@ -7,25 +8,25 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Signs of life that may be on their way.
+/// Maximum number of heartbeats in flight that a member remembers.
 const MAX_UNACKNOWLEDGED: usize = 64;
 
-/// Guards of a member's lease that a test can take out.
+/// Safety checks of a member's lease that tests can disable.
 #[cfg(feature = "unguarded")]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct DisabledGuards {
-    /// The lease is counted from when the answer came.
+    /// The lease starts when the response arrives instead of when the heartbeat was sent.
     pub start_at_response: bool,
-    /// The lease is not looked at before an act.
+    /// The lease is not checked before an action.
     pub skip_check: bool,
 }
 
-/// How long one start of a member may act on what it holds.
+/// The lease of one incarnation of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
     incarnation: Incarnation,
     last_sent: HeartbeatNumber,
-    /// Signs of life that were not heard of yet, and when they were given.
+    /// Heartbeats that the group has not acknowledged yet, with the times at which they were sent.
     unacknowledged: VecDeque<(HeartbeatNumber, Moment)>,
     until: Option<Moment>,
     #[cfg(feature = "unguarded")]
@@ -34,7 +35,7 @@
 }
 
 impl Lease {
-    /// None yet.
+    /// Creates a lease that is not valid yet.
     pub fn new(incarnation: Incarnation) -> Self {
         Lease {
             incarnation,
@@ -46,13 +47,13 @@
         }
     }
 
-    /// Takes some guards out.
+    /// Disables safety checks, for tests.
     #[cfg(feature = "unguarded")]
     pub fn disable_guards(&mut self, disabled_guards: DisabledGuards) {
         self.disabled_guards = disabled_guards;
     }
 
-    /// A sign of life is given now: its number, which goes out after this.
+    /// Registers a heartbeat that is about to be sent, and returns its number.
     pub fn record_heartbeat(&mut self, now: Moment) -> HeartbeatNumber {
         self.last_sent.0 += 1;
         if self.unacknowledged.len() >= MAX_UNACKNOWLEDGED {
@@ -62,10 +63,10 @@
         self.last_sent
     }
 
-    /// The group says which sign of life it heard last; none where this member has no session.
+    /// Extends the lease by the last heartbeat that the group has acknowledged. Ends it if the member has no session.
     pub fn acknowledge(&mut self, now: Moment, session: Option<Session>, terms: &LeaseTerms) {
         let Some(session) = session.filter(|session| session.incarnation == self.incarnation) else {
-            // It is over, or is that of the start before.
+            // The session has expired, or belongs to an earlier incarnation.
             self.until = None;
             return;
         };
@@ -84,12 +85,12 @@
         }
         let _ = now;
         if let Some(at) = sent_at {
-            // From before it was given: the voters count from later.
+            // Counted from before the heartbeat was sent; voters count from when they observed it, which is later.
             self.until = self.until.max(Some(at + terms.duration));
         }
     }
 
-    /// Whether what is held may be acted on now.
+    /// Whether the member may act on its duties now.
     pub fn is_valid(&self, now: Moment) -> bool {
         let in_time = self.until.is_some_and(|end| now < end);
         #[cfg(feature = "unguarded")]
@@ -97,36 +98,36 @@
         in_time
     }
 
-    /// Until when.
+    /// When the lease ends; `None` if there is none.
     pub fn until(&self) -> Option<Moment> {
         self.until
     }
 
-    /// In which life.
+    /// The incarnation that owns the lease.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Since when the oldest sign of life waits to be heard of.
+    /// When the oldest unacknowledged heartbeat was sent.
     pub fn oldest_unacknowledged(&self) -> Option<Moment> {
         self.unacknowledged.front().map(|(_, at)| *at)
     }
 
-    /// What was given so far is not waited for any more.
+    /// Stops waiting for the acknowledgement of heartbeats sent so far.
     pub fn clear_unacknowledged(&mut self) {
         self.unacknowledged.clear();
     }
 }
 
-/// What a voter knows of members' signs of life.
+/// A voter's record of the members' heartbeats.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LeaseMonitor {
-    /// The last sign of life of each session, and when it was in the table here.
+    /// The last heartbeat of each session, and when this voter first observed it in its table.
     last_heartbeats: BTreeMap<MemberId, (Session, Moment)>,
 }
 
 impl LeaseMonitor {
-    /// Looks at the table as it is here now. When a sign of life has come into it, it had been given before.
+    /// Records new heartbeats in the table. Each was sent before it was observed here, so counting from `now` is safe.
     pub fn observe(&mut self, now: Moment, table: &Table) {
         self.last_heartbeats.retain(|member, _| table.session(*member).is_some());
         for (member, session) in table.sessions() {
@@ -136,12 +137,12 @@
         }
     }
 
-    /// The voter may have slept: each member gets a whole lease from here.
+    /// Restarts the timeout of every member: the voter may have been suspended and missed heartbeats.
     pub fn restart_all(&mut self, now: Moment) {
         self.last_heartbeats.values_mut().for_each(|(_, at)| *at = now);
     }
 
-    /// Members whose leases have run out, with the sign of life that they ran from.
+    /// Members whose leases have run out, with the last heartbeat that was observed of each.
     pub fn expired(&self, now: Moment, timeout: Duration) -> Vec<(MemberId, Session)> {
         let expired = self.last_heartbeats.iter().filter(|(_, (_, at))| now - *at > timeout);
         expired.map(|(member, (session, _))| (*member, *session)).collect()
--- a/crates/gullcart-group/src/lib.rs
+++ b/crates/gullcart-group/src/lib.rs
@@ -1,9 +1,9 @@
-//! Couriers that know each other, agree, and give a duty to one of them at a time. No socket, no clock, no disk: time and
-//! messages come in, messages and records go out.
+//! Members of a cluster that agree by consensus which of them holds a duty, an exclusive role. The crate does no I/O and reads no
+//! clock: the caller passes in time and messages, and gets back records to persist and messages to send.
 //!
-//! [`vocabulary`] and [`table`] say what is agreed on; [`log`] is what a voter keeps of it; [`voter`] is one voice of the
-//! agreement, which the library `omnipaxos` brings about; [`member`] is who asks and holds. `docs/design/group.md` has what
-//! was weighed, and what each promise rests on.
+//! [`types`] and [`table`] define the replicated state; [`log`] is the storage of a voter; [`voter`] runs the consensus library
+//! `omnipaxos`; [`member`] requests and holds duties; [`node`] combines both in one process. `docs/design/group.md` describes the
+//! design, its alternatives and the assumptions behind each guarantee.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/gullcart-group/src/log.rs
+++ b/crates/gullcart-group/src/log.rs
@@ -1,5 +1,6 @@
-//! What a voter keeps of the agreed log, in memory: the library writes here, and each write is a record that must last
-//! before anything leaves that the library says after it. Whoever has the records has the voter.
+//! The storage of one voter's replicated log, in memory. The consensus library writes to it through the [`Storage`] trait. Each
+//! write also produces a [`Record`], which must be persisted before any message that the library produced after the write is
+//! sent. A voter can be restored from its records alone.
 
 use crate::table::{Command, Table};
 use omnipaxos::ballot_leader_election::Ballot;
@@ -9,14 +10,14 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The library's snapshots are not used: where it joins one with the log of a voter that is behind, it takes in entries of
-/// that log which were never decided. Old entries are made into a table here, behind its back ([`Log::trim`]); who needs
-/// them still is given the table ([`crate::voter`]).
+/// Snapshots of the library are not used: when it merges a snapshot into the log of a lagging voter, it also applies entries of
+/// that log that were never decided. [`VoterLog::compact`] replaces old entries by a table without involving the library, and a
+/// voter that still needs them is sent a [`VoterSnapshot`] (see [`crate::voter`]).
 impl Entry for Command {
     type Snapshot = NoSnapshots;
 }
 
-/// None are made.
+/// A placeholder, as the library requires a snapshot type.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct NoSnapshots;
 
@@ -32,7 +33,7 @@
     }
 }
 
-/// A ballot, as it is written.
+/// A ballot in its stored form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredBallot {
     config: u32,
@@ -54,7 +55,7 @@
     }
 }
 
-/// The end of a configuration, as it is written.
+/// The entry that ends a configuration, in its stored form.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredStopSign {
     config: u32,
@@ -62,34 +63,35 @@
     metadata: Option<Vec<u8>>,
 }
 
-/// One write. They are to be kept in their order, all of one turn or none of it.
+/// One write to the log. Records must be persisted in order, and those of one poll all or none.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// All of the log up to here, in place of what was written before.
+    /// The complete state, which replaces all earlier records.
     Snapshot(Box<VoterSnapshot>),
-    /// Entries behind those that there are.
+    /// Appends entries.
     Append(Vec<Command>),
-    /// Entries from a place on, in the stead of those that there are.
+    /// Replaces all entries from an index on.
     ReplaceSuffix(u64, Vec<Command>),
-    /// No lower ballot is listened to.
+    /// Ballots lower than this one are rejected from now on.
     Promised(StoredBallot),
-    /// The round in which the log was last written.
+    /// The ballot under which the log was last written.
     Accepted(StoredBallot),
-    /// So many entries are decided.
+    /// The number of decided entries.
     Decided(u64),
-    /// Entries before this place are no longer kept one by one.
+    /// Entries before this index are applied to the table and dropped.
     Compact(u64),
-    /// The configuration ends, or does not after all.
+    /// Sets or removes the entry that ends the configuration.
     StopSign(Option<StoredStopSign>),
 }
 
-/// What is kept.
+/// The complete persistent state of a voter.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterSnapshot {
-    /// The table of the entries that are no longer kept one by one, and how many those are.
+    /// The table after the entries that were dropped by compaction.
     table: Table,
+    /// The number of these entries.
     compacted_count: u64,
-    /// Entries behind them.
+    /// The entries after them.
     entries: Vec<Command>,
     promised_ballot: Option<StoredBallot>,
     accepted_ballot: Option<StoredBallot>,
@@ -98,29 +100,30 @@
 }
 
 impl VoterSnapshot {
-    /// What records add up to.
+    /// Rebuilds the state from records.
     pub fn replay(records: impl IntoIterator<Item = Record>) -> Self {
         let mut snapshot = VoterSnapshot::default();
         records.into_iter().for_each(|record| snapshot.write(record));
         snapshot
     }
 
-    /// Entries that are kept one by one.
+    /// The number of entries that are still stored individually.
     pub fn entry_count(&self) -> usize {
         self.entries.len()
     }
 
-    /// The table of the entries that are no longer kept one by one, and how many those are.
+    /// The table after the compacted entries, and the number of these.
     pub fn compacted_table(&self) -> (&Table, usize) {
         (&self.table, self.compacted_count as usize)
     }
 
-    /// Takes over the log of another voter, which has decided more; false where that may not be.
+    /// Takes over the log of another voter that has decided and compacted more. Returns whether it was taken over.
     ///
-    /// All of it, with the round it was accepted in: the decided part alone under that round would say that nothing else was
-    /// accepted in it, and under the round of before that nothing came since. Nobody is told of an acceptance, so that it
-    /// counts for no majority, also where a higher round was promised already; who asks later is told of it like of any other.
-    /// A log of a later round than the other one stays.
+    /// The whole log is taken, with the ballot under which it was accepted. Taking only the decided part under that ballot would
+    /// claim that nothing else was accepted under it; taking it under the own older ballot would claim that nothing was accepted
+    /// since. This voter sends no acceptance for the entries, so they add to no majority, even if it has already promised a
+    /// higher ballot; it reports them like any other entries when it is asked for its log. An own log that was accepted under a
+    /// later ballot is kept.
     pub fn install(&mut self, other: VoterSnapshot) -> bool {
         if other.decided_count <= self.decided_count || other.compacted_count <= self.compacted_count {
             return false;
@@ -178,7 +181,7 @@
     }
 }
 
-/// The log of one voter: the library has one handle, its owner another.
+/// The log of one voter. Clones share their state: the library owns one, the voter another.
 #[derive(Clone, Debug, Default)]
 pub struct VoterLog {
     state: Rc<RefCell<LogState>>,
@@ -187,22 +190,22 @@
 #[derive(Debug, Default)]
 struct LogState {
     snapshot: VoterSnapshot,
-    /// Written since the owner last asked.
+    /// Records written since the last call of [`VoterLog::take_records`].
     records: Vec<Record>,
 }
 
 impl VoterLog {
-    /// One that goes on from what was kept.
+    /// Continues from a stored state.
     pub fn new(snapshot: VoterSnapshot) -> Self {
         VoterLog { state: Rc::new(RefCell::new(LogState { snapshot, records: Vec::new() })) }
     }
 
-    /// What was written since the last time.
+    /// Returns the records written since the last call.
     pub fn take_records(&self) -> Vec<Record> {
         std::mem::take(&mut self.state.borrow_mut().records)
     }
 
-    /// Puts records before those that were written since.
+    /// Inserts `records` and then `last` before the records that are waiting to be taken.
     pub fn prepend_records(&self, mut records: Vec<Record>, last: Record) {
         let mut state = self.state.borrow_mut();
         records.push(last);
@@ -210,12 +213,12 @@
         state.records = records;
     }
 
-    /// All of it, as one record.
+    /// A copy of the complete state.
     pub fn snapshot(&self) -> VoterSnapshot {
         self.state.borrow().snapshot.clone()
     }
 
-    /// Entries that are kept one by one.
+    /// The number of entries that are still stored individually.
     pub fn entry_count(&self) -> usize {
         self.state.borrow().snapshot.entry_count()
     }
@@ -229,12 +232,12 @@
         )
     }
 
-    /// Entries that are no longer kept one by one.
+    /// The number of entries that were compacted.
     pub fn compacted_count(&self) -> usize {
         self.state.borrow().snapshot.compacted_count as usize
     }
 
-    /// Makes all but some of the decided entries into a table.
+    /// Applies all decided entries but the last `keep` to the table, and drops them.
     pub fn compact(&self, keep: usize) {
         let decided = self.state.borrow().snapshot.decided_count;
         let count = decided.saturating_sub(keep as u64);
@@ -261,7 +264,7 @@
     StopSign::with(next, stored.metadata)
 }
 
-/// The library is never asked to compact.
+/// Compaction by the library is never requested.
 fn unsupported() -> StorageResult<()> {
     Err("the log is not compacted by the library".into())
 }
--- a/crates/gullcart-group/src/member.rs
+++ b/crates/gullcart-group/src/member.rs
@@ -1,5 +1,5 @@
-//! Who asks for duties and holds them. A member says what it wants, keeps giving signs of life while it holds something, and
-//! counts its lease from before each sign of life that the group has heard, on a clock that runs while it sleeps.
+//! The member side of the group. A member requests duties, sends heartbeats while it holds any, and counts its lease from before
+//! it sent each acknowledged heartbeat, on a clock that also runs while the machine is suspended.
 
 use crate::lease::Lease;
 use crate::message::{MemberRequest, MemberView, WatchedDuty, MAX_WATCHED_DUTIES};
@@ -9,53 +9,54 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A duty that became free is claimed after a chance part of this: all that want it hear of it at one moment, ...
+/// A duty that became free is claimed after a random part of this delay, because all members that want it learn of it at once.
 const MAX_CLAIM_JITTER: Duration = Duration::from_millis(60);
-/// ... and after so much more for each duty that is held already, so that they spread.
+/// Additional delay of a claim for each duty that is already held, so that duties spread over the members.
 const CLAIM_DELAY_PER_HELD_DUTY: Duration = Duration::from_millis(40);
-/// The longest of it.
+/// Maximum of the additional delay for duties that are already held.
 const MAX_HELD_DUTIES_DELAY: Duration = Duration::from_millis(400);
-/// After a claim that was not heard of, or lost against another.
+/// Minimum time after which a claim is sent again if it was lost or another member won.
 const CLAIM_RETRY_INTERVAL: Duration = Duration::from_millis(350);
-/// How often a voter is asked how things stand, in leases, and how many of them it may be silent until another is asked.
+/// Number of leases after which a voter is asked for the current state again, and after which a silent voter is replaced by the
+/// next one.
 const REFRESH_LEASES: u32 = 2;
 
-/// Guards of a member that a test can take out.
+/// Safety checks of a member that tests can disable.
 #[cfg(feature = "unguarded")]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DisabledGuards {
-    /// Those of its lease.
+    /// The checks of its lease.
     pub lease: crate::lease::DisabledGuards,
-    /// Views are believed in the order in which they come.
+    /// Views are applied in the order in which they arrive, even if they are older than the last one.
     pub accept_old_views: bool,
 }
 
-/// What a member wants.
+/// A duty that this member wants to hold.
 #[derive(Clone, Copy, Debug)]
 struct RequestedDuty {
-    /// When it is claimed, if it is free then; none while somebody has it.
+    /// When to claim the duty if it is still free by then; `None` while another member holds it.
     claim_at: Option<Moment>,
-    /// It is not claimed before: it was passed on.
+    /// The duty was yielded and must not be claimed before this time.
     yielded_until: Moment,
 }
 
-/// How a duty stands that a member wants, as it was told last.
+/// The last reported state of a requested duty.
 #[derive(Clone, Debug, Default)]
 struct ObservedDuty {
     holder: Option<(MemberId, Epoch)>,
-    /// What was told of it, and when that was agreed on at the latest.
+    /// The last note, and the latest time at which it can have been decided.
     note: Option<(Note, Moment)>,
 }
 
-/// What a member holds.
+/// A duty that this member holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct HeldDuty {
     epoch: Epoch,
-    /// It is being given up.
+    /// The duty is being released.
     is_releasing: bool,
 }
 
-/// A member that stopped, for the process that goes on in its place and in its life.
+/// The state of a stopped member, for the process that continues it in the same incarnation.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MemberHandover {
     lease: Lease,
@@ -66,39 +67,39 @@
 }
 
 impl MemberHandover {
-    /// What it wanted.
+    /// The duties that the member wanted to hold.
     pub fn requested_duties(&self) -> &[Duty] {
         &self.requested_duties
     }
 
-    /// Whether it can be of this clock: no lease lies so far ahead.
+    /// Whether the state can stem from this clock: its lease must not end later than a new one would.
     fn is_plausible(&self, now: Moment, terms: &LeaseTerms) -> bool {
         self.lease.until().is_none_or(|until| until <= now + terms.duration)
             && self.requested_duties.len().max(self.held_duties.len()) <= MAX_WATCHED_DUTIES
     }
 }
 
-/// A member of the group: one start of its process.
+/// One incarnation of a member of the group.
 pub struct Member {
     me: MemberId,
     incarnation: Incarnation,
     terms: LeaseTerms,
     voters: Vec<MemberId>,
-    /// Which of them is asked.
+    /// Index of the voter that is asked.
     voter_index: usize,
     rng: fastrand::Rng,
     lease: Lease,
     version: u64,
     requested_duties: BTreeMap<Duty, RequestedDuty>,
     held_duties: BTreeMap<Duty, HeldDuty>,
-    /// Who holds what is wanted, as last told.
+    /// The last reported state of the requested duties.
     observed_duties: BTreeMap<Duty, ObservedDuty>,
-    /// What is to be told of what it holds, until that is agreed on.
+    /// Notes about held duties that are not decided yet.
     unpublished_notes: BTreeMap<Duty, Payload>,
     next_heartbeat: Moment,
     next_refresh: Moment,
     last_contact: Moment,
-    /// It has been told that a newer start of it exists.
+    /// A newer incarnation of this member exists.
     is_superseded: bool,
     #[cfg(feature = "unguarded")]
     disabled_guards: DisabledGuards,
@@ -115,7 +116,7 @@
         now: Moment,
     ) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        // A voter asks itself; the others spread.
+        // A voter asks itself; other members are spread over the voters.
         let own = voters.iter().position(|voter| *voter == me);
         let voter_index = own.unwrap_or_else(|| rng.usize(0..voters.len().max(1)));
         Member {
@@ -140,7 +141,7 @@
         }
     }
 
-    /// All that it is. It must do nothing after this.
+    /// Returns the state for the process that continues this member. This one must not act after that.
     pub fn hand_over(&self) -> MemberHandover {
         MemberHandover {
             lease: self.lease.clone(),
@@ -151,8 +152,8 @@
         }
     }
 
-    /// Goes on as another process that stopped, on the same clock and in the same life; false where it cannot have been that.
-    /// It gives a sign of life at once: nobody did meanwhile.
+    /// Continues a stopped member, on the same clock and in the same incarnation. Returns false if the state cannot stem from
+    /// it. The next poll sends a heartbeat at once, as none was sent in the meantime.
     pub fn resume(&mut self, handover: MemberHandover, now: Moment) -> bool {
         if handover.lease.incarnation() != self.incarnation || !handover.is_plausible(now, &self.terms) {
             return false;
@@ -168,7 +169,7 @@
         true
     }
 
-    /// Takes some guards out.
+    /// Disables safety checks, for tests.
     #[cfg(feature = "unguarded")]
     pub fn with_guards_disabled(mut self, disabled_guards: DisabledGuards) -> Self {
         self.lease.disable_guards(disabled_guards.lease);
@@ -176,7 +177,7 @@
         self
     }
 
-    /// Wants to hold a duty, from now on; false where it wants too many.
+    /// Requests a duty from now on. Returns false if too many are requested.
     pub fn request(&mut self, now: Moment, duty: &Duty) -> bool {
         if self.requested_duties.contains_key(duty) {
             return true;
@@ -191,7 +192,7 @@
         true
     }
 
-    /// Does not want it any more: gives it up at once where it is held.
+    /// Withdraws the request for a duty, and releases the duty if it is held.
     pub fn release(&mut self, now: Moment, duty: &Duty) {
         self.requested_duties.remove(duty);
         self.observed_duties.remove(duty);
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Gives it up where it is held, wants to be told of it all the same, and does not claim it for so long.
+    /// Releases a duty if it is held, and does not claim it again before `cooldown` has passed. The request stays.
     pub fn yield_duty(&mut self, now: Moment, duty: &Duty, cooldown: Duration) {
         if let Some(request) = self.requested_duties.get_mut(duty) {
             request.yielded_until = now + cooldown;
@@ -214,7 +215,7 @@
         }
     }
 
-    /// Tells all that want a duty something of it, while it is held.
+    /// Publishes a note about a held duty to all members that watch it.
     pub fn publish_note(&mut self, now: Moment, duty: &Duty, payload: Payload) {
         let is_new = self.unpublished_notes.get(duty) != Some(&payload);
         if is_new && self.held_duties.get(duty).is_some_and(|held| !held.is_releasing) {
@@ -223,24 +224,24 @@
         }
     }
 
-    /// What was told last of a duty that it wants, and when that was agreed on at the latest.
+    /// The last note about a requested duty, and the latest time at which it can have been decided.
     pub fn note(&self, duty: &Duty) -> Option<(&Note, Moment)> {
         let (note, at) = self.observed_duties.get(duty)?.note.as_ref()?;
         Some((note, *at))
     }
 
-    /// Gives all up: the process ends.
+    /// Releases all duties, before the process ends.
     pub fn release_all(&mut self, now: Moment) {
         let all: Vec<Duty> = self.requested_duties.keys().chain(self.held_duties.keys()).cloned().collect();
         all.iter().for_each(|duty| self.release(now, duty));
     }
 
-    /// All that it wants.
+    /// The duties that this member wants to hold.
     pub fn requested_duties(&self) -> impl Iterator<Item = &Duty> + '_ {
         self.requested_duties.keys()
     }
 
-    /// Under which epoch it may act on a duty now. To be asked right before each act.
+    /// The epoch under which this member may act on a duty now. Must be checked right before each action.
     pub fn active_epoch(&self, now: Moment, duty: &Duty) -> Option<Epoch> {
         let held = self.held_duties.get(duty).filter(|held| !held.is_releasing)?;
         (self.lease.is_valid(now) && !self.is_superseded).then_some(held.epoch)
@@ -251,27 +252,27 @@
         self.lease.until()
     }
 
-    /// What it may act on now.
+    /// The duties on which this member may act now.
     pub fn active_duties(&self, now: Moment) -> impl Iterator<Item = (&Duty, Epoch)> + '_ {
         self.held_duties.keys().filter_map(move |duty| Some((duty, self.active_epoch(now, duty)?)))
     }
 
-    /// Who holds a duty that it wants, as last told.
+    /// The last reported holder of a requested duty.
     pub fn holder(&self, duty: &Duty) -> Option<(MemberId, Epoch)> {
         self.observed_duties.get(duty)?.holder
     }
 
-    /// Whether a newer start of this member exists: this process has no say any more.
+    /// Whether a newer incarnation of this member exists. This one sends nothing any more.
     pub fn is_superseded(&self) -> bool {
         self.is_superseded
     }
 
-    /// When it last heard from the group.
+    /// When the group was last heard from.
     pub fn last_contact(&self) -> Moment {
         self.last_contact
     }
 
-    /// The group says how things stand.
+    /// Applies the state that a voter reports.
     pub fn handle_view(&mut self, now: Moment, view: MemberView) {
         // A voter that is cut off from the others still answers, but gets nothing decided.
         let is_stalled = view.version <= self.version
@@ -317,14 +318,14 @@
             let observed = self.observed_duties.entry(duty.clone()).or_default();
             observed.holder = grant.map(|grant| (grant.holder, grant.epoch));
             if let Some((note, ago_us)) = note {
-                // Each voter counts from when it saw it, so that the earliest of what was said is nearest.
+                // The age is counted from when the reporting voter saw the note decided, so the earliest time is the most exact.
                 let at = Moment(now.0.saturating_sub(ago_us));
                 let known = observed.note.as_ref().filter(|(known, _)| *known == note).map(|(_, at)| *at);
                 observed.note = Some((note, known.map_or(at, |known| known.min(at))));
             }
             self.requested_duties.insert(duty, RequestedDuty { claim_at, yielded_until });
         }
-        // What is agreed on is not said again, nor what cannot be any more.
+        // Drops notes that are decided, and notes about duties that are no longer held.
         let (held_duties, observed_duties) = (&self.held_duties, &self.observed_duties);
         self.unpublished_notes.retain(|duty, payload| {
             let decided =
@@ -341,7 +342,7 @@
         now + (jitter + CLAIM_DELAY_PER_HELD_DUTY.saturating_mul(held_count).min(MAX_HELD_DUTIES_DELAY))
     }
 
-    /// When the next turn is due, if nothing happens before.
+    /// When [`Member::poll`] has to be called next, if no message arrives before.
     pub fn next_poll(&self) -> Option<Moment> {
         if self.requested_duties.is_empty() && self.held_duties.is_empty() {
             return None;
@@ -351,16 +352,16 @@
         claims.chain(heartbeat).chain([self.next_refresh]).min()
     }
 
-    /// Lets time pass; what it asks, and of which voter.
+    /// Advances the member to `now`. Returns the request to send, and the voter to send it to.
     pub fn poll(&mut self, now: Moment) -> Option<(MemberId, MemberRequest)> {
         if self.next_poll().is_none_or(|due| due > now) || self.voters.is_empty() || self.is_superseded {
             return None;
         }
         if now - self.last_contact > self.terms.duration * REFRESH_LEASES {
-            // That one is gone, or cannot be reached from here.
+            // The voter is down or cannot be reached from here, or gets nothing decided.
             self.voter_index = (self.voter_index + 1) % self.voters.len();
             self.last_contact = now;
-            // What that one was told is told again.
+            // Heartbeats that were sent to it are not waited for.
             self.lease.clear_unacknowledged();
         }
         let claim = self.requested_duties.iter().find(|(duty, request)| {
@@ -408,7 +409,7 @@
         Some((self.voters[self.voter_index], request))
     }
 
-    /// How it stands, for a look.
+    /// Describes the state of the member for debugging.
     pub fn debug_state(&self) -> String {
         let Member {
             lease,
@@ -430,12 +431,12 @@
         )
     }
 
-    /// Whether it holds nothing and wants nothing.
+    /// Whether it neither holds nor requests any duty.
     pub fn is_idle(&self) -> bool {
         self.requested_duties.is_empty() && self.held_duties.is_empty()
     }
 
-    /// Who it is.
+    /// The id of this member.
     pub fn me(&self) -> MemberId {
         self.me
     }
--- a/crates/gullcart-group/src/membership.rs
+++ b/crates/gullcart-group/src/membership.rs
@@ -1,49 +1,49 @@
-//! Who a process is, and who is let in. A voter's promises are in its folder: a process whose folder was lost, or is an older
-//! copy, is not the one that voted, and must not vote as if it were.
+//! The identity of a process, and which other processes it accepts. A voter's promises are stored in its state folder: a process
+//! whose folder was lost or restored from an older copy does not know what it has promised, and must not vote.
 //!
-//! A folder is born with a number drawn by chance, and knows which folder it is: a copy of it elsewhere, or put back, is not
-//! the same one. Voters remember each other's births. A voter whose folder is new votes only once every other voter has said
-//! that it knows of no older birth of it: at the first start of the group, when all have to be there once. Whoever is known by
-//! another birth stays outside until an operator replaces it.
+//! A new folder gets a random id and stores a fingerprint of itself, by which a copy is recognized. Members remember each
+//! other's folder ids. A voter with a new folder may vote only after every other voter has confirmed that it knows no other
+//! folder id of this member, so all voters have to be reachable once when the group is first started. A member that is known
+//! with another folder id stays excluded until an operator replaces it.
 
 use crate::types::{Incarnation, MemberId};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// Drawn when a folder is born; never 0.
+/// Random id that a folder gets when it is created; never 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FolderId(pub u64);
 
-/// By what a folder knows that it is itself: device, inode and birth of a file in it that is never written anew.
+/// Identifies the folder itself, as opposed to a copy of it, by a file in it that is created once and never rewritten.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FolderFingerprint {
-    /// The device.
+    /// The device that the file is on.
     pub device: u64,
-    /// The file.
+    /// The inode of the file.
     pub inode: u64,
-    /// When it was made, in nanoseconds of the file system's time; 0 where that is not known.
+    /// When the file was created, in nanoseconds since the Unix epoch; 0 if the file system does not say.
     pub created_ns: u64,
 }
 
-/// What a folder says of itself.
+/// The identity of a member, as stored in its folder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaIdentity {
-    /// Its birth.
+    /// The id of the folder.
     pub folder_id: FolderId,
-    /// The folder it was born in.
+    /// The fingerprint of the folder in which the identity was created.
     pub fingerprint: FolderFingerprint,
-    /// Starts so far.
+    /// The current incarnation, counted from 1.
     pub incarnation: Incarnation,
-    /// Processes that went on in this life before this one: an upgrade keeps it.
+    /// How often this incarnation was handed over from one process to the next, as in an upgrade.
     pub handovers: u64,
-    /// Every other voter has said once that it knows of no other birth.
+    /// Every other voter has confirmed that it knows no other folder id of this member.
     pub is_proven: bool,
-    /// Births of others.
+    /// The folder ids of other members.
     pub known_folders: BTreeMap<MemberId, FolderId>,
 }
 
-/// As what a process left its folder to the one that goes on in its place.
+/// The state in which a process leaves its folder to the process that continues it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FolderHandover {
     folder_id: FolderId,
@@ -52,23 +52,23 @@
 }
 
 impl ReplicaIdentity {
-    /// As what the folder is left.
+    /// The state in which the folder is left to the next process.
     pub fn handover(&self) -> FolderHandover {
         FolderHandover { folder_id: self.folder_id, incarnation: self.incarnation, handovers: self.handovers }
     }
 }
 
-/// Whose folder this is.
+/// How the folder that a process finds at its start relates to the member's previous process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FolderOrigin {
-    /// That of the process before: it goes on, one life later.
+    /// The folder of the previous process. A new incarnation begins.
     Restarted(ReplicaIdentity),
-    /// That of the process before, just as it left it to this one: it goes on in the same life. Who left it and comes back finds
-    /// that somebody else went on meanwhile, if so, and begins a life of its own.
+    /// The folder exactly as the previous process left it to this one, so the incarnation continues. If that process starts
+    /// again later, it finds that the handover count has changed, and begins a new incarnation.
     Continued(ReplicaIdentity),
-    /// A new one.
+    /// A new folder.
     New(ReplicaIdentity),
-    /// A copy, or one that was put back: what it says may be older than what was promised. It begins as a new one.
+    /// A copy, or a folder that was restored: its contents may be older than the promises made. It is used as a new folder.
     Copied(ReplicaIdentity),
 }
 
@@ -103,7 +103,7 @@
         }
     }
 
-    /// What it says of itself from now on.
+    /// The identity of the process from now on.
     pub fn into_identity(self) -> ReplicaIdentity {
         match self {
             FolderOrigin::Restarted(identity)
@@ -114,48 +114,48 @@
     }
 }
 
-/// What processes say to each other first.
+/// The identity that processes send to each other when they connect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handshake {
-    /// Who.
+    /// The sender.
     pub member: MemberId,
-    /// By which birth.
+    /// The id of the sender's folder.
     pub folder_id: FolderId,
-    /// In which life.
+    /// The incarnation of the sender.
     pub incarnation: Incarnation,
-    /// By which birth it knows the other one, if it does.
+    /// The folder id with which the sender knows the receiver, if any.
     pub expected_folder_id: Option<FolderId>,
 }
 
-/// Why somebody is not let in.
+/// Why a process is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum AdmissionError {
-    /// Nobody of that number belongs to the group.
+    /// The group has no member with this id.
     #[error("{0} is not a member")]
     NotMember(MemberId),
     /// The member is known with another folder: that one was lost, or this one is a copy.
     #[error("{0} does not have the folder that is known for it; if that folder is lost for good, replace the member")]
     DifferentFolder(MemberId),
-    /// It says it is this process.
+    /// The process claims to be this member.
     #[error("{0} is also running elsewhere")]
     DuplicateMember(MemberId),
 }
 
-/// The door of one process.
+/// The members of the group as one process knows them, and its own identity.
 #[derive(Clone, Debug)]
 pub struct Membership {
     me: MemberId,
     members: BTreeSet<MemberId>,
     voters: BTreeSet<MemberId>,
     identity: ReplicaIdentity,
-    /// Voters that said they know of no other birth of this one.
+    /// Voters that know no other folder id of this member.
     vouching_voters: BTreeSet<MemberId>,
-    /// Somebody knows this member by another birth.
+    /// Another member knows this one with another folder id.
     has_different_folder: bool,
 }
 
 impl Membership {
-    /// A process that knows who belongs to the group.
+    /// Creates the membership of a process.
     pub fn new(me: MemberId, members: &[MemberId], voters: &[MemberId], identity: ReplicaIdentity) -> Self {
         Membership {
             me,
@@ -167,12 +167,12 @@
         }
     }
 
-    /// What the folder says.
+    /// The identity of this process.
     pub fn identity(&self) -> &ReplicaIdentity {
         &self.identity
     }
 
-    /// What to say to another one.
+    /// The handshake to send to another member.
     pub fn handshake(&self, to: MemberId) -> Handshake {
         let ReplicaIdentity { folder_id, incarnation, known_folders, .. } = &self.identity;
         Handshake {
@@ -183,7 +183,8 @@
         }
     }
 
-    /// Another one says who it is. Whether what the folder says has changed by it, and is to be kept before anything else.
+    /// Checks the handshake of another process. Returns whether the own identity has changed, and must be saved before anything
+    /// else is done.
     pub fn admit(&mut self, handshake: Handshake) -> Result<bool, AdmissionError> {
         let Handshake { member, folder_id, expected_folder_id, .. } = handshake;
         if member == self.me {
@@ -214,12 +215,12 @@
         Ok(changed)
     }
 
-    /// Who belongs to the group from now on. Births that are known stay known: a number is its courier's own for good.
+    /// Replaces the set of members. Known folder ids are kept, as a member's id is never given to another one.
     pub fn set_members(&mut self, members: &[MemberId]) {
         self.members = members.iter().copied().collect();
     }
 
-    /// Whether somebody belongs to the group.
+    /// Whether a member belongs to the group.
     pub fn is_member(&self, member: MemberId) -> bool {
         self.members.contains(&member)
     }
@@ -229,7 +230,7 @@
         self.identity.is_proven && !self.has_different_folder && self.voters.contains(&self.me)
     }
 
-    /// Whether the group knows this member by another folder.
+    /// Whether another member knows this one with another folder id.
     pub fn has_different_folder(&self) -> bool {
         self.has_different_folder
     }
--- a/crates/gullcart-group/src/membership/tests.rs
+++ b/crates/gullcart-group/src/membership/tests.rs
@@ -26,6 +26,7 @@
     (one.admit(b), other.admit(a))
 }
 
+/// A group of three voters that have all met.
 fn group() -> Vec<Membership> {
     let mut memberships: Vec<Membership> = (1..=3).map(|me| membership(me, None, me, 100 + me)).collect();
     let (one, rest) = memberships.split_at_mut(1);
@@ -53,7 +54,7 @@
     let (by_lost, by_other) = introduce(&mut lost, &mut memberships[1]);
     assert_eq!((by_lost, by_other), (Ok(true), Err(AdmissionError::DifferentFolder(MemberId(1)))));
     assert!(lost.has_different_folder() && !lost.may_vote());
-    // Also beside one that lost its folder as well: the third is missed.
+    // Not even if another voter lost its folder as well: the third one has not confirmed them.
     let (mut one, mut two) = (membership(1, None, 9, 555), membership(2, None, 8, 556));
     introduce(&mut one, &mut two).0.unwrap();
     assert!(!one.may_vote() && !two.may_vote());
@@ -67,7 +68,7 @@
     assert!(
         matches!(&origin, FolderOrigin::Copied(new) if new.folder_id != stored.folder_id && !new.is_proven)
     );
-    // Nor is one whose number was given away again.
+    // The inode number was reused for another file.
     let later = FolderFingerprint { created_ns: 6, ..fingerprint(1) };
     assert!(matches!(FolderOrigin::determine(Some(stored), later, 9, None), FolderOrigin::Copied(_)));
 }
--- a/crates/gullcart-group/src/message.rs
+++ b/crates/gullcart-group/src/message.rs
@@ -1,4 +1,4 @@
-//! What members say to each other. Everything that comes from outside is checked before it is listened to.
+//! Messages between members of a group. Received messages are checked before they are processed.
 
 use crate::log::VoterSnapshot;
 use crate::message_order::MessageStamp;
@@ -7,69 +7,69 @@
 use omnipaxos::messages::Message;
 use serde::{Deserialize, Serialize};
 
-/// Duties that one member watches, or holds, at most.
+/// Maximum number of duties that one member requests or holds.
 pub const MAX_WATCHED_DUTIES: usize = 1024;
 
-/// What a member asks of a voter.
+/// A request of a member to a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRequest {
-    /// In which start of its process.
+    /// The incarnation of the member.
     pub incarnation: Incarnation,
-    /// A sign of life, where it holds or claims something.
+    /// A heartbeat, if the member holds or claims a duty.
     pub heartbeat: Option<HeartbeatNumber>,
-    /// What it claims with that sign of life.
+    /// The duty that is claimed with the heartbeat.
     pub claim: Option<Duty>,
-    /// What it gives up.
+    /// Duties to release, with the epochs of their grants.
     pub releases: Vec<(Duty, Epoch)>,
-    /// What it tells of duties that it holds.
+    /// Notes about duties that the member holds.
     pub notes: Vec<(Duty, Epoch, Payload)>,
-    /// What it wants to be told of.
+    /// Duties that the member wants to be informed about.
     pub watched_duties: Vec<Duty>,
 }
 
-/// How the agreed table stands for one member.
+/// The part of the replicated table that concerns one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberView {
-    /// How many commands the table comes from: one that is behind another says nothing new.
+    /// The number of commands applied to the table. A view with a lower version than an earlier one is outdated.
     pub version: u64,
-    /// Its session.
+    /// The session of the member.
     pub session: Option<Session>,
-    /// The newest life of it that was heard of.
+    /// The newest known incarnation of the member.
     pub newest_incarnation: Option<Incarnation>,
-    /// What it holds, in whatever life.
+    /// Duties that the member holds, in any incarnation.
     pub held_duties: Vec<(Duty, Incarnation, Epoch)>,
-    /// How what it watches stands.
+    /// The state of the duties that the member watches.
     pub watched_duties: Vec<WatchedDuty>,
 }
 
-/// How a duty stands that a member watches.
+/// The state of a duty that a member watches.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchedDuty {
-    /// Which.
+    /// The duty.
     pub duty: Duty,
-    /// Who holds it.
+    /// The current grant.
     pub grant: Option<Grant>,
-    /// What was told last of it, and how many microseconds ago that was agreed on at the least; none where the voter that says
-    /// this cannot tell, as it was agreed on before it began.
+    /// The last note, and the minimum number of microseconds since it was decided. `None` also if the note was decided before
+    /// the reporting voter was started, which then does not know its age.
     pub note: Option<(Note, u64)>,
 }
 
-/// What one process says to another.
+/// A message between two processes of the group.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// A voter to another one: the library's own words.
+    /// A message of the consensus library, between voters.
     Consensus(MessageStamp, Box<Message<Command>>),
-    /// A voter to one that lacks what is no longer kept one by one: all that it keeps.
+    /// The complete state of a voter, for a voter that needs entries which the sender has compacted.
     Snapshot(MessageStamp, Box<VoterSnapshot>),
-    /// A voter to one that spoke to another run of it: which one there is.
+    /// Tells a voter the current run of the sender, because it addressed a different run.
     CurrentRun(MessageStamp),
-    /// A member to a voter.
+    /// From a member to a voter.
     Request(MemberRequest),
-    /// A voter to a member.
+    /// From a voter to a member.
     View(MemberView),
 }
 
-/// Why something is not listened to.
+/// Why a message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
     /// The sender or receiver named in the message differs from the actual one.
@@ -84,7 +84,7 @@
 }
 
 impl PeerMessage {
-    /// Checks what came from a member that is known to be that one.
+    /// Checks a message that was received from the authenticated member `from`.
     pub fn check(&self, from: MemberId, to: MemberId, voters: &[MemberId]) -> Result<(), MessageError> {
         match self {
             PeerMessage::Consensus(_, message) => {
--- a/crates/gullcart-group/src/message_order.rs
+++ b/crates/gullcart-group/src/message_order.rs
@@ -1,74 +1,76 @@
-//! Words of voters in the order in which they were said, each once, between the runs that said them and that they were said to.
+//! Delivers messages between voters in the order in which they were sent, each at most once, and only between the current runs of
+//! sender and receiver.
 //!
-//! The library is made for that, and for words that are lost; a word that comes late breaks it. An answer of an earlier go at
-//! taking a voter up (`AcceptSync`), heard after a later one, cuts entries off its log that it has told others of, and
-//! what was decided with them is undecided: seen on one random day in some 14,000. Connections keep the order each for itself,
-//! but what was said on one may be read after what was said on the next.
+//! The consensus library relies on this order. It tolerates lost messages, but a late one breaks it: a late `AcceptSync` from an
+//! earlier synchronization, processed after a newer one, truncates entries that the receiver has already acknowledged, and
+//! decided entries are lost. One in about 14,000 random simulation runs showed this. Each connection keeps the order, but the
+//! last messages of one connection may be read after the first ones of the next.
 
 use crate::types::{Incarnation, MemberId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One go of a voter, from when it began with what was kept of it until it ends. Each is higher than all before.
+/// Identifies a run of a voter: from its creation from persisted state until it stops. Each run has a higher id than all before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RunId {
-    /// In which start of its process.
+    /// The incarnation of the member.
     pub incarnation: Incarnation,
-    /// In which process of that life.
+    /// The number of earlier processes in this incarnation.
     pub handovers: u64,
-    /// How often it had begun before in that process.
+    /// The number of earlier runs in this process.
     pub restarts: u64,
 }
 
-/// From which run to which a word goes, and where it stands among the words of the first to that member.
+/// Names the sending and the receiving run of a message, and its position among the messages of the sender to that member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MessageStamp {
     from: RunId,
-    /// None where the sender has not heard of any.
+    /// `None` if the sender does not know any run of the receiver yet.
     to: Option<RunId>,
     number: u64,
 }
 
-/// What to do with a word.
+/// What to do with a received message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reception {
-    /// Listen to it.
+    /// Process it.
     InOrder,
-    /// It was heard, or what came after it was.
+    /// Drop it: it, or a message sent after it, was already processed.
     Late,
-    /// It was said to another run of this voter, or to none: its sender has to be told of this one.
+    /// Drop it, and tell the sender the current run: it was addressed to another run of this voter, or to none.
     WrongRun,
 }
 
-/// The order that one run keeps.
+/// Sends and receives the messages of one run in order.
 #[derive(Clone, Debug)]
 pub struct MessageOrder {
     run: RunId,
+    /// The number of the last message sent to each voter.
     last_sent: BTreeMap<MemberId, u64>,
-    /// The newest run of each other voter, and its last word that was listened to.
+    /// The newest run of each other voter, and the number of the last message of it that was processed.
     last_received: BTreeMap<MemberId, (RunId, u64)>,
 }
 
 impl MessageOrder {
-    /// A run that has heard of nobody.
+    /// Creates the order of a run that knows no other voter's run yet.
     pub fn new(run: RunId) -> Self {
         MessageOrder { run, last_sent: BTreeMap::new(), last_received: BTreeMap::new() }
     }
 
-    /// It begins anew: what was said to it before is not listened to any more.
+    /// Starts the next run in the same process. Messages to the previous run are dropped.
     pub fn restart(&mut self) {
         self.run.restarts += 1;
         self.last_sent.clear();
     }
 
-    /// The stamp of the next word to a voter.
+    /// Stamps the next message to a voter.
     pub fn stamp(&mut self, to: MemberId) -> MessageStamp {
         let number = self.last_sent.entry(to).or_default();
         *number += 1;
         MessageStamp { from: self.run, to: self.last_received.get(&to).map(|(run, _)| *run), number: *number }
     }
 
-    /// A word came from a voter.
+    /// Decides what to do with a message from a voter.
     pub fn receive(&mut self, from: MemberId, stamp: MessageStamp) -> Reception {
         let (run, last) = self.last_received.entry(from).or_insert((stamp.from, 0));
         if stamp.from < *run {
--- a/crates/gullcart-group/src/message_order/tests.rs
+++ b/crates/gullcart-group/src/message_order/tests.rs
@@ -44,7 +44,7 @@
 }
 
 proptest! {
-    /// However words are mixed, those that are listened to come in the order in which they were said, each once.
+    /// However messages are reordered and duplicated, each is processed at most once and in the order of sending.
     #[test]
     fn the_order_is_kept(picks in prop::collection::vec(any::<prop::sample::Index>(), 1..80)) {
         let (mut a, mut b) = connected_pair();
--- a/crates/gullcart-group/src/node.rs
+++ b/crates/gullcart-group/src/node.rs
@@ -1,4 +1,4 @@
-//! One process of the group: a member, and a voter where it is one.
+//! A process of the group: a member, and a voter if the process votes.
 
 use crate::log::{Record, VoterSnapshot};
 use crate::member::{Member, MemberHandover};
@@ -11,30 +11,30 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Before the same voter is told again which run there is.
+/// Minimum time before the same voter is told the current run again.
 const RUN_NOTICE_INTERVAL: Duration = Duration::from_millis(50);
-/// Rounds in which a voter and its own member answer each other within a turn.
+/// Maximum number of exchanges between the local voter and the local member in one poll.
 const MAX_LOCAL_ROUNDS: usize = 4;
 
-/// What is to be done, in this order: records kept for good, then messages sent. Where records cannot be kept nothing may be
-/// sent, and the node must be made anew from what was kept ([`Node::halt`] until then).
+/// The result of a poll. The records must be persisted before any message is sent. If they cannot be persisted, nothing may be
+/// sent, and voting must stop ([`Node::stop_voting`]) until the voter is recreated from what was persisted.
 #[derive(Debug, Default)]
 pub struct Output {
-    /// To be kept.
+    /// Records to persist.
     pub records: Vec<Record>,
-    /// To others.
+    /// Messages to other members.
     pub messages: Vec<(MemberId, PeerMessage)>,
 }
 
-/// One process.
+/// One process of the group.
 pub struct Node {
     me: MemberId,
     voters: Vec<MemberId>,
-    /// Who asks and holds.
+    /// The member side.
     pub member: Member,
     voter: Option<Voter>,
     order: MessageOrder,
-    /// Voters that spoke to another run of this one.
+    /// Voters that addressed another run of this one.
     wrong_run_senders: BTreeSet<MemberId>,
     run_notice_pacer: RetryPacer<MemberId>,
     #[cfg(feature = "unguarded")]
@@ -42,7 +42,7 @@
 }
 
 impl Node {
-    /// A process in a run of its own; it votes where it is one of the voters and has what it kept.
+    /// Creates a process with a new run. It votes if it is one of the voters and has stored state.
     pub fn new(
         me: MemberId,
         run: RunId,
@@ -68,27 +68,27 @@
         })
     }
 
-    /// Who it is.
+    /// The id of this member.
     pub fn me(&self) -> MemberId {
         self.me
     }
 
-    /// What is agreed on, where it votes.
+    /// The replicated table, if this process votes.
     pub fn table(&self) -> Option<&Table> {
         self.voter.as_ref().map(Voter::table)
     }
 
-    /// Its voter.
+    /// The voter, if this process votes.
     pub fn voter(&self) -> Option<&Voter> {
         self.voter.as_ref()
     }
 
-    /// The same, to change it.
+    /// The voter, mutably.
     pub fn voter_mut(&mut self) -> Option<&mut Voter> {
         self.voter.as_mut()
     }
 
-    /// Votes no more: what it promised last cannot be kept.
+    /// Stops voting, because the last promise could not be persisted.
     pub fn stop_voting(&mut self) {
         self.voter = None;
     }
@@ -105,7 +105,7 @@
         Ok(())
     }
 
-    /// Goes on at once in the place and in the life of a process that stopped for it; false where it cannot have been that one.
+    /// Continues a member that another process has handed over, in the same incarnation. Returns false if that is not possible.
     pub fn resume(&mut self, handover: MemberHandover, now: Moment) -> bool {
         let is_resumed = self.member.resume(handover, now);
         if let Some(voter) = self.voter.as_mut().filter(|_| is_resumed) {
@@ -143,12 +143,12 @@
             {
                 Ok(true) => self.order.restart(),
                 Ok(false) => {}
-                // Only the voters of this group are let in, and with them it can go on.
+                // Cannot happen with the configured voters, which were accepted before.
                 Err(_) => self.voter = None,
             },
             (PeerMessage::Request(request), Some(voter)) => voter.handle_request(now, from, request),
             (PeerMessage::View(view), _) => self.member.handle_view(now, view),
-            // It votes no more, or was only told that somebody is there.
+            // This process does not vote, or the message only carried a stamp.
             (PeerMessage::CurrentRun(_), _) | (_, None) => {}
         }
         Ok(())
@@ -161,19 +161,19 @@
         false
     }
 
-    /// Takes the order of words out.
+    /// Accepts messages from voters in any order, for tests.
     #[cfg(feature = "unguarded")]
     pub fn accept_late_messages(&mut self, accepts: bool) {
         self.accepts_late_messages = accepts;
     }
 
-    /// When the next turn is due, if nothing comes before.
+    /// When [`Node::poll`] has to be called next, if no message arrives before.
     pub fn next_poll(&self) -> Option<Moment> {
         let voter = self.voter.as_ref().map(Voter::next_poll);
         [voter, self.member.next_poll()].into_iter().flatten().min()
     }
 
-    /// Lets time pass, and hands out what is to be done.
+    /// Advances the process to `now`, and returns what has to be persisted and sent.
     pub fn poll(&mut self, now: Moment) -> Output {
         let mut output = Output::default();
         for _ in 0..MAX_LOCAL_ROUNDS {
@@ -217,7 +217,7 @@
                 output.messages.push((to, PeerMessage::CurrentRun(self.order.stamp(to))));
             }
         }
-        // To itself it says nothing over the network.
+        // Messages to itself are handled locally and never sent.
         output.messages.retain(|(to, _)| *to != self.me);
         output
     }
--- a/crates/gullcart-group/src/retry_pacer.rs
+++ b/crates/gullcart-group/src/retry_pacer.rs
@@ -1,11 +1,11 @@
-//! What is said again where it came to nothing, but not at once.
+//! Limits how often actions are retried.
 
 use crate::types::Moment;
 use std::collections::btree_map::Entry;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Things, each of which is done once within a gap.
+/// Allows each key once per interval.
 #[derive(Clone, Debug)]
 pub struct RetryPacer<K> {
     interval: Duration,
@@ -13,12 +13,12 @@
 }
 
 impl<K: Ord> RetryPacer<K> {
-    /// Nothing was done yet.
+    /// Creates a pacer that allows every key immediately.
     pub fn new(interval: Duration) -> Self {
         RetryPacer { interval, last_allowed: BTreeMap::new() }
     }
 
-    /// Whether a thing is to be done now; then it counts as done now. Asking again and again does not put it off.
+    /// Whether the action may run now. If so, it counts as run at `now`; calls in between do not extend the interval.
     pub fn is_due(&mut self, now: Moment, key: K) -> bool {
         let interval = self.interval;
         self.last_allowed.retain(|_, at| now - *at < interval);
--- a/crates/gullcart-group/src/table.rs
+++ b/crates/gullcart-group/src/table.rs
@@ -1,130 +1,130 @@
-//! What the group has agreed on: who gave signs of life, and who holds which duty under which epoch. Every voter comes to
-//! the same table from the same commands; nothing here knows a clock.
+//! The replicated state machine: members' sessions, and which member holds which duty under which epoch. Every voter computes
+//! the same table from the same commands. It uses no clock.
 //!
-//! Commands may come twice, late, and behind newer ones, as they are proposed again by whoever does not hear of them: each
-//! says what it was proposed on, and does nothing where that is no longer so. A stretch of commands that is taken in once more
-//! from its beginning to the last one changes nothing: the library does that where it joins what it compacted.
+//! Commands are proposed again when their result is not seen, so they may be applied twice, late, or after newer ones. Each
+//! command therefore names the state that it was based on, and has no effect if that state has changed. Applying a range of
+//! commands a second time, from its first to its last, changes nothing.
 
 use crate::types::{Duty, Epoch, HeartbeatNumber, Incarnation, MemberId, Payload};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Members that are remembered, and duties that are held, at most.
+/// Maximum number of members in a group. The table remembers this many.
 pub const MAX_MEMBERS: usize = 1024;
-/// Duties held at a time at most.
+/// Maximum number of duties held at a time.
 pub const MAX_DUTIES: usize = 16_384;
-/// Duties of which something was told, at most.
+/// Maximum number of duties for which the table keeps a note.
 const MAX_NOTES: usize = 1024;
 
-/// What is agreed on, one after the other.
+/// A command of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// A member gave a sign of life, and wants to hold its duties on, or to claim one.
+    /// Renews a member's session, and optionally claims a duty.
     Heartbeat {
-        /// Who.
+        /// The member that sends the heartbeat.
         member: MemberId,
-        /// In which start of its process.
+        /// The incarnation of the sender.
         incarnation: Incarnation,
-        /// Its number, higher than those before.
+        /// The number of the heartbeat; higher than those of all earlier ones in this incarnation.
         heartbeat: HeartbeatNumber,
-        /// What it asks for with it.
+        /// The duty to claim.
         claim: Option<Duty>,
     },
-    /// A holder gives a duty up.
+    /// Releases a duty.
     Release {
-        /// Who.
+        /// The holder.
         member: MemberId,
-        /// In which life.
+        /// The incarnation of the holder.
         incarnation: Incarnation,
-        /// Which.
+        /// The duty to release.
         duty: Duty,
-        /// As it was granted.
+        /// The epoch of the grant.
         epoch: Epoch,
     },
-    /// A holder tells all that want a duty something of it.
+    /// Publishes a note of the holder about its duty to all members that watch it.
     Note {
-        /// Who.
+        /// The holder.
         member: MemberId,
-        /// In which life.
+        /// The incarnation of the holder.
         incarnation: Incarnation,
-        /// Of which.
+        /// The duty that the note is about.
         duty: Duty,
-        /// As it was granted.
+        /// The epoch of the grant.
         epoch: Epoch,
-        /// What.
+        /// The contents of the note.
         payload: Payload,
     },
-    /// A voter has not heard from a member for longer than its lease since this sign of life.
+    /// Ends a member's session, because a voter has observed no newer heartbeat for longer than the lease.
     Expire {
-        /// Who.
+        /// The member whose lease has run out.
         member: MemberId,
-        /// In which life.
+        /// The incarnation of the session.
         incarnation: Incarnation,
-        /// Its last sign of life that the voter knows of.
+        /// The last heartbeat that the voter has observed.
         heartbeat: HeartbeatNumber,
     },
 }
 
-/// A member that may hold duties.
+/// The session of a member: while it lasts, the member may hold duties.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Session {
-    /// In which life.
+    /// The incarnation that owns the session.
     pub incarnation: Incarnation,
-    /// The last sign of life.
+    /// The last heartbeat.
     pub heartbeat: HeartbeatNumber,
 }
 
-/// A duty that is held.
+/// The grant of a duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Grant {
-    /// By whom.
+    /// The member that holds the duty.
     pub holder: MemberId,
-    /// In which life.
+    /// The incarnation of the holder.
     pub incarnation: Incarnation,
-    /// Under which epoch.
+    /// The epoch of the grant.
     pub epoch: Epoch,
 }
 
-/// What a holder told last of a duty; it outlasts its grant.
+/// The last note that a holder published about a duty. It outlasts the grant.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Note {
-    /// Under which epoch.
+    /// The epoch under which it was published.
     pub epoch: Epoch,
-    /// What.
+    /// The contents of the note.
     pub payload: Payload,
 }
 
-/// Guards of the table that a test can take out.
+/// Safety checks of the table that tests can disable.
 #[cfg(feature = "unguarded")]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct DisabledGuards {
-    /// A lease ends though signs of life came after the one it is to have ended with.
+    /// A session expires although newer heartbeats than the named one were applied.
     pub expire_despite_newer_heartbeat: bool,
-    /// A new life takes over what the one before holds.
+    /// A new incarnation takes over the duties of the one before.
     pub new_incarnation_inherits: bool,
-    /// A duty that is held is granted to who claims it.
+    /// A duty that is already held is granted again.
     pub grant_held_duties: bool,
-    /// Epochs begin anew when a duty was given up.
+    /// Epochs restart when a duty is released.
     pub reset_epochs: bool,
-    /// Who held a duty once is listened to.
+    /// Notes of members that no longer hold the duty are accepted.
     pub accept_notes_of_past_holders: bool,
 }
 
-/// The agreed table.
+/// The replicated table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Table {
     /// The last epoch that was granted.
     last_epoch: Epoch,
-    /// The newest life of each member, and its last sign of life: older ones are never listened to again.
+    /// The newest incarnation of each member with its last heartbeat. Older ones are ignored for good.
     latest_sessions: BTreeMap<MemberId, Session>,
-    /// Members that may hold something.
+    /// The sessions of members that may hold duties.
     sessions: BTreeMap<MemberId, Session>,
     grants: BTreeMap<Duty, Grant>,
     notes: BTreeMap<Duty, Note>,
 }
 
 impl Table {
-    /// Members that may hold something.
+    /// The sessions of members that may hold duties.
     pub fn sessions(&self) -> impl Iterator<Item = (MemberId, Session)> + '_ {
         self.sessions.iter().map(|(member, session)| (*member, *session))
     }
@@ -134,27 +134,27 @@
         self.sessions.get(&member).copied()
     }
 
-    /// The newest life that was heard of.
+    /// The newest known incarnation of a member.
     pub fn newest_incarnation(&self, member: MemberId) -> Option<Incarnation> {
         self.latest_sessions.get(&member).map(|session| session.incarnation)
     }
 
-    /// Who holds a duty.
+    /// The current grant of a duty.
     pub fn grant(&self, duty: &Duty) -> Option<Grant> {
         self.grants.get(duty).copied()
     }
 
-    /// What was told last of a duty.
+    /// The last note about a duty.
     pub fn note(&self, duty: &Duty) -> Option<&Note> {
         self.notes.get(duty)
     }
 
-    /// All that is held.
+    /// All current grants.
     pub fn grants(&self) -> impl Iterator<Item = (&Duty, Grant)> + '_ {
         self.grants.iter().map(|(duty, grant)| (duty, *grant))
     }
 
-    /// Takes in what was agreed on next; duties that have another holder, or none, or of which something was told by it.
+    /// Applies a command. Returns the duties whose holder or note has changed.
     pub fn apply(&mut self, command: &Command) -> Vec<Duty> {
         self.apply_guarded(
             command,
@@ -163,7 +163,7 @@
         )
     }
 
-    /// The same, without some guards.
+    /// Applies a command with safety checks disabled.
     #[cfg(feature = "unguarded")]
     pub fn apply_unguarded(&mut self, command: &Command, disabled: DisabledGuards) {
         self.apply_guarded(command, disabled);
@@ -178,7 +178,7 @@
         match command {
             Command::Heartbeat { member, incarnation, heartbeat, claim } => {
                 let current = Session { incarnation: *incarnation, heartbeat: *heartbeat };
-                // An older life, or a sign of life that newer ones have passed.
+                // From an older incarnation, or older than a heartbeat that was already applied.
                 if self.latest_sessions.get(member).is_some_and(|newest| current <= *newest) {
                     return changed;
                 }
@@ -187,8 +187,8 @@
                 }
                 self.latest_sessions.insert(*member, current);
                 let session = self.sessions.entry(*member).or_insert(current);
-                // The process before may not know that it is over. What it holds stays its own until its lease has run out,
-                // which nothing renews from now on.
+                // The process of the old incarnation may still be running. Its duties stay with it until its lease has expired;
+                // its heartbeats no longer renew that lease.
                 #[cfg(feature = "unguarded")]
                 if disabled.new_incarnation_inherits && session.incarnation < current.incarnation {
                     session.incarnation = current.incarnation;
@@ -205,7 +205,7 @@
                 #[cfg(feature = "unguarded")]
                 let is_held = is_held && !disabled.grant_held_duties;
                 if !is_held && self.grants.len() < MAX_DUTIES {
-                    // One count for all duties: it goes on whatever becomes of them.
+                    // One counter for all duties, which is never reset.
                     self.last_epoch.0 += 1;
                     let grant = Grant { holder: *member, incarnation: *incarnation, epoch: self.last_epoch };
                     self.grants.insert(duty.clone(), grant);
@@ -233,7 +233,7 @@
                     return changed;
                 }
                 if self.notes.len() >= MAX_NOTES && !self.notes.contains_key(duty) {
-                    // The one of longest ago.
+                    // Evicts the note with the oldest epoch.
                     let oldest = self.notes.iter().min_by_key(|(_, note)| note.epoch);
                     if let Some(oldest) = oldest.map(|(duty, _)| duty.clone()) {
                         self.notes.remove(&oldest);
--- a/crates/gullcart-group/src/table/tests.rs
+++ b/crates/gullcart-group/src/table/tests.rs
@@ -26,6 +26,7 @@
     table
 }
 
+/// The holder and the epoch of the duty.
 fn held(table: &Table) -> Option<(u64, u64)> {
     table.grant(&duty()).map(|grant| (grant.holder.0, grant.epoch.0))
 }
@@ -67,11 +68,11 @@
     table.apply(&expire(A, 1, 1));
     assert_eq!(note_of(&table), Some((1, payload("served"))));
     table.apply(&heartbeat(B, 1, 1, true));
-    // The holder before wakes up.
+    // The previous holder comes back.
     assert_eq!(table.apply(&note(A, 1, "late")), vec![]);
     assert_eq!(table.apply(&note(B, 2, "down")), vec![duty()]);
     assert_eq!(note_of(&table), Some((2, payload("down"))));
-    // Without the look at who holds it, what it says now is undone.
+    // Without the check of the holder, a late note overwrites a newer table.
     let disabled = DisabledGuards { accept_notes_of_past_holders: true, ..DisabledGuards::default() };
     table.apply_unguarded(&note(A, 1, "late"), disabled);
     assert_eq!(note_of(&table), Some((1, payload("late"))));
--- a/crates/gullcart-group/src/types.rs
+++ b/crates/gullcart-group/src/types.rs
@@ -1,12 +1,12 @@
-//! Names and moments.
+//! Identifiers, timestamps and lease terms that all modules of the group use.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// A moment on a process's own clock, which also runs while the process or its machine sleeps. In microseconds from a
-/// beginning of its own: moments of two processes have nothing to do with each other.
+/// A timestamp on the clock of one process, in microseconds since an arbitrary start. The clock also runs while the process or
+/// its machine is suspended. Timestamps of two processes cannot be compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Moment(pub u64);
 
@@ -17,7 +17,7 @@
     }
 }
 
-/// The time between two moments; none where the second is earlier.
+/// The time between two moments; zero if `earlier` is the later one.
 impl Sub for Moment {
     type Output = Duration;
     fn sub(self, earlier: Moment) -> Duration {
@@ -47,23 +47,24 @@
 number_type!(/// Counts the heartbeats of one incarnation.
         HeartbeatNumber, "heartbeat ");
 number_type!(/// Numbers a grant. Each grant of any duty has a higher epoch than all grants before it, so that it can be used as a
+    /// fencing token.
     Epoch, "epoch ");
 
-/// Bytes of a duty's name at most.
+/// Maximum length of a duty's name.
 pub const MAX_DUTY_NAME_BYTES: usize = 64;
 
-/// What one member holds at a time, by name.
+/// The name of a duty: an exclusive role that at most one member holds at a time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Duty(String);
 
 impl Duty {
-    /// The duty of a name; none where that is empty or too long.
+    /// Creates a duty; `None` if the name is empty or too long.
     pub fn new(name: &str) -> Option<Self> {
         (1..=MAX_DUTY_NAME_BYTES).contains(&name.len()).then(|| Duty(name.to_owned()))
     }
 
-    /// Its name.
+    /// The name of the duty.
     pub fn name(&self) -> &str {
         &self.0
     }
@@ -88,21 +89,21 @@
     }
 }
 
-/// Bytes that a holder may tell of a duty at most.
+/// Maximum length of a note's payload.
 pub const MAX_PAYLOAD_BYTES: usize = 32;
 
-/// What a holder tells of a duty. What it means is its own affair.
+/// Bytes that the holder of a duty publishes about it. The group does not interpret them.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "Vec<u8>", into = "Vec<u8>")]
 pub struct Payload(Vec<u8>);
 
 impl Payload {
-    /// Some bytes; none where they are too many.
+    /// Copies the bytes; `None` if there are more than [`MAX_PAYLOAD_BYTES`].
     pub fn new(bytes: &[u8]) -> Option<Self> {
         (bytes.len() <= MAX_PAYLOAD_BYTES).then(|| Payload(bytes.to_vec()))
     }
 
-    /// The bytes.
+    /// The bytes of the payload.
     pub fn bytes(&self) -> &[u8] {
         &self.0
     }
@@ -121,12 +122,12 @@
     }
 }
 
-/// How long things take. The same for all members of a group: the group's file is compared when they meet.
+/// Durations of leases. They must be the same for all members of a group, so members compare a hash of them when they connect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseTerms {
-    /// For how long a member may act on what it holds, from before it gave the sign of life that was heard.
+    /// How long a member may act on its duties, counted from before it sent the last acknowledged heartbeat.
     pub duration: Duration,
-    /// How much faster or slower a clock may run than the right time, in parts of a million; beyond it nothing is promised.
+    /// Maximum drift of a clock in parts per million, in either direction. Mutual exclusion is not guaranteed beyond it.
     pub drift_ppm: u32,
 }
 
@@ -137,14 +138,14 @@
 }
 
 impl LeaseTerms {
-    /// How long a voter waits after it heard a sign of life until it may propose that the lease is over: the lease on the
-    /// slowest clock of a member, counted on its own fastest.
+    /// How long a voter waits after it observed a heartbeat before it may propose to expire the lease: the lease as measured by
+    /// the slowest clock of a member, on the fastest clock of a voter.
     pub fn expiry_timeout(&self) -> Duration {
         let drift = f64::from(self.drift_ppm.min(500_000)) / 1e6;
         self.duration.mul_f64((1.0 + drift) / (1.0 - drift))
     }
 
-    /// Between two signs of life: two may be lost within a lease.
+    /// Time between two heartbeats. A quarter of the lease, so that two heartbeats in a row may be lost.
     pub fn heartbeat_interval(&self) -> Duration {
         self.duration / 4
     }
--- a/crates/gullcart-group/src/types/tests.rs
+++ b/crates/gullcart-group/src/types/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn the_expiry_timeout_covers_the_slowest_clock() {
     let terms = LeaseTerms { duration: Duration::from_secs(1), drift_ppm: 10_000 };
-    // One second on a clock that is 1 % slow, on one that is 1 % fast.
+    // A lease of one second on a clock that is 1 % slow, measured by one that is 1 % fast.
     assert!(terms.expiry_timeout() >= Duration::from_secs_f64(1.01 / 0.99 - 1e-9));
     assert_eq!(LeaseTerms { drift_ppm: 0, ..terms }.expiry_timeout(), terms.duration);
 }
--- a/crates/gullcart-group/src/voter.rs
+++ b/crates/gullcart-group/src/voter.rs
@@ -1,8 +1,8 @@
-//! One voice of the agreement. The library brings about that all voters come to the same commands in the same order; what is
-//! decided here is which commands are proposed, above all when a lease is over.
+//! One voter of the consensus group. The library `omnipaxos` makes all voters apply the same commands in the same order. This
+//! module decides which commands to propose, most importantly when to expire a lease.
 //!
-//! When to propose it hangs on this voter's clock, whether it holds on what others have agreed on meanwhile: the command
-//! names the last sign of life that was known here, and does nothing where a newer one was heard.
+//! A voter decides by its own clock when to propose an expiry, but the expiry does not depend on what was decided in the
+//! meantime: the command names the last heartbeat that this voter observed, and has no effect if a newer one was applied.
 
 use crate::lease::LeaseMonitor;
 use crate::log::{Record, VoterLog, VoterSnapshot};
@@ -19,43 +19,43 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The library's time goes on by one for each.
+/// Interval between ticks of the library's clock.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Ticks between two rounds in which voters hear who is there.
+/// Ticks between two rounds of the library's ballot leader election, in which voters exchange heartbeats.
 const ELECTION_TICKS: u64 = 4;
-/// Ticks after which what was not answered is said again.
+/// Ticks after which the library resends unanswered messages.
 const RESEND_TICKS: u64 = 10;
-/// A voter that did nothing for so long may have slept: what it did not hear meanwhile it may hear yet.
+/// A voter that was not polled for longer may have been suspended: messages from that time may still be waiting.
 const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(500);
-/// Before the same end, or a claim of the same duty, is proposed again.
+/// Minimum time before the same expiry, claim or note is proposed again.
 const PROPOSAL_RETRY_INTERVAL: Duration = Duration::from_millis(300);
-/// Entries that are kept one by one before the older half of them is made into a table.
+/// Maximum number of entries in the log before the older half is compacted into a table.
 const MAX_LOG_ENTRIES: usize = 512;
-/// A leader that gets nothing decided for so long leads nothing: three rounds of hearing who is there.
+/// A leader for which nothing was decided for longer starts a higher round: three rounds of leader election.
 const STALLED_LEADER_TIMEOUT: Duration =
     Duration::from_millis(3 * ELECTION_TICKS * TICK_INTERVAL.as_millis() as u64);
-/// A voter that follows a leader without a log from it for so long asks for one.
+/// A follower that has not received the leader's log for longer asks for it again.
 const SYNC_TIMEOUT: Duration = Duration::from_millis(700);
-/// Before the same voter is given a table again.
+/// Minimum time before a snapshot is sent to the same voter again.
 const SNAPSHOT_RESEND_INTERVAL: Duration = Duration::from_millis(500);
-/// Members that are told of changes here are forgotten when they have asked for nothing for so many leases.
+/// Number of leases without a request after which a member's subscription to views ends.
 const SUBSCRIPTION_LEASES: u32 = 20;
 
-/// Why a voter cannot be one.
+/// Why a voter cannot be created.
 #[derive(Debug, Error)]
 pub enum VoterError {
     /// The library rejects the configuration.
     #[error("invalid set of voters: {0}")]
     Config(String),
-    /// It is none of them.
+    /// This member is not a voter.
     #[error("{0} is not among the voters")]
     NotVoter(MemberId),
 }
 
-/// Why nobody holds a duty that is wanted, as one voter sees it.
+/// Why a requested duty has no holder, as one voter sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum VacancyReason {
-    /// No leader is known here.
+    /// This voter knows of no leader.
     #[error("no leader is known here: a majority of the voters does not reach each other, or this one does not reach it")]
     NoLeader,
     /// The leader does not get its proposals decided.
@@ -66,48 +66,50 @@
     BeingClaimed,
 }
 
-/// Guards of a voter that a test can take out.
+/// Safety checks of a voter that tests can disable.
 #[cfg(feature = "unguarded")]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DisabledGuards {
-    /// The lease alone is waited for, whatever clocks do.
+    /// Leases expire after their duration, without allowance for clock drift.
     pub ignore_drift: bool,
-    /// Voters that lack what is no longer kept are answered by the library.
+    /// Messages that refer to compacted entries are passed to the library instead of being answered by a snapshot.
     pub withhold_snapshots: bool,
-    /// What the library has to say is taken from it once a turn.
+    /// Outgoing messages are taken from the library only once per poll.
     pub drain_once_per_poll: bool,
 }
 
-/// A member that is told of changes here.
+/// A member that is sent views of its duties.
 struct Subscription {
     last_request: Moment,
     watched_duties: BTreeSet<Duty>,
 }
 
-/// When this voter saw how a duty stands.
+/// Since when a duty has had its current state, as this voter observed it.
 #[derive(Clone, Debug)]
 struct DutyHistory {
+    /// The epoch of the grant; `None` while the duty is free.
     epoch: Option<Epoch>,
     /// When this epoch began, or the duty became free.
     since: Moment,
+    /// The last note, and when it was decided.
     note: Option<(Note, Moment)>,
 }
 
-/// What is to be done, in this order: records kept for good, then messages sent. Where they cannot be kept nothing may be
-/// sent, and the voter must be made anew from what was kept.
+/// The result of a poll. The records must be persisted before any of the messages is sent. If they cannot be persisted, nothing
+/// may be sent, and the voter must be recreated from what was persisted.
 #[derive(Debug, Default)]
 pub struct Output {
-    /// To be kept.
+    /// Records to persist.
     pub records: Vec<Record>,
-    /// To voters.
+    /// Messages of the library to other voters.
     pub consensus_messages: Vec<(MemberId, Message<Command>)>,
-    /// To voters that lack what is no longer kept one by one here.
+    /// Snapshots for voters that need entries which are compacted here.
     pub snapshots: Vec<(MemberId, VoterSnapshot)>,
-    /// To members.
+    /// Views for members.
     pub views: Vec<(MemberId, MemberView)>,
 }
 
-/// One voter.
+/// A voter.
 pub struct Voter {
     me: MemberId,
     voters: Vec<MemberId>,
@@ -115,32 +117,33 @@
     paxos: OmniPaxos<Command, VoterLog>,
     log: VoterLog,
     table: Table,
-    /// Entries of the log that are in the table.
+    /// The number of log entries that are applied to the table.
     applied: usize,
     lease_monitor: LeaseMonitor,
-    /// What was proposed a moment ago.
+    /// Limits how often a proposal is repeated until it takes effect.
     expiry_pacer: RetryPacer<MemberId>,
     claim_pacer: RetryPacer<Duty>,
     note_pacer: RetryPacer<Duty>,
     subscriptions: BTreeMap<MemberId, Subscription>,
-    /// Said to other voters, until the turn is over.
+    /// Messages that the library has produced since the last poll.
     outgoing: Vec<Message<Command>>,
-    /// Voters that lack what is no longer kept one by one, and those that were given it a moment ago.
+    /// Voters that need compacted entries.
     snapshot_needed: BTreeSet<MemberId>,
     snapshot_pacer: RetryPacer<MemberId>,
-    /// Members that are owed a view.
+    /// Members to send a view to at the end of the poll.
     pending_views: BTreeSet<MemberId>,
-    /// Since when duties are held, or free, as they are, and since when what was told of them is agreed on.
+    /// The history of each duty that has changed since this voter was created.
     duty_history: BTreeMap<Duty, DutyHistory>,
     started: Moment,
     last_tick: Moment,
     last_poll: Moment,
-    /// How much was decided when it last looked, and since when it has proposed more.
+    /// The number of decided entries at the last check.
     decided_seen: usize,
+    /// Since when proposals have been waiting to be decided; reset when a higher round is started.
     undecided_since: Option<Moment>,
-    /// Since when it leads and gets nothing decided of what it proposed, however often it began anew.
+    /// Since when this leader has got none of its proposals decided, across all rounds it has started.
     stalled_since: Option<Moment>,
-    /// Since when it follows a leader and has not heard from it what it is to follow.
+    /// Since when this voter follows a leader without having received its log.
     unsynchronized_since: Moment,
     max_entries: usize,
     #[cfg(feature = "unguarded")]
@@ -148,7 +151,7 @@
 }
 
 impl Voter {
-    /// A voter that goes on from what was kept of it.
+    /// Creates a voter that continues from its persisted state.
     pub fn new(
         me: MemberId,
         voters: &[MemberId],
@@ -191,7 +194,7 @@
         };
         voter.load_compacted_table(now);
         voter.apply(now);
-        // All of it was agreed on before.
+        // These changes were decided earlier, at unknown times.
         voter.duty_history.clear();
         Ok(voter)
     }
@@ -215,40 +218,40 @@
         Ok((log, paxos))
     }
 
-    /// Begins with the table of the entries that are no longer kept one by one.
+    /// Resets the table to that of the compacted entries.
     fn load_compacted_table(&mut self, now: Moment) {
         let snapshot = self.log.snapshot();
         let (table, count) = snapshot.compacted_table();
         (self.table, self.applied) = (table.clone(), count);
         self.decided_seen = count;
         self.undecided_since = None;
-        // Each gets a whole lease from here, also where nothing more is ever decided.
+        // Starts the timeout of all members, even if no further entry is ever decided.
         self.lease_monitor.observe(now, &self.table);
     }
 
-    /// Keeps fewer entries one by one.
+    /// Sets the maximum number of log entries, for tests.
     #[cfg(feature = "unguarded")]
     pub fn set_max_entries(&mut self, max_entries: usize) {
         self.max_entries = max_entries;
     }
 
-    /// Takes some guards out.
+    /// Disables safety checks, for tests.
     #[cfg(feature = "unguarded")]
     pub fn disable_guards(&mut self, disabled_guards: DisabledGuards) {
         self.disabled_guards = disabled_guards;
     }
 
-    /// What is agreed on, as far as it is known here.
+    /// The replicated table, as far as it is known here.
     pub fn table(&self) -> &Table {
         &self.table
     }
 
-    /// How many commands the table comes from.
+    /// The number of commands that are applied to the table.
     pub fn version(&self) -> u64 {
         self.applied as u64
     }
 
-    /// Who leads, as far as it is known here.
+    /// The current leader, as far as it is known here.
     pub fn leader(&self) -> Option<MemberId> {
         self.paxos.get_current_leader().map(|(leader, _)| MemberId(leader))
     }
@@ -259,26 +262,27 @@
         (ballot.n, ballot.pid, self.paxos.get_current_leader().is_some_and(|(_, is_settled)| is_settled))
     }
 
-    /// Entries decided, and entries kept one by one.
+    /// The number of decided entries, and of entries in the log that are not compacted.
     pub fn log_len(&self) -> (usize, usize) {
         (self.paxos.get_decided_idx(), self.log.entry_count())
     }
 
-    /// All that is kept, as one record in place of all before.
+    /// The complete state as one record that replaces all earlier ones.
     pub fn snapshot_record(&self) -> Record {
         Record::Snapshot(Box::new(self.log.snapshot()))
     }
 
-    /// Another voter said something.
+    /// Handles a message of the library from another voter.
     pub fn handle_consensus(&mut self, message: Message<Command>) {
         if let Message::SequencePaxos(PaxosMessage { from, msg, .. }) = &message {
-            // On its way since before this voter was given a table: the library takes it for impossible.
+            // Sent before this voter installed a snapshot. The library does not expect it.
             if matches!(msg, PaxosMsg::AcceptSync(sync) if sync.log_sync.sync_idx < self.paxos.get_decided_idx())
             {
                 return;
             }
             let needed_from = match msg {
-                // The library gives a new leader what is accepted here in a later round, or further in the same one.
+                // The library sends a new leader the entries that were accepted here under a later ballot, or more of them
+                // under the same one.
                 PaxosMsg::Prepare(prepare) => {
                     let (ballot, length) = self.log.accepted_ballot_and_len();
                     match ballot.cmp(&Some(prepare.n_accepted)) {
@@ -290,7 +294,7 @@
                 PaxosMsg::Promise(promise) => Some(promise.decided_idx),
                 _ => None,
             };
-            // The library would answer with entries that are no longer kept one by one.
+            // The library would answer with entries that are already compacted.
             if needed_from.is_some_and(|from| from < self.log.compacted_count())
                 && !self.are_snapshots_withheld()
             {
@@ -309,7 +313,7 @@
         false
     }
 
-    /// Another voter gives all that it keeps, as this one lacks some of it; whether it began anew with that.
+    /// Installs the snapshot of another voter, if it is ahead of this one. Returns whether the voter was rebuilt from it.
     pub fn install_snapshot(&mut self, now: Moment, received: VoterSnapshot) -> Result<bool, VoterError> {
         let mut snapshot = self.log.snapshot();
         if !snapshot.install(received) {
@@ -320,7 +324,7 @@
         (self.log, self.paxos) = (log, paxos);
         self.log.prepend_records(written, Record::Snapshot(Box::new(snapshot)));
         self.load_compacted_table(now);
-        // It goes on as one that has begun anew: it asks its leader for the rest.
+        // Makes the next poll ask the leader for the rest of the log.
         self.unsynchronized_since = Moment::default();
         self.pending_views.extend(self.subscriptions.keys());
         self.apply(now);
@@ -329,8 +333,8 @@
         Ok(true)
     }
 
-    /// Takes what the library has to say after each call to it. It puts more entries into a message that it still has, also
-    /// where it has meanwhile begun anew with that voter: those entries are lost there unseen, and logs differ.
+    /// Takes the outgoing messages after each call to the library. Otherwise the library appends entries to a message that it
+    /// still holds, even if it has resynchronized with that voter since; the receiver then loses those entries and logs diverge.
     fn drain(&mut self) {
         #[cfg(feature = "unguarded")]
         if self.disabled_guards.drain_once_per_poll {
@@ -339,13 +343,13 @@
         self.paxos.take_outgoing_messages(&mut self.outgoing);
     }
 
-    /// The connection to another voter was made anew: what was said on the one before may be lost.
+    /// The connection to another voter was reestablished, so messages on the previous one may be lost.
     pub fn reconnected(&mut self, voter: MemberId) {
         self.paxos.reconnected(voter.0);
         self.drain();
     }
 
-    /// A member asks for something.
+    /// Handles the request of a member.
     pub fn handle_request(&mut self, now: Moment, member: MemberId, request: MemberRequest) {
         let MemberRequest { incarnation, heartbeat, claim, releases, notes, watched_duties } = request;
         if self.subscriptions.len() >= MAX_MEMBERS && !self.subscriptions.contains_key(&member) {
@@ -353,7 +357,7 @@
         }
         let watched_duties = watched_duties.into_iter().take(MAX_WATCHED_DUTIES).collect();
         self.subscriptions.insert(member, Subscription { last_request: now, watched_duties });
-        // It may have missed what it was told before.
+        // The member may have missed an earlier view.
         self.pending_views.insert(member);
         for (duty, epoch) in releases.into_iter().take(MAX_WATCHED_DUTIES) {
             if self.table.grant(&duty).is_some_and(|grant| grant.holder == member && grant.epoch == epoch) {
@@ -373,24 +377,24 @@
         let claim = claim
             .filter(|duty| self.table.grant(duty).is_none() && self.claim_pacer.is_due(now, duty.clone()));
         if claim.is_none() && self.table.session(member).is_none() {
-            // Nothing is held that a sign of life could keep.
+            // The member holds no duty that a heartbeat could keep.
             return;
         }
         self.propose(Command::Heartbeat { member, incarnation, heartbeat, claim });
     }
 
     fn propose(&mut self, command: Command) {
-        // One that cannot be proposed now is asked for again by who needs it.
+        // The library rejects proposals while it cannot handle them; they are repeated by whoever needs them.
         let _ = self.paxos.append(command);
         self.undecided_since.get_or_insert(self.last_poll);
         self.stalled_since.get_or_insert(self.last_poll);
         self.drain();
     }
 
-    /// Lets time pass, and hands out what is to be done.
+    /// Advances the voter to `now`, and returns what has to be persisted and sent.
     pub fn poll(&mut self, now: Moment) -> Output {
         if now - self.last_poll > SUSPENSION_THRESHOLD {
-            // Who gave signs of life meanwhile was not heard; each gets a whole lease from here.
+            // Heartbeats from that time have not been processed yet.
             self.lease_monitor.restart_all(now);
             self.last_tick = now;
         }
@@ -403,12 +407,12 @@
         self.leave_stalled_round(now);
         self.apply(now);
         self.expire_leases(now);
-        // While a round begins, the library may still need what it was told that others lack.
+        // While a round is being prepared, the library may still need entries that other voters lack.
         let (leader, is_settled) = self.paxos.get_current_leader().unwrap_or_default();
         if is_settled || leader == 0 || leader == self.me.0 {
             self.unsynchronized_since = now;
         } else if now - self.unsynchronized_since > SYNC_TIMEOUT {
-            // What the leader said to it may be lost, or was said to what it was before it was given a table.
+            // The leader's message may be lost, or was sent before this voter installed a snapshot.
             self.unsynchronized_since = now;
             self.paxos.reconnected(leader);
             self.drain();
@@ -434,9 +438,9 @@
         Output { records: self.log.take_records(), consensus_messages, snapshots, views }
     }
 
-    /// A leader that proposes and gets nothing decided begins a higher round. Above all after it began anew: the library takes up
-    /// the round that it last promised, and where this voter led that one it is taken for the leader by all, itself included,
-    /// and leads nothing.
+    /// Starts a higher round if this leader does not get its proposals decided. This is needed above all after a restart: the
+    /// library resumes the last promised round, and if this voter led that round, all voters including itself take it for the
+    /// leader although it leads nothing.
     fn leave_stalled_round(&mut self, now: Moment) {
         let decided = self.paxos.get_decided_idx();
         if decided > self.decided_seen || self.leader() != Some(self.me) {
@@ -450,8 +454,8 @@
         }
     }
 
-    /// It goes on at once in the place of a process that led: it begins a higher round now, as it would be taken for the leader
-    /// and lead nothing. A voter that was away for longer must not: another one may lead by now.
+    /// Starts a higher round right after an upgrade, if the previous process of this voter was the leader: it would be taken for
+    /// the leader but lead nothing. Must not be called after a longer absence, as another voter may lead by then.
     pub fn resume_leadership(&mut self) {
         if self.leader() == Some(self.me) {
             self.paxos.try_become_leader();
@@ -459,7 +463,7 @@
         }
     }
 
-    /// When the next turn is due at the latest.
+    /// The latest time at which [`Voter::poll`] has to be called next.
     pub fn next_poll(&self) -> Moment {
         self.last_tick + TICK_INTERVAL
     }
@@ -485,14 +489,14 @@
         WatchedDuty { duty: duty.clone(), grant: self.table.grant(duty), note }
     }
 
-    /// Takes in what was decided.
+    /// Applies newly decided entries to the table.
     fn apply(&mut self, now: Moment) {
         let decided = self.paxos.get_decided_idx();
         if decided <= self.applied {
             return;
         }
         for entry in self.paxos.read_decided_suffix(self.applied).unwrap_or_default() {
-            // The rest is not decided, or not there any more.
+            // Other kinds of entries are not decided, or are compacted.
             if let LogEntry::Decided(command) = entry {
                 let changed = self.table.apply(&command);
                 self.queue_views(&command, changed, now);
@@ -502,7 +506,7 @@
         self.lease_monitor.observe(now, &self.table);
     }
 
-    /// Members to whom a command matters are told how things stand now.
+    /// Queues views for the members that a command affects.
     fn queue_views(&mut self, command: &Command, changed: Vec<Duty>, now: Moment) {
         let (Command::Heartbeat { member, .. }
         | Command::Release { member, .. }
@@ -537,7 +541,7 @@
         self.duty_history.get(duty).map(|history| history.since)
     }
 
-    /// Duties that members here want and nobody holds: since when, and why.
+    /// Requested duties without a holder: since when, and why.
     pub fn vacant_duties(&self, now: Moment) -> impl Iterator<Item = (&Duty, Moment, VacancyReason)> + '_ {
         let reason = match (self.leader(), self.stalled_since) {
             (None, _) => VacancyReason::NoLeader,
@@ -558,7 +562,7 @@
         self.terms.expiry_timeout()
     }
 
-    /// Proposes the end of leases that have run out by this clock: one voter is enough for that.
+    /// Proposes to expire the leases that have run out by this voter's clock. Only the leader does so.
     fn expire_leases(&mut self, now: Moment) {
         if self.leader() != Some(self.me) {
             return;
@@ -566,7 +570,7 @@
         for (member, Session { incarnation, heartbeat }) in
             self.lease_monitor.expired(now, self.expiry_timeout())
         {
-            // Said again where it came to nothing: a round that ends takes with it what was proposed in it.
+            // Repeated until it takes effect: proposals of a round that ends are lost.
             if self.expiry_pacer.is_due(now, member) {
                 self.propose(Command::Expire { member, incarnation, heartbeat });
             }
--- a/crates/gullcart-group/src/voting_state.rs
+++ b/crates/gullcart-group/src/voting_state.rs
@@ -1,57 +1,57 @@
-//! Whether a process votes now: it may where the others know it by its folder, and only as long as that folder keeps what it
-//! promises. Where the folder fails nothing is promised, until it can be written again and is still its own.
+//! Decides whether a process votes: only while the other members know it with its folder, and while that folder can be written.
+//! If the folder fails, the process stops voting until the same folder can be written again.
 
 use crate::membership::Membership;
 use crate::types::Moment;
 use std::time::Duration;
 
-/// Between two tries to have a folder that failed.
+/// Time between two attempts to reopen a folder that failed.
 const REOPEN_INTERVAL: Duration = Duration::from_secs(1);
-/// What operators are told of a member that is known by another folder.
+/// Reported to operators if the member is known with another folder.
 const DIFFERENT_FOLDER: &str = "the group knows this member with another folder; replace it";
 
-/// What is to be done before anything else is.
+/// An action that the process has to take before anything else.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VotingStep {
-    /// Open the folder again, and say what came of it: [`Seat::opened`].
+    /// Reopen the folder, and report the result to [`VotingState::folder_reopened`].
     ReopenFolder,
-    /// Keep what the folder says of itself; [`Seat::failed`] where that fails.
+    /// Save the identity in the folder. If that fails, call [`VotingState::folder_failed`].
     SaveIdentity,
-    /// Vote no more: what was promised last may not have been kept.
+    /// Stop voting: the last promise may not have been persisted.
     StopVoting,
-    /// Begin to vote: nothing was ever promised.
+    /// Start voting without any state, as this member has never promised anything.
     StartVoting,
-    /// Vote again, from what the folder keeps.
+    /// Start voting again, from the state in the folder.
     ResumeVoting,
 }
 
-/// What came of opening a folder again.
+/// The result of reopening the folder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReopenResult {
-    /// It is the one that this process had.
+    /// It is the folder that this process had before.
     SameFolder,
-    /// It is another one, or a copy.
+    /// It is another folder, or a copy.
     DifferentFolder,
     /// It still fails.
     Failed(String),
 }
 
-/// The seat of one process.
+/// The voting state of one process.
 #[derive(Clone, Debug)]
 pub struct VotingState {
-    /// When the folder is tried again; none while it can be written.
+    /// When to reopen the folder; `None` while it can be written.
     reopen_at: Option<Moment>,
-    /// What it says of itself has changed since it was closed.
+    /// The identity has changed since it was last saved.
     identity_unsaved: bool,
-    /// It has voted before, in whatever life: it never begins with nothing again.
+    /// This member has voted before, in any incarnation, so it must not start voting without state.
     has_voted: bool,
-    /// It stopped voting in this life, and goes on from what it kept.
+    /// Voting was stopped in this incarnation, and continues from the persisted state.
     resume_pending: bool,
     problem: Option<String>,
 }
 
 impl VotingState {
-    /// A process whose folder is open. `votes` where it begins as a voter that has voted before.
+    /// Creates the state of a process whose folder is open. `is_voting` tells whether it starts as a voter with state.
     pub fn new(is_voting: bool, problem: Option<String>) -> Self {
         VotingState {
             reopen_at: None,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// What is wrong, for operators.
+    /// What prevents the process from voting, for operators.
     pub fn problem(&self) -> Option<&str> {
         self.problem.as_deref()
     }
@@ -110,13 +110,13 @@
         Some(VotingStep::StartVoting)
     }
 
-    /// The folder failed, or holds more than is known here: it has to be opened again before anything is promised.
+    /// The folder failed, or its contents are needed: it has to be reopened before the process may vote again.
     pub fn folder_failed(&mut self, now: Moment, reason: &str) {
         self.problem = Some(reason.to_owned());
         self.reopen_at = Some(now + REOPEN_INTERVAL);
     }
 
-    /// It was opened again.
+    /// Reports the result of [`VotingStep::ReopenFolder`].
     pub fn folder_reopened(&mut self, result: ReopenResult) {
         match result {
             ReopenResult::SameFolder => {
--- a/crates/gullcart-group/src/voting_state/tests.rs
+++ b/crates/gullcart-group/src/voting_state/tests.rs
@@ -17,7 +17,7 @@
     }
 }
 
-/// A door at which all others have been met, or only one.
+/// The membership of a voter that has met the given number of other voters.
 fn membership(others: u64) -> Membership {
     let fingerprint = FolderFingerprint { device: 1, inode: 2, created_ns: 3 };
     let mut membership = Membership::new(
@@ -122,7 +122,7 @@
     assert!(state.problem().unwrap().contains("was replaced"));
 }
 
-/// A voter that could not go on has promised something: it may go on from its folder, and never from nothing.
+/// A voter that cannot continue has made promises, so it may only resume from the folder and never start without state.
 #[test]
 fn a_lost_voter_resumes_from_its_folder_only() {
     let membership = membership(2);
--- a/crates/gullcart-group/tests/common/mod.rs
+++ b/crates/gullcart-group/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A group in virtual time: nodes with clocks that drift, a network that loses, repeats, delays and reorders, processes that
-//! stop, die and come back with what they kept. The same seed gives the same trace.
+//! Simulation of a group in virtual time: clocks drift, the network loses, repeats, delays and reorders messages, and processes
+//! pause, crash and restart from their persisted state. The same seed gives the same result.
 #![allow(dead_code)]
 
 use gullcart_group::log::{Record, VoterSnapshot};
@@ -15,21 +15,25 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
+/// Microseconds in a second of virtual time.
 pub const SECOND: u64 = 1_000_000;
 
 pub fn duty(number: usize) -> Duty {
     Duty::new(&format!("trials/{number}")).unwrap()
 }
 
-/// What may happen, and how often.
+/// Which faults happen, and how often.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultProfile {
+    /// Probability that a message is lost.
     pub loss: f64,
+    /// Probability that a message is delivered twice.
     pub duplication: f64,
     /// Maximum delay of a message.
     pub max_delay_us: u64,
     /// Maximum delay of a late message.
     pub max_late_delay_us: u64,
+    /// Percentage of late messages.
     pub late_percent: u8,
     /// Mean time between two faults.
     pub fault_every_us: u64,
@@ -57,66 +61,73 @@
     }
 }
 
+/// A process of the group.
 struct Process {
     node: Option<Node>,
-    /// What its folder says of it.
+    /// The identity stored in its folder.
     identity: Option<ReplicaIdentity>,
     /// The state that a stopped process handed over. The same process may later get it back.
     handover: Option<(MemberHandover, FolderHandover)>,
+    /// The records in its folder.
     persisted: Vec<Record>,
     /// Speed of its clock relative to real time.
     clock_rate: f64,
     /// Reading of its clock at time 0.
     clock_offset_us: u64,
-    /// It does nothing until then, and messages wait for it.
+    /// It does not run before this time, and messages wait for it.
     paused_until: u64,
     waiting: Vec<(MemberId, PeerMessage)>,
-    /// It is started again then.
+    /// When it starts again.
     starts_at: Option<u64>,
-    /// One turn of it was cut off before what it wrote was kept, or before what it said was sent.
+    /// It crashes at the next poll that writes records, either before they are persisted or before its messages are sent.
     crash_on_write: bool,
     requested_duties: Vec<Duty>,
-    /// The epoch under which something was told last of each, in this start.
+    /// The epoch of the last note about each duty that was received since the process was started.
     last_note_epochs: BTreeMap<Duty, Epoch>,
+    /// When it has to be polled next.
     wakes_at: u64,
 }
 
-/// What was seen.
+/// What a simulation has observed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RunStats {
     /// How often a holder was found able to act on a duty.
     pub actions: u64,
     pub grants: u64,
+    /// A hash of all actions, to compare two simulations.
     pub trace: u64,
-    /// Longest time in which nobody held a duty that was wanted, after the faults were over.
+    /// Longest time for which a requested duty had no holder after the last fault.
     pub vacant_us: u64,
     pub messages: u64,
-    /// ... and their bytes, where they are weighed.
+    /// Total size of the messages, while [`Simulation::counts_bytes`] is set.
     pub bytes: u64,
-    /// Words of holders that somebody heard for the first time.
+    /// Notes that were new to the process that received them.
     pub notes_seen: u64,
 }
 
+/// Safety checks that are disabled in a simulation.
 #[derive(Clone, Copy, Default)]
 pub struct DisabledGuards {
     pub member: member::DisabledGuards,
     pub voter: voter::DisabledGuards,
-    /// A voter that comes back has forgotten all.
+    /// A voter that restarts has lost its persisted state.
     pub forget_votes: bool,
-    /// Messages leave although what they promise was not kept.
+    /// Messages are sent although the records that they depend on were not persisted.
     pub send_before_persisting: bool,
-    /// Holders tell nothing: no guard, but days stay as they were when rare breaches were found.
+    /// Holders publish no notes. This is no safety check; it keeps simulations as they were when rare breaches were found.
     pub no_notes: bool,
-    /// Words between voters are listened to in whatever order they come.
+    /// Messages between voters are processed in any order.
     pub accept_late_messages: bool,
-    /// Who gave itself up to another process, and comes back, goes on as it was whatever that one did.
+    /// A process that handed over continues when it is started again, even if another process has continued meanwhile.
     pub resume_regardless: bool,
 }
 
+/// A group of processes and the network between them.
 pub struct Simulation {
     pub now: u64,
     processes: Vec<Process>,
     voters: Vec<MemberId>,
+    /// Messages in flight, by arrival time: id, sender and receiver.
     queue: BinaryHeap<Reverse<(u64, u64, usize, usize)>>,
     in_flight: BTreeMap<u64, PeerMessage>,
     next_message_id: u64,
@@ -131,11 +142,12 @@
     vacant_since: BTreeMap<Duty, u64>,
     /// The table at each version: all voters must compute the same.
     tables: BTreeMap<u64, Table>,
+    /// Whether the size of messages is counted.
     pub counts_bytes: bool,
     pub stats: RunStats,
 }
 
-/// What a holder tells: who it is, and under which epoch.
+/// The contents of a note: the holder and its epoch.
 fn payload(member: MemberId, epoch: Epoch) -> Payload {
     Payload::new(&[member.0.to_le_bytes(), epoch.0.to_le_bytes()].concat()).unwrap()
 }
@@ -261,7 +273,7 @@
         process.starts_at = Some(self.now + for_us);
     }
 
-    /// An upgrade: another process goes on in its place.
+    /// Stops a process for an upgrade; another process continues it.
     pub fn hand_over(&mut self, index: usize, for_us: u64) {
         let process = &mut self.processes[index];
         let (Some(node), Some(identity)) = (process.node.take(), &process.identity) else { return };
@@ -281,7 +293,7 @@
         }
     }
 
-    /// Who may act on a duty now.
+    /// The processes that may act on a duty now.
     pub fn holders(&self, duty: &Duty) -> Vec<(usize, Epoch)> {
         let running = |index: &usize| self.processes[*index].paused_until <= self.now;
         (0..self.processes.len())
@@ -314,7 +326,7 @@
             }
             6 => self.hand_over(index, duration / 40),
             7 => {
-                // All at once.
+                // All processes at once.
                 for index in 0..self.processes.len() {
                     self.kill(index, 1 + duration / 8);
                 }
@@ -359,7 +371,7 @@
         let process = &mut self.processes[index];
         let Some(node) = &mut process.node else { return };
         for duty in process.requested_duties.iter().filter(|_| !self.disabled.no_notes) {
-            // Who holds it says so once under each epoch.
+            // A holder publishes one note under each epoch.
             if let Some(epoch) = node.member.active_epoch(clock, duty) {
                 let payload = payload(id(index), epoch);
                 if node.member.note(duty).is_none_or(|(note, _)| note.payload != payload) {
@@ -368,7 +380,7 @@
             }
         }
         let output = node.poll(clock);
-        // A cut is worst where something was to be kept.
+        // A crash does most harm while records are being persisted.
         let crashes = process.crash_on_write && !output.records.is_empty();
         process.crash_on_write &= !crashes;
         let persists = !crashes || self.rng.bool();
@@ -397,7 +409,7 @@
         self.processes[index].wakes_at = wakes_at.max(self.now + 1);
     }
 
-    /// Voters agree: at each version they have one table.
+    /// Checks that all voters have the same table at the same version.
     fn check_tables(&mut self, index: usize) -> Result<(), String> {
         let node = self.processes[index].node.as_ref();
         let Some(voter) = node.and_then(Node::voter) else { return Ok(()) };
@@ -412,7 +424,7 @@
         Ok(())
     }
 
-    /// What is told of a duty was told by who held it then, and nothing older comes after it.
+    /// Checks that notes were published by the holder of their epoch, and that no older note follows a newer one.
     fn check_notes(&mut self, index: usize) -> Result<(), String> {
         let process = &mut self.processes[index];
         let Some(node) = &process.node else { return Ok(()) };
@@ -434,7 +446,7 @@
         Ok(())
     }
 
-    /// Everybody who may act does; what lands is judged. An error is a breach.
+    /// Lets every process act on its duties, and checks that at most one may and that epochs are correct.
     fn check_holders(&mut self, duties: usize) -> Result<(), String> {
         for duty in (0..duties).map(duty) {
             let holders = self.holders(&duty);
@@ -473,7 +485,7 @@
         Ok(())
     }
 
-    /// How each voter stands.
+    /// Describes the state of all processes for debugging.
     pub fn debug_state(&self) -> String {
         let describe = |(index, process): (usize, &Process)| {
             let voter = process.node.as_ref().and_then(Node::voter);
@@ -489,7 +501,7 @@
         format!("{table:?} {}", self.processes.iter().enumerate().map(describe).collect::<String>())
     }
 
-    /// Plays until some time. An error is a breach, with the time of it.
+    /// Runs the simulation until the given time. Returns an error if a check fails.
     pub fn run(&mut self, until: u64, duties: usize) -> Result<(), String> {
         while self.now < until {
             let starts = self.processes.iter().filter_map(|process| process.starts_at);
@@ -524,7 +536,7 @@
                 {
                     continue;
                 }
-                // A process that wakes may act before it reads anything.
+                // A process that wakes up may act before it reads any message.
                 self.check_holders(duties)?;
                 let clock = self.clock(index);
                 let waiting = std::mem::take(&mut self.processes[index].waiting);
--- a/crates/gullcart-group/tests/library.rs
+++ b/crates/gullcart-group/tests/library.rs
@@ -1,17 +1,19 @@
-//! What the agreement's library leaves to its user, each found by random days first and played here step by step.
+//! Situations that the consensus library leaves to its user. Each was first found by random simulation (`random.rs`), and is
+//! reproduced here step by step.
 
 use gullcart_group::log::VoterSnapshot;
 use gullcart_group::message::MemberRequest;
 use gullcart_group::types::*;
 use gullcart_group::voter::{Output, Voter, TICK_INTERVAL};
 
+/// Three voters that exchange messages without loss.
 struct Cluster {
     voters: Vec<Voter>,
     now: Moment,
     heartbeat: u64,
 }
 
-/// No lease ends meanwhile.
+/// Lease terms with which no lease expires during a test.
 fn terms() -> LeaseTerms {
     LeaseTerms { duration: std::time::Duration::from_secs(3600), ..LeaseTerms::default() }
 }
@@ -31,7 +33,7 @@
         self.voters[index].poll(self.now)
     }
 
-    /// Hands a voter's words to the others.
+    /// Delivers the messages of a voter to the others.
     fn deliver(&mut self, output: Output) {
         for (to, message) in output.consensus_messages {
             self.voters[to.0 as usize - 1].handle_consensus(message);
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Lets time pass until all is said, and some more.
+    /// Runs until all messages are delivered and a leader is elected.
     fn settle(&mut self) {
         for _ in 0..60 {
             self.now = self.now + TICK_INTERVAL;
@@ -80,7 +82,7 @@
     }
 }
 
-/// A leader that comes back with what it kept, before the others have missed it, leads a new round.
+/// A leader that restarts before the others have noticed its absence starts a new round, or follows another leader.
 #[test]
 fn a_leader_that_restarts_at_once_leads_again_or_follows() {
     let mut cluster = Cluster::new();
@@ -100,7 +102,7 @@
     assert_eq!(cluster.voters[0].table().grants().count(), 3);
 }
 
-/// A voter that was away for longer than entries are kept one by one is given all of it.
+/// A voter that was unreachable until the entries it lacks were compacted is sent a snapshot.
 #[test]
 fn a_voter_that_lacks_compacted_entries_gets_a_snapshot() {
     let mut cluster = Cluster::new();
@@ -120,15 +122,15 @@
         }
     }
     assert!(cluster.voters[leader].log_len().1 <= 8);
-    // It hears of it with the next entry.
+    // The next entry reaches the voter again.
     cluster.claim(leader);
     cluster.settle();
     assert!(cluster.has_converged());
     assert_eq!(cluster.voters[away].table().grants().count(), 41);
 }
 
-/// All that was agreed on is a table by now, and the voters are made anew from it: who held something then is watched from the
-/// first moment, and its lease ends where it gives no more signs of life.
+/// Voters restart with a fully compacted log. The timeout of a member that held a duty then starts at once, and its lease
+/// expires even though no further entry is decided.
 #[test]
 fn leases_expire_after_a_restart_without_new_entries() {
     let mut cluster = Cluster::new();
--- a/crates/gullcart-group/tests/model.rs
+++ b/crates/gullcart-group/tests/model.rs
@@ -1,8 +1,8 @@
-//! Model checking of lease, epoch and hand-over: the real table, the real lease of members and the real watch of voters, among
-//! couriers that stall, die and come back, voters that see the table late, proposals that are lost, repeated and reordered,
-//! and clocks that drift against each other. No two may act on a duty at one moment, and no epoch is used twice.
+//! Model checking of leases, epochs and the transfer of duties, with the real table, the real lease of members and the real lease
+//! monitor of voters. Couriers stall, crash and restart; voters see the table late; proposals are lost, repeated and reordered;
+//! clocks drift. At most one courier may act on a duty at a time, and no epoch may be used twice.
 //!
-//! What the library brings about is taken for granted here (one order of commands); `random.rs` tries that.
+//! The single order of commands, which the consensus library provides, is assumed here and tested in `random.rs`.
 
 use gullcart_group::lease::{self, Lease, LeaseMonitor};
 use gullcart_group::table::{Command, DisabledGuards, Table};
@@ -11,8 +11,9 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Time goes on in steps of a second; clocks are right, or a step behind.
+/// The model advances time in steps of one second. A clock is either right or one step behind.
 const STEP_US: u64 = 1_000_000;
+/// The duration of a lease in steps.
 const LEASE_STEPS: u64 = 1;
 
 fn duty() -> Duty {
@@ -23,18 +24,20 @@
     MemberId(courier as u64 + 1)
 }
 
+/// Safety checks that are disabled in a model.
 #[derive(Clone, Copy, Debug, Default)]
 struct DisabledGuardSet {
     table: DisabledGuards,
     lease: lease::DisabledGuards,
-    /// Voters wait for the lease alone.
+    /// Voters wait for the duration of the lease only, without allowance for drift.
     ignore_drift: bool,
-    /// Voters propose the end of a lease as soon as they see it.
+    /// Voters propose the expiry of a lease as soon as they observe it.
     expire_at_once: bool,
-    /// What is told of a session is believed whichever life it is of, and whatever was told before.
+    /// Views are applied even if they are older than the last one.
     accept_old_views: bool,
 }
 
+/// The bounds of a model.
 #[derive(Clone, Debug)]
 struct Group {
     disabled: DisabledGuardSet,
@@ -44,13 +47,15 @@
     crashes: usize,
 }
 
+/// The state of one courier.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Process {
     incarnation: u64,
     clock: u64,
     lease: Lease,
-    /// Under which epoch it holds the duty, and how far the table had come that it was told of.
+    /// The epoch under which it holds the duty, according to the last view.
     held: Option<Epoch>,
+    /// The version of the last view.
     version: usize,
     heartbeats: u64,
 }
@@ -58,16 +63,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     time: u64,
-    /// Every table that was agreed on, the last one at the end.
+    /// Every table so far; the last one is the current one.
     tables: Vec<Table>,
-    /// Proposals under way: any of them may come next, again, or never.
+    /// Proposed commands. Any of them may be decided next, repeatedly, or never.
     proposed: BTreeSet<Command>,
     couriers: Vec<Process>,
-    /// One voter's view; any voter may be the one that leads.
+    /// The lease monitor of one voter, which stands for all of them, as any voter may lead.
     lease_monitor: LeaseMonitor,
     voter_clock: u64,
     crashes: usize,
-    /// Epochs that were acted under, and by which courier in which life.
+    /// Epochs under which a courier has acted, with the courier and its incarnation.
     actions_by_epoch: BTreeSet<(Epoch, usize, u64)>,
 }
 
@@ -102,8 +107,8 @@
     }
 
     fn expiry_timeout(&self) -> Duration {
-        // A voter's clock may catch up by a step while a courier's falls behind by one: a lease that is acted on to its last
-        // step lasts for its length by the right time, and for a step more on the voter's clock.
+        // A lease that is used up to its last step takes that many steps of real time. The voter's clock may advance by one step
+        // more in that time, if it was one step behind.
         let drift = if self.disabled.ignore_drift { 0 } else { 1 };
         Duration::from_micros((LEASE_STEPS + drift) * STEP_US)
     }
@@ -174,7 +179,7 @@
         for command in &state.proposed {
             let mut next = last.clone();
             next.apply_unguarded(command, self.disabled.table);
-            // One that does nothing leads nowhere else.
+            // Commands without effect lead to no new state.
             if next != *last {
                 actions.push(Step::Decide(command.clone()));
             }
@@ -229,7 +234,7 @@
             Step::Expire => {
                 let expiry_timeout =
                     if self.disabled.expire_at_once { Duration::ZERO } else { self.expiry_timeout() };
-                // A moment later than the step, so that a whole one has passed where the clock shows one.
+                // The monitor only reports members whose timeout has passed completely.
                 let now = Moment(state.voter_clock * STEP_US);
                 for (member, session) in state.lease_monitor.expired(now, expiry_timeout) {
                     let incarnation = session.incarnation;
@@ -276,7 +281,7 @@
     let correct = small(DisabledGuardSet::default());
     let models = match std::env::var("GROUP_MODEL").ok() {
         None => vec![correct.clone(), Group { crashes: 1, steps: 2, ..correct }],
-        // Larger ones, one at a time: they take minutes and some GB of memory.
+        // Larger models, one at a time: they take minutes and some GB of memory.
         Some(which) => vec![match which.as_str() {
             "longer" => Group { steps: 5, ..correct },
             "three" => Group { couriers: 3, steps: 3, ..correct },
--- a/crates/gullcart-group/tests/random.rs
+++ b/crates/gullcart-group/tests/random.rs
@@ -1,12 +1,12 @@
-//! Random days of a group in virtual time: at no moment two holders, no epoch twice or backwards, and somebody holds what is
-//! wanted soon after the last fault.
+//! Random simulations of a group in virtual time. At no time may a duty have two holders, no epoch may be used twice or go
+//! backwards, and each requested duty must have a holder soon after the last fault.
 
 mod common;
 
 use common::*;
 use gullcart_group::{lease, member, voter};
 
-/// Random days in CI; `GROUP_DAYS` sets another number, `GROUP_SEED` the first.
+/// The seeds of the simulations in CI. `GROUP_DAYS` sets another number of them, `GROUP_SEED` the first one.
 fn seeds() -> std::ops::Range<u64> {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     let from = number("GROUP_SEED").unwrap_or(0);
@@ -102,7 +102,7 @@
     })
 }
 
-/// That drift is waited for is missed by the model (`model.rs`): random clocks seldom lie at both ends.
+/// The guard against clock drift is not among these, as random clocks rarely drift to both limits; `model.rs` covers it.
 #[test]
 fn each_disabled_guard_causes_a_breach() {
     let lease = |lease| {
@@ -125,7 +125,7 @@
         ("withhold snapshots", voter(voter::DisabledGuards { withhold_snapshots: true, ..all })),
     ];
     for (name, disabled) in cases {
-        // One day in some two thousand: the search begins near one.
+        // About one seed in two thousand shows these two, so the search starts near one that does.
         let from = match name {
             "drain once per poll" => 540_000,
             "accept late messages" => 9_110,
@@ -137,7 +137,7 @@
     }
 }
 
-/// An upgrade keeps what is held, and nobody else has it for a moment.
+/// A hand-over to another process keeps the held duties, and no other member holds them in between.
 #[test]
 fn a_process_that_continues_a_holder_keeps_its_duties() {
     for seed in 0..20 {
@@ -158,7 +158,7 @@
     }
 }
 
-/// Messages and bytes a second of a quiet group: where nobody wants anything, and where all want one duty that one holds.
+/// Messages and bytes per second of a group without faults, either without requested duties or with one that all members request.
 fn message_rate(members: usize, voters: usize, has_request: bool) -> (f64, f64) {
     let profile = FaultProfile {
         fault_every_us: 0,
@@ -186,7 +186,7 @@
     (messages as f64 / 20.0, bytes as f64 / 20.0)
 }
 
-/// Couriers that do not vote cost nothing while nothing is out, and little each while something is.
+/// Members without a vote cause no messages while no duty is requested, and few each while one is.
 #[test]
 fn message_rate_hardly_depends_on_the_size_of_a_group() {
     let mut idle_rates = Vec::new();
--- a/crates/gullcart-peers/src/bin/gullcart-duty.rs
+++ b/crates/gullcart-peers/src/bin/gullcart-duty.rs
@@ -1,8 +1,10 @@
-//! A process that belongs to a group and does nothing but act under duties: for proofs among processes that fail. It says
-//! `<duty> <epoch>` to a partner, a line each, whenever it may, and asks right before each line whether it may.
+//! A test process that belongs to a group and acts on its duties. While it holds a duty, it keeps sending lines of the form
+//! `<duty> <epoch>` to a partner, and checks its lease right before each line.
 //!
-//! `GULLCART_GROUP` names the group's file, `BALANCER_STATE` the folder, `DUTY_NAMES` the duties, `DUTY_PARTNER` the partner.
-//! On a line on its standard input it leaves the group and ends; its log says `status` with the group's standing as JSON.
+//! Environment variables: `GULLCART_GROUP` is the group's settings file, `BALANCER_STATE` the state folder, `DUTY_NAMES` the
+//! duties, separated by commas, and `DUTY_PARTNER` the partner's address. The line `follow` on standard input makes it read the
+//! settings again; any other line makes it leave the group and exit. Log lines that begin with `status` carry the group's
+//! status as JSON.
 #![forbid(unsafe_code)]
 
 use gullcart_group::types::Duty;
@@ -15,13 +17,13 @@
 use std::sync::mpsc::{channel, RecvTimeoutError};
 use std::time::Duration;
 
-/// Between two acts.
+/// Time between two rounds of actions.
 const ACTION_INTERVAL: Duration = Duration::from_millis(2);
 /// Number of rounds between two status lines.
 const ROUNDS_PER_STATUS: u32 = 50;
 
 fn write_log(line: &str) {
-    // A log that is read no more is nobody's loss.
+    // Failure to write the log must not stop the process.
     let _ = writeln!(std::io::stderr(), "{line}");
 }
 
--- a/crates/gullcart-peers/src/folder.rs
+++ b/crates/gullcart-peers/src/folder.rs
@@ -1,4 +1,4 @@
-//! What a process of the group keeps in its folder: who it is, and what its voter promised.
+//! The state that a process of the group persists in its folder: its identity, and the records of its voter.
 
 use gullcart_group::log::{Record, VoterSnapshot};
 use gullcart_group::membership::{FolderFingerprint, FolderHandover, FolderOrigin, ReplicaIdentity};
@@ -12,32 +12,32 @@
 use thiserror::Error;
 use tracing::warn;
 
-/// A file that is made once with the folder and never written: by it a folder knows itself.
+/// A file that is created with the folder and never written. The folder's fingerprint is taken from it.
 const FINGERPRINT_FILE: &str = "born-here";
 
 /// Why the folder cannot be used.
 #[derive(Debug, Error)]
 pub enum FolderError {
-    /// It fails, or another process has it.
+    /// An I/O error, or another process holds the lock.
     #[error("the group's folder: {0}")]
     Io(#[from] io::Error),
-    /// Its notes cannot be used.
+    /// The log in the folder cannot be used.
     #[error(transparent)]
     Notes(#[from] NotesError),
 }
 
-/// One entry.
+/// An entry of the log in the folder.
 #[derive(Serialize, Deserialize)]
 enum Entry {
-    /// Who it is from now on.
+    /// The identity of the process from now on.
     Identity(ReplicaIdentity),
-    /// What one turn of its voter wrote.
+    /// The records of one poll of the voter.
     Records(Vec<Record>),
-    /// All of it, in place of all before.
+    /// The complete state, which replaces all earlier entries.
     Snapshot(ReplicaIdentity, Box<VoterSnapshot>),
 }
 
-/// The folder of a process, locked while this is there.
+/// The folder of a process. It stays locked as long as this value exists.
 pub struct GroupFolder {
     notes: Notes<Folder>,
 }
@@ -54,8 +54,8 @@
 }
 
 impl GroupFolder {
-    /// Opens the folder, which is made where there is none; who the process is, and what its voter promised. `left` is what a
-    /// process says of it that gave itself up to this one.
+    /// Opens the folder, and creates it if necessary. Returns its origin and the state of the voter. `handover` is the state in
+    /// which the previous process left the folder, if it handed over to this one.
     pub fn open(
         path: &Path,
         max_bytes: u64,
@@ -67,7 +67,7 @@
         let fingerprint = read_fingerprint(path)?;
         let (notes, entries) = match Notes::open(folder, max_bytes) {
             Ok(opened) => opened,
-            // What it promised is not known any more: it comes back as a new one.
+            // The voter's promises are lost, so the process gets a new identity.
             Err(error @ NotesError::Damaged { .. }) => {
                 warn!(%error, "the voter's log is damaged; this member continues with a new identity");
                 for (name, _) in Folder::lock(path)?.list()? {
@@ -88,7 +88,7 @@
                     identity = Some(stored);
                     records = vec![Record::Snapshot(snapshot)];
                 }
-                // Written whole, and not to be read: by another version.
+                // Complete but unreadable, so it was written by another version.
                 Err(_) => return Err(io::Error::other("the log was written by another version").into()),
             }
         }
@@ -105,17 +105,17 @@
         Ok(self.notes.append(&bytes)?)
     }
 
-    /// Who it is, from now on.
+    /// Saves the identity of the process.
     pub fn save_identity(&mut self, identity: &ReplicaIdentity) -> Result<(), FolderError> {
         self.append_entry(&Entry::Identity(identity.clone()))
     }
 
-    /// What a turn of the voter wrote.
+    /// Appends the records of one poll of the voter.
     pub fn append_records(&mut self, records: Vec<Record>) -> Result<(), FolderError> {
         self.append_entry(&Entry::Records(records))
     }
 
-    /// Whether all of it is worth writing down anew.
+    /// Whether the log has grown enough to be rewritten.
     pub fn should_rewrite(&self) -> bool {
         self.notes.is_long()
     }
--- a/crates/gullcart-peers/src/group.rs
+++ b/crates/gullcart-peers/src/group.rs
@@ -1,5 +1,5 @@
-//! The group's loop, on a thread of its own with a runtime of its own. It moves bytes between connections, the folder and the
-//! node, and decides nothing.
+//! The main loop of the group, on a thread and runtime of its own. It moves data between connections, the folder and the
+//! [`Node`], which makes all decisions.
 
 use crate::folder::{FolderError, GroupFolder};
 use crate::net::{self, Connections, Event};
@@ -27,21 +27,22 @@
 use tokio::time::sleep;
 use tracing::{error, info, warn};
 
-/// Events that wait for the loop; what comes beyond them is lost, as on a bad line.
+/// Maximum number of events waiting for the loop. Further messages and status queries wait on their connections; other events are
+/// dropped.
 const MAX_QUEUED_EVENTS: usize = 4096;
-/// Events taken up in one turn.
+/// Maximum number of events handled between two polls.
 const MAX_EVENTS_PER_POLL: usize = 256;
-/// The longest that the loop sleeps.
+/// Maximum time that the loop sleeps.
 const MAX_SLEEP: Duration = Duration::from_millis(500);
-/// A process that leaves stays for so long after it has given all up.
+/// How long a leaving member keeps running after it has released all duties.
 const LEAVE_LINGER: Duration = Duration::from_millis(250);
-/// Another one that holds a duty is believed to for so many leases after the group was heard last: who only watches asks it
-/// every other lease.
+/// Number of leases after the last contact with the group for which another member is assumed to keep a duty. A member that only
+/// watches a duty asks for its state every other lease.
 const REMOTE_HOLDER_LEASES: u32 = 4;
-/// Steps of the seat in one turn at most; the rest is for the next one.
+/// Maximum number of voting steps in one poll; the rest is left to the next one.
 const MAX_VOTING_STEPS: usize = 8;
 
-/// All that a loop begins with.
+/// Everything that the loop is started with.
 pub(crate) struct GroupStart {
     settings: Settings,
     folder_path: PathBuf,
@@ -49,7 +50,7 @@
     snapshot: VoterSnapshot,
     identity: ReplicaIdentity,
     problem: Option<String>,
-    /// The member that it goes on as.
+    /// The member to continue, if its incarnation continues.
     member: Option<MemberHandover>,
     /// The duties that the previous process requested, even if its incarnation does not continue.
     requested_duties: Vec<Duty>,
@@ -79,7 +80,7 @@
         };
         let is_continued = matches!(origin, FolderOrigin::Continued(_));
         let identity = origin.into_identity();
-        // Before anybody hears of this life, or of this process in it: it is never used again.
+        // Saved before any other member learns of this incarnation or handover, so that its number is never used again.
         folder.save_identity(&identity)?;
         let requested_duties =
             handover.as_ref().map(|handover| handover.member.requested_duties().to_vec()).unwrap_or_default();
@@ -99,7 +100,7 @@
         })
     }
 
-    /// Where it listens.
+    /// The address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -107,12 +108,12 @@
 
 struct Group {
     settings: Settings,
-    /// Members for which there is room.
+    /// Maximum number of members without a restart.
     capacity: usize,
     folder_path: PathBuf,
-    /// None while it fails: then nothing may be promised.
+    /// `None` while the folder fails; the process must not vote then.
     folder: Option<GroupFolder>,
-    /// What it kept when it was opened again.
+    /// The state that was read when the folder was reopened.
     reopened_snapshot: Option<VoterSnapshot>,
     membership: Rc<RefCell<Membership>>,
     voting_state: VotingState,
@@ -123,7 +124,7 @@
     incarnation: Incarnation,
 }
 
-/// Belongs to the group until the courier leaves it, or is gone.
+/// Runs the member until the courier leaves the group, hands the member over, or drops its handle.
 pub(crate) async fn run(
     start: GroupStart,
     shared: Arc<Mutex<Shared>>,
@@ -182,8 +183,8 @@
         group.poll();
         let mut max_sleep = MAX_SLEEP;
         if leaving.is_some() && group.node.member.is_idle() {
-            // All that was held is given up, as the group has agreed. Where this voter leads, the others need it yet to hear
-            // that, and to agree on who is next.
+            // The group has decided all releases. If this voter leads, the others still need it to learn of them and to agree on
+            // the next leader.
             let until = *ends_at.get_or_insert(now() + LEAVE_LINGER);
             if now() >= until {
                 if let Some(done) = leaving.take() {
@@ -212,7 +213,7 @@
                 Some(GroupRequest::HandOver(done)) => {
                     let folder = group.membership.borrow().identity().handover();
                     let handover = GroupHandover { member: group.node.member.hand_over(), folder };
-                    // The folder first: who is told may open it.
+                    // Unlocks the folder first: the receiver may open it at once.
                     drop(group);
                     let _ = done.send(Box::new(handover));
                     return Ok(());
@@ -229,7 +230,7 @@
 }
 
 impl Group {
-    /// All of what another file says, or nothing.
+    /// Applies all changes in the settings, or none if some are not possible.
     fn apply_settings(&mut self, settings: Settings) {
         match roster::diff(&self.settings, &settings, self.capacity) {
             Ok(changes) if changes == MemberChanges::default() => {}
@@ -265,13 +266,13 @@
             }
             Event::IdentityChanged => {}
             Event::StatusRequested(reply) => {
-                // Who does not wait any more has given up.
+                // Fails if the operator's connection has been closed.
                 let _ = reply.send(self.status());
             }
         }
     }
 
-    /// What a turn wrote is kept before anything of it is said.
+    /// Persists what the node has written before sending its messages.
     fn poll(&mut self) {
         self.update_voting();
         let output = self.node.poll(now());
@@ -283,7 +284,7 @@
         self.publish_state();
     }
 
-    /// Does what the seat says is to be done first.
+    /// Takes the actions that the voting state requires.
     fn update_voting(&mut self) {
         let mut is_changed = std::mem::take(&mut *self.connections.identity_changed.borrow_mut());
         for _ in 0..MAX_VOTING_STEPS {
@@ -296,7 +297,7 @@
                 VotingStep::StopVoting => {
                     self.node.stop_voting();
                     if !self.voting_state.is_folder_open() {
-                        // Its lock, too: it is judged anew when it is opened again.
+                        // Also releases the lock. The folder is checked again when it is reopened.
                         self.folder = None;
                     }
                 }
@@ -355,7 +356,7 @@
         result.inspect_err(|error| self.folder_failed(error)).is_ok()
     }
 
-    /// Nothing is promised any more, until the folder can be written again.
+    /// Stops voting until the folder can be written again.
     fn folder_failed(&mut self, why: &FolderError) {
         error!(%why, "the group's folder cannot be written: this member stops voting for now");
         self.voting_state.folder_failed(now(), &why.to_string());
@@ -363,6 +364,7 @@
         self.folder = None;
     }
 
+    /// Publishes the held and requested duties, and the status if it was asked for, to the courier.
     fn publish_state(&self) {
         let member = &self.node.member;
         let until = member.lease_until().unwrap_or_default();
--- a/crates/gullcart-peers/src/handle.rs
+++ b/crates/gullcart-peers/src/handle.rs
@@ -1,5 +1,5 @@
-//! The courier's side of the group: a handle that says what may be done, from what was agreed on last and the clock, and waits
-//! for nobody.
+//! The courier's interface to the group. It answers from the last published state and the clock, without waiting for the group's
+//! thread.
 
 use crate::group::{run, GroupStart};
 use crate::settings::Settings;
@@ -15,12 +15,12 @@
 use tokio::time::{sleep, timeout};
 use tracing::{error, info};
 
-/// Wishes of the courier that wait.
+/// Maximum number of requests waiting for the group's thread.
 const MAX_QUEUED_REQUESTS: usize = 1024;
-/// Between two looks whether the thread has ended.
+/// Interval at which a hand-over checks whether the thread has ended.
 const THREAD_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// The courier's side.
+/// A running member of a group.
 pub struct Handle {
     shared: Arc<Mutex<Shared>>,
     requests: mpsc::Sender<GroupRequest>,
@@ -30,17 +30,17 @@
 }
 
 impl Handle {
-    /// Where this member listens for the others.
+    /// The address on which this member listens for others.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Under which epoch a duty may be acted on now; to be asked right before each act.
+    /// The epoch under which the courier may act on a duty now. Must be checked right before each action.
     pub fn active_epoch(&self, duty: &Duty) -> Option<Epoch> {
         self.held_lease(duty).map(|(epoch, _)| epoch)
     }
 
-    /// The same, and for how long if nothing more is heard.
+    /// Like [`Handle::active_epoch`], with the remaining time of the lease.
     pub fn held_lease(&self, duty: &Duty) -> Option<(Epoch, Duration)> {
         let shared = self.shared.lock().ok()?;
         let (epoch, until) = shared.held_duties.get(duty)?;
@@ -49,27 +49,28 @@
         (!remaining.is_zero()).then_some((*epoch, remaining))
     }
 
-    /// How a duty stands that is wanted.
+    /// The last reported state of a requested duty.
     pub fn observe(&self, duty: &Duty) -> Option<DutyObservation> {
         self.shared.lock().ok()?.requested_duties.get(duty).cloned()
     }
 
-    /// All that is wanted.
+    /// All requested duties.
     pub fn requested_duties(&self) -> Vec<Duty> {
         self.shared.lock().map(|shared| shared.requested_duties.keys().cloned().collect()).unwrap_or_default()
     }
 
-    /// Notified when what is held, or how something wanted stands, has changed.
+    /// Notified when the held duties or the state of a requested duty change.
     pub fn changed(&self) -> Arc<Notify> {
         self.changed.clone()
     }
 
-    /// Wants to hold a duty; false where too much is asked at once.
+    /// Requests a duty. Returns false if too many requests are queued.
     pub fn request(&self, duty: Duty) -> bool {
         self.requests.try_send(GroupRequest::Request(duty)).is_ok()
     }
 
-    /// Wants it no more: it is not acted on from here on, whatever the group has heard of that.
+    /// Withdraws the request for a duty and releases it. It is no longer active from now on, even before the group has decided the
+    /// release. Returns false if too many requests are queued.
     pub fn release(&self, duty: Duty) -> bool {
         if let Ok(mut shared) = self.shared.lock() {
             shared.held_duties.remove(&duty);
@@ -77,7 +78,8 @@
         self.requests.try_send(GroupRequest::Release(duty)).is_ok()
     }
 
-    /// Gives it up where it is held, wants to hear of it all the same, and does not claim it for so long.
+    /// Releases a duty if it is held, and does not claim it again before `cooldown` has passed. The request stays. Returns false
+    /// if too many requests are queued.
     pub fn yield_duty(&self, duty: Duty, cooldown: Duration) -> bool {
         if let Ok(mut shared) = self.shared.lock() {
             shared.held_duties.remove(&duty);
@@ -85,37 +87,38 @@
         self.requests.try_send(GroupRequest::Yield(duty, cooldown)).is_ok()
     }
 
-    /// Tells all that want a duty something of it, while it is held here.
+    /// Publishes a note about a held duty to all members that request it. Returns false if too many requests are queued.
     pub fn publish_note(&self, duty: Duty, payload: Payload) -> bool {
         self.requests.try_send(GroupRequest::PublishNote(duty, payload)).is_ok()
     }
 
-    /// Follows another file, as far as that may change in service; what of it is refused is in the log. False where too much is
-    /// asked at once.
+    /// Applies new settings, as far as that is possible without a restart; otherwise they are rejected with a log message. Returns
+    /// false if too many requests are queued.
     pub fn apply_settings(&self, settings: Settings) -> bool {
         self.requests.try_send(GroupRequest::ApplySettings(Box::new(settings))).is_ok()
     }
 
-    /// How the group stood when it was last looked at or changed.
+    /// The status as it was last published.
     pub fn status(&self) -> Status {
         let Ok(mut shared) = self.shared.lock() else { return Status::default() };
         shared.is_status_requested = true;
         shared.status.clone()
     }
 
-    /// Whether the group has ended by itself: the courier goes on without.
+    /// Whether the group's thread has ended. The courier then works without a group.
     pub fn is_finished(&self) -> bool {
         self.thread.is_finished()
     }
 
-    /// What is held is not acted on any more by this process, whatever it does.
+    /// Makes all duties inactive for this process at once.
     fn clear_held(&self) {
         if let Ok(mut shared) = self.shared.lock() {
             shared.held_duties.clear();
         }
     }
 
-    /// Gives all up and ends; whether the group has heard of it in time. The loop ends soon after, whatever was heard.
+    /// Releases all duties and stops. Returns whether the group has confirmed the releases in time; the thread ends soon in
+    /// either case.
     pub async fn leave(self, time_limit: Duration) -> bool {
         let (done, released) = oneshot::channel();
         self.clear_held();
--- a/crates/gullcart-peers/src/lib.rs
+++ b/crates/gullcart-peers/src/lib.rs
@@ -1,8 +1,8 @@
-//! Couriers of a group on their sockets and in their folders. What they say and decide is `gullcart-group`; here bytes move,
-//! on a thread of their own, so that a courier carries messages whatever becomes of its group.
+//! Runs a member of a group: connections to the other members, and state in a folder. The protocol logic is in `gullcart-group`. All
+//! of it runs on a thread of its own, so that a failing group does not stop the courier from delivering messages.
 //!
-//! `settings`, `roster` and `sealed` know no I/O; `folder` keeps, `net` connects, `group` puts them together, [`handle`] is the
-//! courier's side of it, and [`operator`] asks members from outside.
+//! [`settings`], [`roster`] and [`protocol`] do no I/O on sockets; [`folder`] persists state; `net` manages connections; `group` is
+//! the main loop. Couriers use it through [`handle`], operators' tools through [`operator`].
 #![forbid(unsafe_code)]
 
 pub mod folder;
--- a/crates/gullcart-peers/src/net.rs
+++ b/crates/gullcart-peers/src/net.rs
@@ -1,5 +1,5 @@
-//! Connections of a group: each member calls each other one, says what it has to say on that connection, and hears on those
-//! that the others opened. What cannot be said is lost, which the group is made for.
+//! Connections between members. Each member opens a connection to each of its peers and only sends on it; it receives on the
+//! connections that they open. Messages that cannot be sent are dropped, which the group tolerates.
 
 use crate::frame_io::{exchange_hellos, invalid_data, read_frame, write_frame, write_hello};
 use crate::protocol::{
@@ -25,46 +25,50 @@
 use tokio::time::{sleep, timeout};
 use tracing::{debug, warn};
 
-/// Words to one member that wait to be said; more are lost.
+/// Maximum number of messages queued for one member; further ones are dropped.
 const MAX_QUEUED_MESSAGES: usize = 1024;
-/// Between two calls to a member that cannot be reached, at first and at most; a chance part of it is taken off.
+/// Initial time between two connection attempts; up to half of it is subtracted at random.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
+/// Maximum time between two connection attempts.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-/// How long a call, and the first words, may take.
+/// Timeout for connecting and exchanging the first frames.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long what was written may not be taken by the other side.
+/// Timeout for writing a frame.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection on which nothing was said for so long gets an empty frame, and one on which nothing came for longer is closed.
+/// Time without a message after which an empty frame is sent.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// Time without any frame after which a connection is closed.
 const READ_TIMEOUT: Duration = Duration::from_secs(7);
-/// Connections from operators, and from members whose connection before is not closed yet, beside one from each member; and
-/// between two that cannot be accepted.
+/// Incoming connections allowed in addition to one from each member: for operators, and for members that reconnect before their
+/// previous connection is closed.
 const EXTRA_CONNECTIONS: usize = 8;
+/// Delay after a connection could not be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What the loop hears.
+/// An event for the main loop.
 pub enum Event {
-    /// A connection to a member is up.
+    /// A connection to a member was opened.
     Connected(MemberId),
-    /// A member said something.
+    /// A message from a member.
     Message(MemberId, Box<PeerMessage>),
-    /// Somebody was met for the first time.
+    /// The identity has changed, for example because a member's folder id was learnt.
     IdentityChanged,
-    /// An operator asks how the group stands.
+    /// An operator asks for the status.
     StatusRequested(oneshot::Sender<Status>),
 }
 
-/// The connections.
+/// All connections of this member.
 pub struct Connections {
     outgoing: BTreeMap<MemberId, mpsc::Sender<PeerMessage>>,
     context: Rc<ConnectionContext>,
+    /// The members to which a connection is open.
     reached: Rc<RefCell<BTreeSet<MemberId>>>,
-    /// The door has learnt something that is to be kept.
+    /// The identity has changed and has to be saved.
     pub identity_changed: Rc<RefCell<bool>>,
 }
 
 impl Connections {
-    /// Says something to a member, if it can be reached.
+    /// Queues a message to a member, if there is a connection to it.
     pub fn send(&self, to: MemberId, message: PeerMessage) {
         if let Some(outgoing) = self.outgoing.get(&to) {
             // Dropped if the queue is full.
@@ -72,10 +76,10 @@
         }
     }
 
-    /// Talks to others from now on, and no more to some.
+    /// Connects to added members, and disconnects from removed ones.
     pub fn apply_changes(&mut self, settings: &Settings, changes: &MemberChanges) {
         for removed in &changes.removed {
-            // Its connection ends with what there is to say.
+            // The connection is closed after the queued messages.
             self.outgoing.remove(removed);
         }
         for member in settings.peers().filter(|member| changes.added.contains(member)) {
@@ -89,13 +93,13 @@
         spawn_local(maintain_connection(self.context.clone(), to, address, receiver));
     }
 
-    /// Members that can be talked to.
+    /// The members to which a connection is open.
     pub fn reached(&self) -> Vec<MemberId> {
         self.reached.borrow().iter().copied().collect()
     }
 }
 
-/// What all connections share.
+/// State that all connections share.
 struct ConnectionContext {
     me: MemberId,
     group_id: u64,
@@ -108,7 +112,7 @@
     max_connections: usize,
 }
 
-/// Calls all others, and hears those that call.
+/// Starts to connect to all peers and to accept connections from them.
 pub fn open(
     settings: &Settings,
     listener: std::net::TcpListener,
@@ -148,7 +152,7 @@
         }
     }
 
-    /// Lets somebody in, or not.
+    /// Checks the hello of another process.
     fn admit(&self, hello: &Hello) -> io::Result<()> {
         if hello.group_id != self.group_id {
             return Err(invalid_data(FrameError::Group));
@@ -181,7 +185,7 @@
             Ok((stream, codec)) => {
                 (backoff, last_error) = (MIN_BACKOFF, String::new());
                 context.reached.borrow_mut().insert(to);
-                // What waited was said to nobody, and is old by now.
+                // Messages that were queued without a connection are outdated by now.
                 while messages.try_recv().is_ok() {}
                 let _ = context.events.try_send(Event::Connected(to));
                 let ended = send_messages(stream, codec, &mut messages).await;
@@ -247,6 +251,7 @@
     }
 }
 
+/// Accepts connections from members and operators.
 async fn accept(listener: std::net::TcpListener, context: Rc<ConnectionContext>) {
     let Ok(listener) = TcpListener::from_std(listener) else { return };
     loop {
@@ -286,13 +291,14 @@
     stream.shutdown().await
 }
 
+/// Serves a connection that another process has opened.
 async fn serve_connection(mut stream: TcpStream, context: &ConnectionContext) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let opened = timeout(HANDSHAKE_TIMEOUT, async {
         let bytes = read_frame(&mut stream, MAX_HELLO_BYTES).await?;
         let peer = Hello::read(&context.key, &bytes, context.me.0).map_err(invalid_data)?;
         let own = context.hello(peer.handshake.member, Some(peer.nonce));
-        // It is told who this is before it is let in: it may have to learn that it is known by another folder.
+        // Sent before the other side is admitted, so that it learns if it is known with another folder.
         write_hello(&mut stream, &own, &context.key).await?;
         let mut codec = FrameCodec::new(&context.key, &peer, &own);
         let bytes = read_frame(&mut stream, MAX_HELLO_BYTES).await?;
--- a/crates/gullcart-peers/src/net/tests.rs
+++ b/crates/gullcart-peers/src/net/tests.rs
@@ -23,8 +23,8 @@
     }
 }
 
-/// What member 2 said once may be said again by anybody who heard it. It is taken for an old word until who called has shown
-/// that it made the code of this very connection.
+/// A hello of member 2 may be replayed by anybody who recorded it. The sender is only admitted after it has sent a frame that is
+/// authenticated for this very connection.
 #[test]
 fn a_replayed_hello_is_not_admitted() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -71,7 +71,7 @@
         write_frame(&mut stream, &mut codec, &ConnectionPurpose::Member).await.unwrap();
         assert!(stream.read_u8().await.is_err());
         assert_eq!(known_folder(), None);
-        // Who can is let in, with the same words.
+        // With a valid frame, the same hello is admitted.
         let (mut stream, reply) = exchange(&replayed).await;
         let mut codec = FrameCodec::new(KEY, &replayed, &reply);
         write_frame(&mut stream, &mut codec, &ConnectionPurpose::Member).await.unwrap();
--- a/crates/gullcart-peers/src/operator.rs
+++ b/crates/gullcart-peers/src/operator.rs
@@ -1,4 +1,4 @@
-//! A member is asked how the group stands, by an operator's tool that knows the group's key.
+//! Client for operators' tools, which ask a member for the group's status using the group's key.
 
 use crate::frame_io::{exchange_hellos, invalid_data, read_frame, write_frame};
 use crate::protocol::{ConnectionPurpose, FrameCodec, Hello, MAX_FRAME_BYTES, PROTOCOL_VERSION};
@@ -11,10 +11,10 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long a member may take in all.
+/// Timeout of a whole query.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How the group stands, as one member sees it.
+/// Asks a member for the state of the group.
 pub async fn fetch_status(settings: &Settings, member: &Member) -> io::Result<Status> {
     let status = timeout(STATUS_TIMEOUT, async {
         let mut stream = TcpStream::connect(member.address).await?;
--- a/crates/gullcart-peers/src/protocol.rs
+++ b/crates/gullcart-peers/src/protocol.rs
@@ -1,5 +1,6 @@
-//! What goes over a connection: first both say who they are and throw a number by chance, then each frame carries a code
-//! made with a key that is of this connection alone. Nothing that was said on another one, or elsewhere in this one, passes.
+//! The protocol on a connection. Both sides first exchange a [`Hello`] with a random nonce. Each frame after that carries a message
+//! authentication code, made with a key that is derived from both hellos, so that frames cannot be replayed on another
+//! connection or at another position of the same one.
 
 use gullcart_group::membership::Handshake;
 use hmac::{Hmac, Mac};
@@ -10,15 +11,16 @@
 
 type HmacSha256 = Hmac<Sha256>;
 
-/// The version of what is said; couriers of versions that differ by one understand each other.
+/// Version of the protocol. Members whose versions differ by one understand each other.
 pub const PROTOCOL_VERSION: u16 = 1;
-/// Bytes of a frame at most, and of the first words.
+/// Maximum size of a frame, including its authentication code.
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
+/// Maximum size of a hello.
 pub const MAX_HELLO_BYTES: usize = 512;
-/// Bytes of a code.
+/// Size of a message authentication code.
 pub const MAC_BYTES: usize = 32;
 
-/// Why what came is not listened to.
+/// Why received data is rejected.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum FrameError {
     /// The authentication code is wrong: the keys differ, or the data was changed.
@@ -44,32 +46,34 @@
     Receiver,
 }
 
-/// The first words of each side.
+/// The first frame of each side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Which version speaks.
+    /// The protocol version of the sender.
     pub version: u16,
-    /// Who.
+    /// The identity of the sender.
     pub handshake: Handshake,
-    /// To whom.
+    /// The id of the receiver.
     pub to: u64,
     /// The sender's group ([`crate::settings::Settings::group_id`]); 0 from an operator's tool.
     pub group_id: u64,
-    /// By chance, so that nothing said before passes again.
+    /// A random number that distinguishes this connection from all others.
     pub nonce: u128,
-    /// The number of the greeting that this one answers: it was not said before. Who calls shows the same by its first frame.
+    /// In a reply, the nonce of the hello that it answers, which proves that the reply is new. The connecting side proves the
+    /// same with its first authenticated frame.
     pub reply_to: Option<u128>,
 }
 
-/// The first frame of who called, made for this connection alone: until it has come, a greeting may be one of long ago.
+/// The first frame of the connecting side after the hellos. Until it has arrived, the hello may be a replay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConnectionPurpose {
-    /// A member will say what it has to say.
+    /// A member will send messages.
     Member,
-    /// An operator asks how the group stands.
+    /// An operator's tool asks for the status.
     Status,
 }
 
+/// Computes the authentication code of the concatenated parts.
 fn mac(key: &[u8], parts: &[&[u8]]) -> [u8; MAC_BYTES] {
     let mut mac = HmacSha256::new_from_slice(key).expect("HMAC accepts keys of any length");
     parts.iter().for_each(|part| mac.update(part));
@@ -77,13 +81,13 @@
 }
 
 impl Hello {
-    /// As it goes out.
+    /// Encodes and authenticates the hello.
     pub fn write(&self, key: &[u8]) -> Vec<u8> {
         let payload = postcard::to_allocvec(self).unwrap_or_default();
         [&mac(key, &[b"gullcart greeting", &payload])[..], &payload].concat()
     }
 
-    /// Reads what came, which has to be for this member.
+    /// Checks and decodes a hello, which must be addressed to this member.
     pub fn read(key: &[u8], bytes: &[u8], me: u64) -> Result<Self, FrameError> {
         if bytes.len() > MAX_HELLO_BYTES || bytes.len() < MAC_BYTES {
             return Err(FrameError::Length(bytes.len()));
@@ -100,7 +104,7 @@
         (hello.to == me).then_some(hello).ok_or(FrameError::Receiver)
     }
 
-    /// The same, from who was called: it has to be the one that was meant, and to answer this very call.
+    /// Checks and decodes the reply to `call`, which must come from the member that was called.
     pub fn read_reply(key: &[u8], bytes: &[u8], call: &Hello) -> Result<Self, FrameError> {
         let hello = Hello::read(key, bytes, call.handshake.member.0)?;
         if hello.handshake.member.0 != call.to {
@@ -110,14 +114,14 @@
     }
 }
 
-/// One way of a connection, after both have greeted.
+/// Authenticates the frames of one direction of a connection.
 pub struct FrameCodec {
     key: [u8; MAC_BYTES],
     sequence: u64,
 }
 
 impl FrameCodec {
-    /// From who called to who was called; the other way with both swapped.
+    /// Creates the codec for the direction from the connecting side to the other one; swap both hellos for the other direction.
     pub fn new(key: &[u8], caller: &Hello, called: &Hello) -> Self {
         let encode = |hello| postcard::to_allocvec(hello).unwrap_or_default();
         FrameCodec { key: mac(key, &[b"gullcart frames", &encode(caller), &encode(called)]), sequence: 0 }
@@ -128,7 +132,7 @@
         self.sequence.to_le_bytes()
     }
 
-    /// A frame as it goes out, behind its length; none where it is too long to be said.
+    /// Encodes a frame including its length prefix; `None` if it would be too long.
     pub fn write<T: Serialize>(&mut self, message: &T) -> Option<Vec<u8>> {
         let payload = postcard::to_allocvec(message)
             .ok()
@@ -139,7 +143,7 @@
         Some([&length.to_le_bytes()[..], &frame_mac, &payload].concat())
     }
 
-    /// Reads a frame without its length.
+    /// Checks and decodes a frame, passed without its length prefix.
     pub fn read<T: DeserializeOwned>(&mut self, bytes: &[u8]) -> Result<T, FrameError> {
         if bytes.len() < MAC_BYTES || bytes.len() > MAX_FRAME_BYTES {
             return Err(FrameError::Length(bytes.len()));
--- a/crates/gullcart-peers/src/roster.rs
+++ b/crates/gullcart-peers/src/roster.rs
@@ -1,24 +1,24 @@
-//! What may change of a group's file while its couriers serve: who belongs to it without a vote. A number is its courier's own
-//! for good, so that one that comes back with another folder, or in another's place, comes under a new number, and nobody has to
-//! tell the two apart.
+//! Changes of the group's settings file that can be applied without a restart: only the set of members without a vote may change.
+//! A member's id is never given to another member, so a member with a new folder, or in another one's place, gets a new id and
+//! nobody has to tell the two apart.
 
 use crate::settings::{Member, Settings};
 use gullcart_group::types::MemberId;
 use thiserror::Error;
 
-/// What a new file changes.
+/// The members that a new settings file adds and removes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MemberChanges {
-    /// Who belongs to the group from now on, or is found elsewhere.
+    /// Members that are new, or have a new address.
     pub added: Vec<Member>,
-    /// Who does not, or is found elsewhere.
+    /// Members that are gone, or have a new address.
     pub removed: Vec<MemberId>,
 }
 
-/// Why a new file is not followed. Nothing has changed then.
+/// Why a new settings file is rejected. Nothing is changed then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ChangeError {
-    /// It is another courier's, or another group's.
+    /// A setting differs that cannot change, or the file belongs to another member or group.
     #[error("name, listen, key, lease_ms, drift_ppm and disk_kb cannot change without a restart")]
     FixedSetting,
     /// The voters or their addresses differ.
@@ -27,14 +27,14 @@
     /// There are more members than resources were reserved for at the start.
     #[error("at most {capacity} members are possible without a restart, and the file has {members}")]
     Capacity {
-        /// As many as there may be.
+        /// The maximum number of members.
         capacity: usize,
-        /// As many as there would be.
+        /// The number of members in the file.
         members: usize,
     },
 }
 
-/// What it takes to go from one file to another. `room` is how many members descriptors were dealt out for.
+/// The changes between two settings files. `capacity` is the number of members for which descriptors were reserved.
 pub fn diff(from: &Settings, to: &Settings, capacity: usize) -> Result<MemberChanges, ChangeError> {
     let fixed = |s: &Settings| (s.me, s.listen, s.terms, s.disk_bytes);
     if fixed(from) != fixed(to) || from.key != to.key {
@@ -52,7 +52,7 @@
     if to.members.len() > capacity {
         return Err(ChangeError::Capacity { capacity, members: to.members.len() });
     }
-    // By number and address: what it is called says nothing.
+    // Compared by id and address; the name is only for operators.
     let contains = |members: &[Member], member: &Member| {
         members.iter().any(|other| (other.number, other.address) == (member.number, member.address))
     };
--- a/crates/gullcart-peers/src/roster/tests.rs
+++ b/crates/gullcart-peers/src/roster/tests.rs
@@ -37,7 +37,7 @@
     let from = settings(&[4]);
     let none = Ok(MemberChanges::default());
     assert_eq!(diff(&from, &from, 8), none);
-    // Another name is no change.
+    // A new name is not a change.
     let mut renamed = from.clone();
     renamed.members[3].name = "other".to_owned();
     assert_eq!(diff(&from, &renamed, 8), none);
--- a/crates/gullcart-peers/src/settings.rs
+++ b/crates/gullcart-peers/src/settings.rs
@@ -1,4 +1,4 @@
-//! The operators' file of the group, checked as a whole before anything of it counts.
+//! The group's settings file, which is validated completely before any of it is used.
 
 use gullcart_group::table::MAX_MEMBERS;
 use gullcart_group::types::{LeaseTerms, MemberId};
@@ -9,49 +9,49 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Voters at least and at most.
+/// Minimum and maximum number of voters.
 const VOTER_COUNT: std::ops::RangeInclusive<usize> = 3..=7;
-/// Members that may come while the courier serves, beyond those of its start.
+/// Number of members that may be added while the courier runs.
 const SPARE_MEMBERS: usize = 8;
-/// Bytes of a key at least.
+/// Minimum length of the key.
 const MIN_KEY_BYTES: usize = 16;
 
-/// Why the file cannot be used.
+/// Why the settings file cannot be used.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// It, or the key's file, cannot be read.
+    /// The file, or the key file, cannot be read.
     #[error("{}: {error}", path.display())]
     Read {
-        /// Which file.
+        /// The file.
         path: PathBuf,
-        /// Why not.
+        /// The error.
         error: std::io::Error,
     },
-    /// It means nothing.
+    /// The contents are invalid.
     #[error("{}: {what}", path.display())]
     Parse {
-        /// Which file.
+        /// The file.
         path: PathBuf,
-        /// Where and why.
+        /// What is invalid, and where.
         what: String,
     },
     /// Other users can read the key file.
     #[error("{}: readable by others than its owner; use chmod 600", path.display())]
     KeyPermissions {
-        /// Which file.
+        /// The key file.
         path: PathBuf,
     },
 }
 
-/// Another courier of the group, or this one.
+/// A member of the group.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Member {
     /// Its name, for operators.
     pub name: String,
-    /// Its number, which is its own for good.
+    /// Its id, which is never given to another member.
     pub number: u64,
-    /// Where the others reach it.
+    /// The address at which the other members reach it.
     pub address: SocketAddr,
     /// Whether it votes.
     #[serde(default)]
@@ -84,25 +84,25 @@
     1024
 }
 
-/// What the file says.
+/// The settings of one member.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This courier.
+    /// The id of this member.
     pub me: MemberId,
-    /// Where it listens for the others.
+    /// The address on which it listens for other members.
     pub listen: SocketAddr,
-    /// What all of them know.
+    /// The key that all members share.
     pub key: Vec<u8>,
-    /// How long leases run.
+    /// The duration of leases, and the maximum clock drift.
     pub terms: LeaseTerms,
-    /// Bytes of what it keeps, at most.
+    /// Maximum size of the group's state on disk.
     pub disk_bytes: u64,
-    /// All of them, this one too.
+    /// All members, including this one.
     pub members: Vec<Member>,
 }
 
 impl Settings {
-    /// Reads the file and the key that it names, which may lie beside it.
+    /// Reads the file, and the key file that it names, relative to its own folder.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let io = |path: &Path| {
             let path = path.to_owned();
@@ -167,8 +167,8 @@
         })
     }
 
-    /// What all members must have alike: who votes, and how long leases run. Two groups that were given one key differ in it, and
-    /// so do files that were not changed together.
+    /// A hash of what must be the same for all members: the voters and the lease terms. It differs between two groups that use
+    /// the same key by mistake, and between settings files that were not changed together.
     pub fn group_id(&self) -> u64 {
         let mut hash = Sha256::new();
         let LeaseTerms { duration: lease, drift_ppm } = self.terms;
@@ -181,29 +181,29 @@
         u64::from_le_bytes(bytes.first_chunk().copied().unwrap_or_default())
     }
 
-    /// Descriptors at most: one to and one from each member that this one talks to, and some for its listener, its files, its
-    /// timers and operators.
+    /// Maximum number of file descriptors: one connection to and one from each peer, and some for the listener, files, timers and
+    /// operators.
     pub fn max_descriptors(&self) -> usize {
         2 * (self.peers().count() + SPARE_MEMBERS) + 16
     }
 
-    /// Members for which there is room without a start.
+    /// Maximum number of members that the group may have without a restart of this one.
     pub fn member_capacity(&self) -> usize {
         (self.members.len() + SPARE_MEMBERS).min(MAX_MEMBERS)
     }
 
-    /// The others with which this one has anything to say: those that do not vote have nothing to say to each other.
+    /// The members with which this one exchanges messages. Members without a vote only talk to voters.
     pub fn peers(&self) -> impl Iterator<Item = &Member> + '_ {
         let votes = self.members.iter().any(|member| member.number == self.me.0 && member.votes);
         self.members.iter().filter(move |member| member.number != self.me.0 && (votes || member.votes))
     }
 
-    /// Numbers of those that vote.
+    /// The ids of the voters.
     pub fn voter_ids(&self) -> Vec<MemberId> {
         self.members.iter().filter(|member| member.votes).map(|member| MemberId(member.number)).collect()
     }
 
-    /// Numbers of all.
+    /// The ids of all members.
     pub fn member_ids(&self) -> Vec<MemberId> {
         self.members.iter().map(|member| MemberId(member.number)).collect()
     }
--- a/crates/gullcart-peers/src/settings/tests.rs
+++ b/crates/gullcart-peers/src/settings/tests.rs
@@ -31,7 +31,7 @@
         let error = read(&text(top, votes)).unwrap_err();
         assert!(error.contains(word), "{error}");
     }
-    // As many as there may be, and one more.
+    // The maximum number of members, and one more.
     let more = |count: usize| -> String {
         let member = |index: usize| {
             let (number, port) = (index + 1, index + 7000);
@@ -42,7 +42,7 @@
     assert_eq!(read(&more(MAX_MEMBERS)).unwrap().members.len(), MAX_MEMBERS);
     let error = read(&more(MAX_MEMBERS + 1)).unwrap_err();
     assert!(error.contains("1025") && error.contains("1024"), "{error}");
-    // Another lease, or another voter, makes another group; another name does not.
+    // Other lease terms or voters make another group; other names do not.
     assert_ne!(read(&text("lease_ms = 2000", [true; 3])).unwrap().group_id(), good.group_id());
     let renumbered = text("", [true; 3]).replace("number = 3", "number = 4");
     assert_ne!(read(&renumbered).unwrap().group_id(), good.group_id());
--- a/crates/gullcart-peers/src/types.rs
+++ b/crates/gullcart-peers/src/types.rs
@@ -1,4 +1,4 @@
-//! What the loop, the courier and operators say to each other of the group.
+//! Types shared by the group's thread, the courier that uses it, and operators' tools.
 
 use crate::folder::FolderError;
 use crate::settings::Settings;
@@ -13,118 +13,119 @@
 use thiserror::Error;
 use tokio::sync::oneshot;
 
-/// Who an operator's tool says it is: no member has that number.
+/// The id that operators' tools use in place of a member's.
 pub const OPERATOR: MemberId = MemberId(0);
 
-/// The time, on the clock that also runs while the machine sleeps.
+/// The current time, on the clock that also runs while the machine is suspended.
 pub fn now() -> Moment {
     let time = clock_gettime(ClockId::Boottime);
     Moment(time.tv_sec as u64 * 1_000_000 + time.tv_nsec as u64 / 1000)
 }
 
-/// Why a courier is in no group.
+/// Why a courier cannot take part in its group.
 #[derive(Debug, Error)]
 pub enum GroupError {
-    /// Its folder cannot be used.
+    /// The folder cannot be used.
     #[error(transparent)]
     Folder(#[from] FolderError),
-    /// Its address cannot be had.
+    /// The address cannot be bound.
     #[error("cannot listen at {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
-    /// Its thread cannot be.
+    /// The thread cannot be started.
     #[error("the group's thread: {0}")]
     Thread(std::io::Error),
-    /// The voters cannot be these.
+    /// The set of voters is invalid.
     #[error(transparent)]
     Voter(#[from] gullcart_group::voter::VoterError),
 }
 
-/// A duty, as one member sees it.
+/// The state of a duty, as one member sees it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutyStatus {
-    /// Its name.
+    /// The name of the duty.
     pub name: String,
-    /// Who holds it; nobody where it is wanted and free.
+    /// The member that holds it; `None` if it is requested but free.
     pub holder: Option<u64>,
-    /// Under which epoch.
+    /// The epoch of the grant.
     pub epoch: Option<u64>,
-    /// For how many milliseconds that has been so, as far as this member has seen.
+    /// For how many milliseconds this has been so, as far as this member has observed.
     pub since_ms: u64,
     /// Why the duty has no holder.
     #[serde(rename = "why")]
-    /// Why nobody holds it.
     pub vacancy_reason: Option<String>,
 }
 
-/// How the group stands, as this courier sees it.
+/// The state of the group, as one member sees it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// This member.
+    /// The id of the member.
     pub me: u64,
     /// The current incarnation of the member.
     #[serde(rename = "life")]
-    /// Which start of it.
     pub incarnation: u64,
-    /// Whether it votes now.
+    /// Whether the member votes now.
     pub votes: bool,
     /// Why it does not vote, or another problem.
     #[serde(rename = "trouble")]
-    /// Why not, or what else is wrong.
     pub problem: Option<String>,
-    /// Who leads.
+    /// The current leader.
     pub leader: Option<u64>,
-    /// Commands agreed on, as far as is known here.
+    /// The number of decided commands, as far as is known here.
     pub version: u64,
-    /// Duties that are held or wanted.
+    /// Duties that are held or requested.
     pub duties: Vec<DutyStatus>,
     /// The duties on which this member may act now.
     #[serde(rename = "holds")]
-    /// What this member may act on now.
     pub held_duties: Vec<String>,
     /// The members to which this one has an outgoing connection.
     #[serde(rename = "reached")]
-    /// Members with a connection from here.
     pub reachable_members: Vec<u64>,
     /// Milliseconds since the group was last heard from.
     #[serde(rename = "heard_ms")]
-    /// Milliseconds since the group was last heard from.
     pub last_contact_ms: u64,
 }
 
-/// How a duty stands that is wanted, as it was told last.
+/// The last reported state of a requested duty.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DutyObservation {
-    /// Another member holds it, and is believed to until then.
+    /// The time until which another member is assumed to hold the duty.
     pub held_elsewhere_until: Option<Moment>,
-    /// What was told of it: under which epoch, in which words, and when that was agreed on at the latest.
+    /// The last note: its epoch, its payload, and the latest time at which it can have been decided.
     pub note: Option<(Epoch, Vec<u8>, Moment)>,
 }
 
-/// What both sides see.
+/// State shared by the courier and the group's thread.
 #[derive(Default)]
 pub(crate) struct Shared {
-    /// What may be acted on, until when.
+    /// The duties on which this member may act, with the ends of the leases.
     pub held_duties: BTreeMap<Duty, (Epoch, Moment)>,
-    /// All that is wanted.
+    /// The requested duties.
     pub requested_duties: BTreeMap<Duty, DutyObservation>,
+    /// The last status that was published.
     pub status: Status,
-    /// The status was looked at since it was made.
+    /// The status was read since it was published, so the next one is wanted.
     pub is_status_requested: bool,
 }
 
-/// What the courier wants of the loop.
+/// What the courier asks of the group's thread.
 pub(crate) enum GroupRequest {
+    /// Request a duty.
     Request(Duty),
+    /// Withdraw the request for a duty, and release it.
     Release(Duty),
+    /// Release a duty, and do not claim it for some time.
     Yield(Duty, Duration),
+    /// Publish a note about a held duty.
     PublishNote(Duty, Payload),
-    /// Its file was read again.
+    /// Apply settings that were read again.
     ApplySettings(Box<Settings>),
+    /// Release all duties and end; the sender is notified once that is done.
     Leave(oneshot::Sender<()>),
+    /// Stop, and send the state for the next process.
     HandOver(oneshot::Sender<Box<GroupHandover>>),
 }
 
-/// A member that stopped, for another process of the same folder that goes on in its place.
+/// The state of a stopped member, for another process that continues it with the same folder.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct GroupHandover {
     pub(crate) member: MemberHandover,
@@ -132,12 +133,12 @@
 }
 
 impl GroupHandover {
-    /// As bytes, for the hand-over.
+    /// Encodes the state for the hand-over.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// What the process before wrote; none where it cannot be read, and the member begins a new life.
+    /// Decodes the state. `None` if it cannot be read; the member then begins a new incarnation.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
--- a/crates/gullcart-peers/tests/common/mod.rs
+++ b/crates/gullcart-peers/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Real processes of a group with links between them that fail, and a partner at which their acts land.
+//! Runs the processes of a group with unreliable links between them, and a partner that records their actions.
 #![allow(dead_code)]
 
 use gullcart_judge::duties::{judge, longest_gap, Act};
@@ -21,16 +21,17 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, timeout, Instant};
 
-/// Far longer than anything here takes; only a failing test waits for so long.
+/// Longer than any step of these tests takes, so that only a failing test waits this long.
 pub const TIMEOUT: Duration = Duration::from_secs(40);
 
+/// A running process, with its last status and its log.
 pub struct Process {
     child: Child,
     status: Rc<RefCell<Value>>,
     log: Rc<RefCell<Vec<String>>>,
 }
 
-/// Where acts land.
+/// The endpoint that records all actions.
 #[derive(Clone)]
 pub struct Partner {
     started: Instant,
@@ -39,15 +40,16 @@
     address: SocketAddr,
 }
 
+/// A group of processes. Processes are identified by their index; see [`member_number`].
 pub struct Group {
     pub folder: PathBuf,
     pub mesh: Mesh,
     pub processes: Vec<Option<Process>>,
     pub partner: Partner,
     voters: usize,
-    /// Who stands in the files that processes are started with.
+    /// Indices of the members in the settings files.
     pub listed: Vec<usize>,
-    /// What the next processes want, by commas.
+    /// The duties that processes request when they are started next, separated by commas.
     pub duties: String,
     /// Number of pauses so far. Each may have happened between a check of the lease and the action.
     pub pauses: usize,
@@ -104,7 +106,7 @@
         acts.get(duty)?.iter().skip(from).find(|act| matches(act)).copied()
     }
 
-    /// Waits until an act lands that some other one has not; it.
+    /// Waits for a new action that fulfils the condition.
     pub async fn until(&self, duty: &str, what: &str, matches: impl Fn(&Act) -> bool) -> Act {
         let mut recorded = self.recorded.clone();
         let from = self.acts(duty).len();
@@ -125,17 +127,18 @@
     }
 }
 
+/// The number of the member with this index.
 pub fn member_number(index: usize) -> u64 {
     index as u64 + 1
 }
 
 impl Group {
-    /// So many processes, of which the first so many vote, all reaching each other.
+    /// Starts `members` processes, of which the first `voters` vote.
     pub async fn start(members: usize, voters: usize, duties: &[&str]) -> Self {
         Group::start_some(members, voters, members, duties).await
     }
 
-    /// The same, of which some may come later: they stand in no file yet.
+    /// Starts `members` processes of a group that may grow to `capacity`. The others are not listed in any file yet.
     pub async fn start_some(members: usize, voters: usize, capacity: usize, duties: &[&str]) -> Self {
         let random = fastrand::u64(..);
         let folder = std::env::temp_dir().join(format!("gullcart-group-{}-{random:x}", std::process::id()));
@@ -156,7 +159,7 @@
         self.folder.join(format!("state-{index}"))
     }
 
-    /// Other members stand in the files from now on, and processes that run are told to read theirs again.
+    /// Changes the members in the settings files, and makes running processes read them again.
     pub async fn update_listed(&mut self, listed: Vec<usize>) {
         self.listed = listed;
         for index in 0..self.processes.len() {
@@ -189,7 +192,7 @@
         file
     }
 
-    /// Starts a process, on the folder that there is.
+    /// Starts a process with the folder that exists.
     pub async fn run(&mut self, index: usize) {
         std::fs::create_dir_all(self.state(index)).unwrap();
         let file = self.write_file(index);
@@ -241,7 +244,7 @@
         self.signal(index, Signal::CONT);
     }
 
-    /// Ends a process as a planned end would.
+    /// Lets a process leave the group and exit.
     pub async fn leave(&mut self, index: usize) {
         let mut process = self.processes[index].take().unwrap();
         process.child.stdin.take().unwrap().write_all(b"leave\n").await.unwrap();
@@ -253,7 +256,7 @@
         self.processes[index].as_ref().map_or(Value::Null, |process| process.status.borrow().clone())
     }
 
-    /// Waits until a process says something of its group.
+    /// Waits until the status of a process fulfils the condition.
     pub async fn status_until(&self, index: usize, what: &str, matches: impl Fn(&Value) -> bool) -> Value {
         let waited = timeout(TIMEOUT, async {
             loop {
@@ -274,12 +277,12 @@
         votes.into_iter().max_by_key(|(_, count)| *count).map(|(leader, _)| leader as usize - 1)
     }
 
-    /// The place of who acts on a duty now.
+    /// The index of the process that acts on a duty now.
     pub async fn holder(&self, duty: &str) -> usize {
         self.partner.until(duty, "somebody holds the duty", |_| true).await.member as usize - 1
     }
 
-    /// Who has held a duty since it left a process, under a later epoch; how long nothing landed meanwhile.
+    /// Waits until another process holds the duty after `from`. Returns it, and for how long nobody acted in between.
     pub async fn next_holder(&self, duty: &str, from: usize) -> (usize, Duration) {
         let acts = self.partner.acts(duty);
         let last = acts.iter().rev().find(|act| act.member == member_number(from)).unwrap().epoch;
@@ -293,7 +296,7 @@
         (next.member as usize - 1, next.at - before)
     }
 
-    /// Waits until a duty has stayed with one process for so long; which.
+    /// Waits until a duty has stayed with one process for `span`, and returns that process.
     pub async fn stable_holder(&self, duty: &str, span: Duration) -> usize {
         let stayed = timeout(TIMEOUT, async {
             loop {
--- a/crates/gullcart-peers/tests/faults.rs
+++ b/crates/gullcart-peers/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Random faults among real processes, in any overlap; and figures of how long a duty is nobody's.
+//! Random overlapping faults among real processes, and measurements of how long a duty has no holder.
 
 mod common;
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Twelve faults, some of them at once, then none: what was done was right, and all duties are held again.
+/// Applies twelve random faults, some at the same time, and ends them. No check may fail, and all duties must have holders again.
 async fn random_run(seed: u64) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let size = [3, 5, 7][(seed % 3) as usize];
@@ -106,8 +106,8 @@
     (at(0.5), at(0.99), at(1.0))
 }
 
-/// How long nothing is done under a duty after its holder was killed, stopped, cut off, and left. `GROUP_FIGURES` sets how
-/// often each; once in CI, for the code.
+/// Measures for how long a duty has no holder after its holder is killed, paused, cut off, or leaves. `GROUP_FIGURES` sets the
+/// number of measurements of each kind; CI takes one, to exercise the code.
 #[test]
 fn measure_vacancies() {
     let count = std::env::var("GROUP_FIGURES").ok().and_then(|count| count.parse().ok()).unwrap_or(1);
--- a/crates/gullcart-peers/tests/processes.rs
+++ b/crates/gullcart-peers/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Duties among real processes that are killed, stopped, cut off and started anew. What they do is judged where it lands.
+//! Tests of duties with real processes that are killed, paused, cut off and restarted. A partner checks the actions it receives.
 
 mod common;
 
@@ -47,7 +47,7 @@
     });
 }
 
-/// The partner is still reached by who is cut off from the others.
+/// The holder that is cut off from the other members still reaches the partner.
 #[test]
 fn a_holder_that_is_cut_off_from_the_group_alone_stops_by_itself() {
     block_on(async {
@@ -62,7 +62,7 @@
     });
 }
 
-/// A sees B, B sees C, A does not see C: whoever leads, somebody holds it.
+/// A reaches B and B reaches C, but A does not reach C. Whichever of them leads, the duty has a holder.
 #[test]
 fn a_partial_partition_leaves_no_duty_vacant_for_long() {
     block_on(async {
@@ -83,7 +83,7 @@
     block_on(async {
         let mut group = Group::start(3, 3, &["one"]).await;
         let mut holder = group.holder("one").await;
-        // Until leader and holder are one.
+        // Restarts holders until the leader is the holder.
         while group.leader() != Some(holder) {
             group.kill(holder).await;
             let (next, _) = group.next_holder("one", holder).await;
@@ -131,7 +131,7 @@
         for other in &others {
             group.kill(*other).await;
         }
-        // Its lease runs out, and nobody can renew it.
+        // Its lease expires, and cannot be renewed.
         sleep(LONGER_THAN_LEASE).await;
         let silent = group.partner.now();
         sleep(LONGER_THAN_LEASE).await;
@@ -142,7 +142,7 @@
     });
 }
 
-/// A voter whose folder is lost, or an older copy, is not the one that voted: it stays outside, and the others go on.
+/// A voter whose folder is lost or restored from an older copy must not vote. The others continue.
 #[test]
 fn a_voter_with_another_folder_does_not_vote() {
     block_on(async {
@@ -183,27 +183,27 @@
     });
 }
 
-/// Members without a vote come, go and are replaced while the group serves: a file that is read again is all it takes.
+/// Members without a vote can be added, removed and replaced by editing the settings files, without a restart.
 #[test]
 fn members_without_a_vote_are_added_removed_and_replaced_without_a_restart() {
     block_on(async {
         let is_isolated = |s: &Value| s["heard_ms"].as_u64().unwrap() > 1500;
         let mut group = Group::start_some(3, 3, 5, &["one"]).await;
         group.holder("one").await;
-        // One that is in nobody's file but its own is turned away, and acts on nothing.
+        // A member that is listed in no file but its own is rejected, and acts on nothing.
         group.duties = "own".to_owned();
         group.listed = vec![0, 1, 2, 3];
         group.run(3).await;
         group.status_until(3, "the group ignores it", is_isolated).await;
         assert!(group.partner.last_act("own").is_none());
-        // Added, it gets what it wants.
+        // Once it is listed, it gets the duty that it requests.
         group.update_listed(vec![0, 1, 2, 3]).await;
         assert_eq!(group.holder("own").await, 3);
-        // Removed, it loses that with its lease, and another one, added at the same time, gets it.
+        // Once it is removed, its lease expires, and a member that was added at the same time gets the duty.
         group.update_listed(vec![0, 1, 2, 4]).await;
         group.run(4).await;
         assert_eq!(group.next_holder("own", 3).await.0, 4);
-        // Its number with another folder is not the courier that is known, also where the file has it again.
+        // A member with the same id and another folder is rejected, even if it is listed again.
         group.kill(3).await;
         std::fs::remove_dir_all(group.state(3)).unwrap();
         group.update_listed(vec![0, 1, 2, 3, 4]).await;
