--- a/crates/gullcart-group/src/lib.rs
+++ b/crates/gullcart-group/src/lib.rs
@@ -1,21 +1,21 @@
-//! Couriers that know each other, agree, and give a duty to one of them at a time. No socket, no clock, no disk: time and
-//! messages come in, messages and records go out.
+//! Members of a cluster that agree by consensus which of them holds a duty, an exclusive role. The crate does no I/O and reads no
+//! clock: the caller passes in time and messages, and gets back records to persist and messages to send.
 //!
-//! [`vocabulary`] and [`table`] say what is agreed on; [`log`] is what a voter keeps of it; [`voter`] is one voice of the
-//! agreement, which the library `omnipaxos` brings about; [`member`] is who asks and holds. `docs/design/group.md` has what
-//! was weighed, and what each promise rests on.
+//! [`types`] and [`table`] define the replicated state; [`log`] is the storage of a voter; [`voter`] runs the consensus library
+//! `omnipaxos`; [`member`] requests and holds duties; [`node`] combines both in one process. `docs/design/group.md` describes the
+//! design, its alternatives and the assumptions behind each guarantee.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod door;
 pub mod lease;
 pub mod log;
 pub mod member;
+pub mod membership;
+pub mod message;
+pub mod message_order;
 pub mod node;
-pub mod order;
-mod pace;
-pub mod say;
-pub mod seat;
+mod retry_pacer;
 pub mod table;
-pub mod vocabulary;
+pub mod types;
 pub mod voter;
+pub mod voting_state;
--- a/crates/gullcart-peers/src/bin/gullcart-duty.rs
+++ b/crates/gullcart-peers/src/bin/gullcart-duty.rs
@@ -1,11 +1,13 @@
-//! A process that belongs to a group and does nothing but act under duties: for proofs among processes that fail. It says
-//! `<duty> <epoch>` to a partner, a line each, whenever it may, and asks right before each line whether it may.
+//! A test process that belongs to a group and acts on its duties. While it holds a duty, it keeps sending lines of the form
+//! `<duty> <epoch>` to a partner, and checks its lease right before each line.
 //!
-//! `GULLCART_GROUP` names the group's file, `BALANCER_STATE` the folder, `DUTY_NAMES` the duties, `DUTY_PARTNER` the partner.
-//! On a line on its standard input it leaves the group and ends; its log says `status` with the group's standing as JSON.
+//! Environment variables: `GULLCART_GROUP` is the group's settings file, `BALANCER_STATE` the state folder, `DUTY_NAMES` the
+//! duties, separated by commas, and `DUTY_PARTNER` the partner's address. The line `follow` on standard input makes it read the
+//! settings again; any other line makes it leave the group and exit. Log lines that begin with `status` carry the group's
+//! status as JSON.
 #![forbid(unsafe_code)]
 
-use gullcart_group::vocabulary::Duty;
+use gullcart_group::types::Duty;
 use gullcart_peers::handle::{start, Handle};
 use gullcart_peers::settings::Settings;
 use std::io::{BufRead, Write};
@@ -15,19 +17,19 @@
 use std::sync::mpsc::{channel, RecvTimeoutError};
 use std::time::Duration;
 
-/// Between two acts.
-const GAP: Duration = Duration::from_millis(2);
-/// Acts between two words on how the group stands.
-const STATUS: u32 = 50;
+/// Time between two rounds of actions.
+const ACTION_INTERVAL: Duration = Duration::from_millis(2);
+/// Number of rounds between two status lines.
+const ROUNDS_PER_STATUS: u32 = 50;
 
-fn say(line: &str) {
-    // A log that is read no more is nobody's loss.
+fn write_log(line: &str) {
+    // Failure to write the log must not stop the process.
     let _ = writeln!(std::io::stderr(), "{line}");
 }
 
-fn act(group: &Handle, duties: &[Duty], partner: &mut TcpStream) -> std::io::Result<()> {
+fn send_actions(group: &Handle, duties: &[Duty], partner: &mut TcpStream) -> std::io::Result<()> {
     for duty in duties {
-        if let Some(epoch) = group.may_act(duty) {
+        if let Some(epoch) = group.active_epoch(duty) {
             partner.write_all(format!("{duty} {}\n", epoch.0).as_bytes())?;
         }
     }
@@ -41,42 +43,42 @@
     let names = std::env::var("DUTY_NAMES")?;
     let duties: Vec<Duty> = names.split(',').filter_map(Duty::new).collect();
     for duty in &duties {
-        if !group.want(duty.clone()) {
-            say(&format!("{duty} is not asked for: there are too many"));
+        if !group.request(duty.clone()) {
+            write_log(&format!("{duty} was not requested: too many requests are queued"));
         }
     }
     let mut partner = TcpStream::connect(std::env::var("DUTY_PARTNER")?)?;
     partner.set_nodelay(true)?;
     partner.write_all(format!("{me}\n").as_bytes())?;
-    say(&format!("listening address={}", group.address()));
-    let (tell, told) = channel();
+    write_log(&format!("listening address={}", group.address()));
+    let (lines, received) = channel();
     std::thread::spawn(move || {
         for line in std::io::stdin().lock().lines().map_while(Result::ok) {
-            if tell.send(line).is_err() {
+            if lines.send(line).is_err() {
                 return;
             }
         }
     });
-    let mut count = 0u32;
+    let mut rounds = 0u32;
     loop {
-        match told.recv_timeout(GAP) {
+        match received.recv_timeout(ACTION_INTERVAL) {
             Ok(line) if line == "follow" => {
                 let settings = Settings::read(&PathBuf::from(std::env::var("GULLCART_GROUP")?))?;
-                say(&format!("follows {}", group.follow(settings)));
+                write_log(&format!("settings queued: {}", group.apply_settings(settings)));
             }
             Ok(_) => {
                 let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build()?;
-                let heard = runtime.block_on(group.leave(Duration::from_secs(2)));
-                say(&format!("left {heard}"));
+                let released = runtime.block_on(group.leave(Duration::from_secs(2)));
+                write_log(&format!("left the group; releases confirmed: {released}"));
                 return Ok(());
             }
-            Err(RecvTimeoutError::Disconnected) => std::thread::sleep(GAP),
+            Err(RecvTimeoutError::Disconnected) => std::thread::sleep(ACTION_INTERVAL),
             Err(RecvTimeoutError::Timeout) => {}
         }
-        act(&group, &duties, &mut partner)?;
-        count = count.wrapping_add(1);
-        if count.is_multiple_of(STATUS) {
-            say(&format!("status {}", serde_json::to_string(&group.status())?));
+        send_actions(&group, &duties, &mut partner)?;
+        rounds = rounds.wrapping_add(1);
+        if rounds.is_multiple_of(ROUNDS_PER_STATUS) {
+            write_log(&format!("status {}", serde_json::to_string(&group.status())?));
         }
     }
 }
@@ -85,7 +87,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            say(&format!("cannot go on: {error}"));
+            write_log(&format!("error: {error}"));
             ExitCode::FAILURE
         }
     }
--- a/crates/gullcart-peers/src/roster.rs
+++ b/crates/gullcart-peers/src/roster.rs
@@ -1,44 +1,44 @@
-//! What may change of a group's file while its couriers serve: who belongs to it without a vote. A number is its courier's own
-//! for good, so that one that comes back with another folder, or in another's place, comes under a new number, and nobody has to
-//! tell the two apart.
+//! Changes of the group's settings file that can be applied without a restart: only the set of members without a vote may change.
+//! A member's id is never given to another member, so a member with a new folder, or in another one's place, gets a new id and
+//! nobody has to tell the two apart.
 
 use crate::settings::{Member, Settings};
-use gullcart_group::vocabulary::MemberId;
+use gullcart_group::types::MemberId;
 use thiserror::Error;
 
-/// What a new file changes.
+/// The members that a new settings file adds and removes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Change {
-    /// Who belongs to the group from now on, or is found elsewhere.
+pub struct MemberChanges {
+    /// Members that are new, or have a new address.
     pub added: Vec<Member>,
-    /// Who does not, or is found elsewhere.
+    /// Members that are gone, or have a new address.
     pub removed: Vec<MemberId>,
 }
 
-/// Why a new file is not followed. Nothing has changed then.
+/// Why a new settings file is rejected. Nothing is changed then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Refused {
-    /// It is another courier's, or another group's.
-    #[error("name, listen, key, lease_ms, drift_ppm and disk_kb cannot change in service")]
-    Own,
-    /// Other voters, or some of them elsewhere.
-    #[error("who votes, and where, cannot change in service")]
+pub enum ChangeError {
+    /// A setting differs that cannot change, or the file belongs to another member or group.
+    #[error("name, listen, key, lease_ms, drift_ppm and disk_kb cannot change without a restart")]
+    FixedSetting,
+    /// The voters or their addresses differ.
+    #[error("the voters and their addresses cannot change without a restart")]
     Voters,
-    /// More members than were counted on at the start.
-    #[error("there is room for {room} members without a start, and it has {members}")]
-    Room {
-        /// As many as there may be.
-        room: usize,
-        /// As many as there would be.
+    /// There are more members than resources were reserved for at the start.
+    #[error("at most {capacity} members are possible without a restart, and the file has {members}")]
+    Capacity {
+        /// The maximum number of members.
+        capacity: usize,
+        /// The number of members in the file.
         members: usize,
     },
 }
 
-/// What it takes to go from one file to another. `room` is how many members descriptors were dealt out for.
-pub fn change(from: &Settings, to: &Settings, room: usize) -> Result<Change, Refused> {
-    let own = |s: &Settings| (s.me, s.listen, s.terms, s.disk);
-    if own(from) != own(to) || from.key != to.key {
-        return Err(Refused::Own);
+/// The changes between two settings files. `capacity` is the number of members for which descriptors were reserved.
+pub fn diff(from: &Settings, to: &Settings, capacity: usize) -> Result<MemberChanges, ChangeError> {
+    let fixed = |s: &Settings| (s.me, s.listen, s.terms, s.disk_bytes);
+    if fixed(from) != fixed(to) || from.key != to.key {
+        return Err(ChangeError::FixedSetting);
     }
     let voters = |s: &Settings| {
         let mut voters: Vec<_> =
@@ -47,21 +47,21 @@
         voters
     };
     if voters(from) != voters(to) {
-        return Err(Refused::Voters);
+        return Err(ChangeError::Voters);
     }
-    if to.members.len() > room {
-        return Err(Refused::Room { room, members: to.members.len() });
+    if to.members.len() > capacity {
+        return Err(ChangeError::Capacity { capacity, members: to.members.len() });
     }
-    // By number and address: what it is called says nothing.
-    let is_in = |members: &[Member], member: &Member| {
+    // Compared by id and address; the name is only for operators.
+    let contains = |members: &[Member], member: &Member| {
         members.iter().any(|other| (other.number, other.address) == (member.number, member.address))
     };
-    let others = |s: &Settings, t: &Settings| -> Vec<Member> {
-        let gone = s.members.iter().filter(|m| m.number != s.me.0 && !is_in(&t.members, m));
-        gone.cloned().collect()
+    let missing_from = |s: &Settings, t: &Settings| -> Vec<Member> {
+        let missing = s.members.iter().filter(|m| m.number != s.me.0 && !contains(&t.members, m));
+        missing.cloned().collect()
     };
-    let removed = others(from, to).iter().map(|member| MemberId(member.number)).collect();
-    Ok(Change { added: others(to, from), removed })
+    let removed = missing_from(from, to).iter().map(|member| MemberId(member.number)).collect();
+    Ok(MemberChanges { added: missing_from(to, from), removed })
 }
 
 #[cfg(test)]
--- a/crates/gullcart-scale/src/capacity/breaks.rs
+++ b/crates/gullcart-scale/src/capacity/breaks.rs
@@ -8,8 +8,8 @@
 use super::workbook::{CapacityError, Figure, Workbook};
 use cloverstile::DestinationId;
 use gullcart_engine::TOLD;
-use gullcart_group::say::MOST_WATCHED;
-use gullcart_group::table::{MOST_DUTIES, MOST_MEMBERS};
+use gullcart_group::message::MAX_WATCHED_DUTIES;
+use gullcart_group::table::{MAX_DUTIES, MAX_MEMBERS};
 use std::mem::size_of;
 
 /// Processors of the daemon's loop.
@@ -245,14 +245,14 @@
 
 fn of_the_group(workbook: &mut Workbook) -> Result<Vec<Break>, CapacityError> {
     let of_all = target::CONTROL_NETWORK * MEASURED_MEMBERS;
-    let duties = value(MOST_DUTIES as f64, Unit::Count);
+    let duties = value(MAX_DUTIES as f64, Unit::Count);
     Ok(vec![
         Break {
             mechanism: "one group of all couriers".to_owned(),
             role: Role::Voter,
-            limit: format!("{} members", value(MOST_MEMBERS as f64, Unit::Count)),
+            limit: format!("{} members", value(MAX_MEMBERS as f64, Unit::Count)),
             counts: "couriers",
-            at: Figure::given(MOST_MEMBERS as f64),
+            at: Figure::given(MAX_MEMBERS as f64),
             target: target::COURIERS,
             standing: Standing::Built,
         },
@@ -261,16 +261,16 @@
             role: Role::Voter,
             limit: format!("{duties} duties"),
             counts: "partners that are down",
-            at: Figure::given(MOST_DUTIES as f64),
+            at: Figure::given(MAX_DUTIES as f64),
             target: target::destinations_down(),
             standing: Standing::Built,
         },
         Break {
             mechanism: "wishes of one member, without scopes".to_owned(),
             role: Role::Voter,
-            limit: format!("{} duties", value(MOST_WATCHED as f64, Unit::Count)),
+            limit: format!("{} duties", value(MAX_WATCHED_DUTIES as f64, Unit::Count)),
             counts: "partners that are down",
-            at: Figure::given(MOST_WATCHED as f64),
+            at: Figure::given(MAX_WATCHED_DUTIES as f64),
             target: target::destinations_down(),
             standing: Standing::Built,
         },
--- a/crates/gullcart-scale/src/capacity/options.rs
+++ b/crates/gullcart-scale/src/capacity/options.rs
@@ -6,7 +6,7 @@
 use super::table::table;
 use super::target::{self, assumed};
 use super::workbook::{CapacityError, Figure, Workbook};
-use gullcart_group::table::MOST_MEMBERS;
+use gullcart_group::table::MAX_MEMBERS;
 
 /// Between two renewals of a courier's lease at its relay.
 const RENEWAL_S: f64 = 0.5;
@@ -203,7 +203,7 @@
                 "{} among all and {} for one duty; {} members are allowed; a region that is cut off renews nothing",
                 figure(&flat, Unit::Rate),
                 figure(&flat_core, Unit::Cores),
-                value(MOST_MEMBERS as f64, Unit::Count)
+                value(MAX_MEMBERS as f64, Unit::Count)
             ),
             "rejected",
         ),
--- a/crates/gullcart-scale/src/shared/group.rs
+++ b/crates/gullcart-scale/src/shared/group.rs
@@ -3,17 +3,17 @@
 use super::AXIS;
 use crate::fit::FitError;
 use crate::record::{Measurement, Point};
-use gullcart_group::log::Image;
+use gullcart_group::log::VoterSnapshot;
+use gullcart_group::message::PeerMessage;
+use gullcart_group::message_order::RunId;
 use gullcart_group::node::Node;
-use gullcart_group::order::Run;
-use gullcart_group::say::Say;
-use gullcart_group::vocabulary::{Duty, Life, MemberId, Moment, Terms};
+use gullcart_group::types::{Duty, Incarnation, LeaseTerms, MemberId, Moment};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
 /// Members of the groups that are measured; the last is the most that a group holds.
-const MEMBERS: [usize; 4] = [10, 100, 350, gullcart_group::table::MOST_MEMBERS];
+const MEMBERS: [usize; 4] = [10, 100, 350, gullcart_group::table::MAX_MEMBERS];
 /// Voters of the groups that are measured.
 const VOTERS: [usize; 3] = [3, 5, 7];
 /// Duties of the groups that are measured, each wanted by so many members.
@@ -50,12 +50,12 @@
 struct Group {
     now: Moment,
     nodes: Vec<Node>,
-    waiting: Vec<Vec<(MemberId, Say)>>,
+    waiting: Vec<Vec<(MemberId, PeerMessage)>>,
     /// When each node takes its next turn; the queue holds outdated times as well.
     wakes: Vec<Moment>,
     turns: BinaryHeap<Reverse<(Moment, usize)>>,
     under_way: BinaryHeap<Reverse<(Moment, u64)>>,
-    words: BTreeMap<u64, (MemberId, MemberId, Say)>,
+    words: BTreeMap<u64, (MemberId, MemberId, PeerMessage)>,
     next: u64,
     counts: Counts,
 }
@@ -186,13 +186,13 @@
     fn new(plan: Plan) -> Self {
         let now = Moment(MICROSECONDS as u64);
         let voters: Vec<MemberId> = (0..plan.voters).map(id).collect();
-        let run = Run { life: Life(1), hand: 0, begun: 0 };
+        let run = RunId { incarnation: Incarnation(1), handovers: 0, restarts: 0 };
         let node = |place: usize| {
-            let kept = (place < plan.voters).then(Image::default);
+            let kept = (place < plan.voters).then(VoterSnapshot::default);
             let seed = place as u64;
-            let mut node = Node::new(id(place), run, &voters, Terms::default(), kept, seed, now).ok()?;
+            let mut node = Node::new(id(place), run, &voters, LeaseTerms::default(), kept, seed, now).ok()?;
             wanted(plan, place).for_each(|duty| {
-                node.member.want(now, &duty);
+                node.member.request(now, &duty);
             });
             Some(node)
         };
@@ -257,10 +257,10 @@
         let node = &mut self.nodes[place];
         for (from, say) in std::mem::take(&mut self.waiting[place]) {
             // Everybody is who they say: nothing is refused.
-            let _ = node.hear(now, from, say);
+            let _ = node.handle_message(now, from, say);
         }
-        let output = node.turn(now);
-        let next = node.next_turn();
+        let output = node.poll(now);
+        let next = node.next_poll();
         if self.counts.is_counting {
             *self.counts.processor.entry(place).or_default() += processor_time().saturating_sub(begun);
         }
@@ -271,7 +271,7 @@
         }
     }
 
-    fn send(&mut self, from: usize, to: MemberId, say: Say) {
+    fn send(&mut self, from: usize, to: MemberId, say: PeerMessage) {
         if self.counts.is_counting {
             self.counts.messages += 1;
             self.counts.bytes += postcard::to_allocvec(&say).map_or(0, |bytes| bytes.len() as u64);
--- a/crates/gullcart/src/group.rs
+++ b/crates/gullcart/src/group.rs
@@ -3,11 +3,11 @@
 
 use cloverstile::{DestinationId, Time};
 use gullcart_engine::{DutyView, Holder, Told, TrialWish};
-use gullcart_group::vocabulary::{Duty, Words};
+use gullcart_group::types::{Duty, Payload};
 use gullcart_peers::handle::{start, Handle};
 use gullcart_peers::roster;
 use gullcart_peers::settings::Settings;
-use gullcart_peers::vocabulary::{now as boot_now, Given, Look};
+use gullcart_peers::types::{now as boot_now, DutyObservation, GroupHandover};
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -43,7 +43,7 @@
     /// A place that is not taken yet.
     pub fn new(settings: Settings, state: &Path) -> Self {
         Place {
-            room: settings.room(),
+            room: settings.member_capacity(),
             settings: Rc::new(RefCell::new(settings)),
             folder: state.join("group"),
             handle: Rc::default(),
@@ -54,18 +54,18 @@
 
     /// Bytes of the state folder that are the group's, and descriptors at most.
     pub fn costs(settings: &Settings) -> (u64, usize) {
-        (settings.disk, settings.sockets())
+        (settings.disk_bytes, settings.max_descriptors())
     }
 
     /// Takes it, or goes on in the place of a process that gave it up to this one.
     pub fn take(&self, given: &[u8]) {
-        let given = Given::read(given).filter(|_| !given.is_empty());
+        let given = GroupHandover::decode(given).filter(|_| !given.is_empty());
         self.begin(given);
         let place = self.clone();
         let keeper = tokio::task::spawn_local(async move {
             loop {
                 sleep(LOOK).await;
-                let is_over = place.handle.borrow().as_ref().is_none_or(Handle::is_over);
+                let is_over = place.handle.borrow().as_ref().is_none_or(Handle::is_finished);
                 if is_over {
                     // Its folder is free once the one before is gone.
                     place.handle.replace(None);
@@ -79,7 +79,7 @@
         }
     }
 
-    fn begin(&self, given: Option<Given>) {
+    fn begin(&self, given: Option<GroupHandover>) {
         let settings = self.settings.borrow().clone();
         match start(settings, &self.folder, given) {
             Ok(handle) => {
@@ -91,15 +91,15 @@
 
     /// Follows another file of the group, as far as that may change in service.
     pub fn follow(&self, settings: Settings) {
-        match roster::change(&self.settings.borrow(), &settings, self.room) {
+        match roster::diff(&self.settings.borrow(), &settings, self.room) {
             Err(error) => {
                 return error!(%error, "the file of the group was read again; the group stays as it was")
             }
-            Ok(change) if change == roster::Change::default() => return,
+            Ok(change) if change == roster::MemberChanges::default() => return,
             Ok(_) => {}
         }
         if let Some(handle) = self.handle.borrow().as_ref() {
-            handle.follow(settings.clone());
+            handle.apply_settings(settings.clone());
         }
         self.settings.replace(settings);
     }
@@ -107,7 +107,7 @@
     /// Duties that were asked for.
     pub fn asked(&self) -> Vec<DestinationId> {
         let handle = self.handle.borrow();
-        let wants = handle.as_ref().map(Handle::wants).unwrap_or_default();
+        let wants = handle.as_ref().map(Handle::requested_duties).unwrap_or_default();
         wants.iter().filter_map(destination).collect()
     }
 
@@ -115,10 +115,10 @@
     pub fn view(&self, now: Time, to: DestinationId) -> Option<DutyView> {
         let handle = self.handle.borrow();
         let (handle, duty) = (handle.as_ref()?, duty(to)?);
-        let Look { other_until, told } = handle.look(&duty)?;
+        let DutyObservation { held_elsewhere_until: other_until, note: told } = handle.observe(&duty)?;
         // Its clock goes on while the machine sleeps, and the courier's may not: what is left is looked up anew each time.
         let boot = boot_now();
-        let holder = match (handle.holds(&duty), other_until) {
+        let holder = match (handle.held_lease(&duty), other_until) {
             (Some((epoch, left)), _) => Holder::Me { epoch: epoch.0, until: now + left },
             (None, Some(until)) if until > boot => Holder::Other { until: now + (until - boot) },
             (None, _) => Holder::Nobody,
@@ -132,11 +132,11 @@
         let handle = self.handle.borrow();
         let Some(handle) = handle.as_ref() else { return };
         let done = match wish {
-            TrialWish::Want(to) => duty(to).map(|duty| handle.want(duty)),
-            TrialWish::GiveUp(to) => duty(to).map(|duty| handle.give_up(duty)),
-            TrialWish::PassOn(to, rest) => duty(to).map(|duty| handle.pass_on(duty, rest)),
+            TrialWish::Want(to) => duty(to).map(|duty| handle.request(duty)),
+            TrialWish::GiveUp(to) => duty(to).map(|duty| handle.release(duty)),
+            TrialWish::PassOn(to, rest) => duty(to).map(|duty| handle.yield_duty(duty, rest)),
             TrialWish::Tell(to, words) => {
-                duty(to).zip(Words::new(&words)).map(|(duty, words)| handle.tell(duty, words))
+                duty(to).zip(Payload::new(&words)).map(|(duty, words)| handle.publish_note(duty, words))
             }
         };
         if done != Some(true) {
@@ -177,7 +177,7 @@
     /// Stops, for a process that goes on in its place; nothing where it is in no group.
     pub async fn give(&self) -> Vec<u8> {
         match self.leave_alone() {
-            Some(handle) => handle.give_away(GIVE).await.map_or_else(Vec::new, |given| given.write()),
+            Some(handle) => handle.hand_over(GIVE).await.map_or_else(Vec::new, |given| given.encode()),
             None => Vec::new(),
         }
     }
--- a/crates/gullcart/tests/common/mod.rs
+++ b/crates/gullcart/tests/common/mod.rs
@@ -1,9 +1,9 @@
 //! Three couriers of one group.
 #![allow(dead_code)]
 
-use gullcart_peers::operator::ask;
+use gullcart_peers::operator::fetch_status;
 use gullcart_peers::settings::Settings;
-use gullcart_peers::vocabulary::Status;
+use gullcart_peers::types::Status;
 use gullcart_standins::world::*;
 use socket2::{Domain, Socket, Type};
 use std::net::SocketAddr;
@@ -74,7 +74,7 @@
     pub fn status(&self, place: usize) -> Option<Status> {
         let settings = Settings::read(&self.files[place]).unwrap();
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-        runtime.block_on(ask(&settings, &settings.members[place])).ok()
+        runtime.block_on(fetch_status(&settings, &settings.members[place])).ok()
     }
 
     pub fn until(&self, place: usize, what: &str, is_it: impl Fn(&Status) -> bool) -> Status {
@@ -92,7 +92,7 @@
 
     /// Whether a courier may act on a duty now.
     pub fn holds(&self, place: usize, duty: &str) -> bool {
-        self.status(place).is_some_and(|status| status.holds.iter().any(|held| held == duty))
+        self.status(place).is_some_and(|status| status.held_duties.iter().any(|held| held == duty))
     }
 
     /// Whether a courier has agreed on who holds a duty.
--- a/crates/gullcart/tests/group.rs
+++ b/crates/gullcart/tests/group.rs
@@ -33,15 +33,15 @@
         let new = group.worlds[leader].start();
         let old = couriers[leader].replace(new);
         let after = group.until(leader, "the new process votes", |status| {
-            status.votes && status.leader.is_some() && status.reached.len() == 2
+            status.votes && status.leader.is_some() && status.reachable_members.len() == 2
         });
-        assert_eq!((after.life, after.trouble), (before.life, None));
+        assert_eq!((after.incarnation, after.problem), (before.incarnation, None));
         drop(old);
     }
     // A process that was killed begins another life.
     couriers[leader] = couriers[leader].take().map(Courier::kill_and_restart);
     let after = group.until(leader, "it votes again", |status| status.votes);
-    assert_eq!(after.life, before.life + 1);
+    assert_eq!(after.incarnation, before.incarnation + 1);
     // One that ends leaves the others with a leader.
     let begun = Instant::now();
     let mut ending = couriers[leader].take().unwrap();
@@ -66,7 +66,7 @@
     assert_eq!(client.enqueue("a1", "0", "salary", 1, b"x"), "+OK");
     group.worlds[0].call().answer("200 OK", "");
     drop(taken);
-    group.until(0, "it is there", |status| status.reached.is_empty() && !status.votes);
+    group.until(0, "it is there", |status| status.reachable_members.is_empty() && !status.votes);
     // The connection of before was idle for long.
     assert_eq!(courier.client().enqueue("a2", "0", "salary", 1, b"x"), "+OK");
     group.worlds[0].call().answer("200 OK", "");
--- a/crates/gullcart/tests/group_trials.rs
+++ b/crates/gullcart/tests/group_trials.rs
@@ -117,8 +117,9 @@
         let before = epoch(holder);
         let new = group.worlds[holder].start();
         let old = couriers[holder].replace(new);
-        group
-            .until(holder, "the new process is heard of", |status| status.reached.len() == 2 && status.votes);
+        group.until(holder, "the new process is heard of", |status| {
+            status.reachable_members.len() == 2 && status.votes
+        });
         let after = epoch(holder);
         drop(old);
         println!("epoch {before:?} before, {after:?} after");
--- a/crates/gullcartctl/src/group.rs
+++ b/crates/gullcartctl/src/group.rs
@@ -3,7 +3,7 @@
 use clap::{Args, Subcommand};
 use gullcart_peers::operator;
 use gullcart_peers::settings::Settings;
-use gullcart_peers::vocabulary::{DutyStatus, Status};
+use gullcart_peers::types::{DutyStatus, Status};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -93,7 +93,7 @@
             .map(|member| {
                 let (settings, member) = (settings.clone(), member.clone());
                 tokio::spawn(async move {
-                    let answer = operator::ask(&settings, &member).await;
+                    let answer = operator::fetch_status(&settings, &member).await;
                     let error = answer.as_ref().err().map(ToString::to_string);
                     Told {
                         name: member.name,
@@ -153,7 +153,7 @@
             holder: duty.holder.map(name),
             epoch: duty.epoch,
             since_ms: duty.since_ms,
-            why: duty.why.clone(),
+            why: duty.vacancy_reason.clone(),
         };
         // What is wanted is known where it was asked for; what is held is known to all that vote.
         let mut duties: BTreeMap<String, Duty> = BTreeMap::new();
@@ -174,17 +174,19 @@
         }
         for told in &members {
             match (&told.status, &told.error) {
-                (Some(Status { trouble: Some(trouble), .. }), _) => {
+                (Some(Status { problem: Some(trouble), .. }), _) => {
                     wrong.push(format!("{}: {trouble}", told.name));
                 }
                 (Some(status), _) if told.is_voter && !status.votes => {
                     wrong.push(format!("{} does not vote yet: it has not met all other voters", told.name));
                 }
-                (Some(status), _) if status.heard_ms > LONG_UNHEARD_MS && !status.holds.is_empty() => {
+                (Some(status), _)
+                    if status.last_contact_ms > LONG_UNHEARD_MS && !status.held_duties.is_empty() =>
+                {
                     wrong.push(format!(
                         "{} has not heard from the group for {}",
                         told.name,
-                        span(status.heard_ms)
+                        span(status.last_contact_ms)
                     ));
                 }
                 (Some(_), _) => {}
@@ -237,9 +239,9 @@
                 "{:<20} {:>6} {votes:<7} {:>5} {behind:>8} {:>7}  {}",
                 told.name,
                 told.number,
-                status.life,
-                status.reached.len(),
-                status.trouble.as_deref().unwrap_or("-"),
+                status.incarnation,
+                status.reachable_members.len(),
+                status.problem.as_deref().unwrap_or("-"),
             ));
         }
         lines
--- a/crates/gullcartctl/src/group/tests.rs
+++ b/crates/gullcartctl/src/group/tests.rs
@@ -12,14 +12,14 @@
         holder: Some(2),
         epoch: Some(version),
         since_ms: 1500,
-        why: None,
+        vacancy_reason: None,
     };
     let free = DutyStatus {
         name: "trials/8".to_owned(),
         holder: None,
         epoch: None,
         since_ms: 0,
-        why: Some("because".to_owned()),
+        vacancy_reason: Some("because".to_owned()),
     };
     Status { me, votes: me <= 3, leader, version, duties: vec![held, free], ..Status::default() }
 }
@@ -41,7 +41,7 @@
 
 #[test]
 fn what_is_wrong_is_said_in_words() {
-    let lost = Status { votes: false, trouble: Some("replace it".to_owned()), ..status(1, None, 0) };
+    let lost = Status { votes: false, problem: Some("replace it".to_owned()), ..status(1, None, 0) };
     let report = Report::of(vec![
         told(1, Some(lost)),
         told(2, Some(status(2, Some(2), 42))),
