--- a/crates/gullcart/src/calls.rs
+++ b/crates/gullcart/src/calls.rs
@@ -20,31 +20,31 @@
 use tokio::time::{sleep_until, timeout, timeout_at, Instant};
 use tracing::{debug, warn};
 
-use answer::{read_answer, whole_body, DRAIN};
+use response::{parse_response_head, read_body, BODY_TIMEOUT};
 
-use crate::wire::{Descriptor, Progress, Wire, WireStream};
+use crate::tracked_connection::{Descriptor, TrackedConnection, TrackedStream, WriteProgress};
 
 /// Idle connections are closed after this part of the endpoint's own limit, so that no call meets its closing.
-const IDLE_PART: f64 = 0.7;
+const IDLE_TIME_FRACTION: f64 = 0.7;
 /// How long a connection rests before it is used again, so that bytes right behind an answer are seen before they
 /// could be taken for the next one. A new connection would take longer.
-const REST: Duration = Duration::from_millis(5);
+const REUSE_DELAY: Duration = Duration::from_millis(5);
 /// How long a given-up connection may take to be closed by the other side before it is dropped.
-const LINGER: Duration = Duration::from_millis(40);
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(40);
 /// Longest head of an answer.
-const LONGEST_HEAD: usize = 16 << 10;
+const MAX_HEAD_BYTES: usize = 16 << 10;
 /// From the first byte of an answer to the end of its head: one that takes longer is broken.
-const HEAD: Duration = Duration::from_millis(250);
+const HEAD_TIMEOUT: Duration = Duration::from_millis(250);
 
-type Sender = SendRequest<Full<Bytes>>;
+type RequestSender = SendRequest<Full<Bytes>>;
 
 /// An open connection. Dropping it closes it.
 struct Connection {
     address: SocketAddr,
-    sender: Sender,
-    wire: Rc<Wire>,
-    /// The library has the connection until this is dropped.
-    library: oneshot::Sender<()>,
+    sender: RequestSender,
+    stream: Rc<TrackedConnection>,
+    /// The http_task_guard has the connection until this is dropped.
+    http_task_guard: oneshot::Sender<()>,
     idle_since: Instant,
 }
 
@@ -52,11 +52,11 @@
     /// Gives up the call that is out: ends the sending side and waits, for a moment, until the endpoint has
     /// closed too. Only then has it let go of the call, so that the slot is free and a next attempt is no
     /// second copy.
-    async fn give_up(self) {
-        let Connection { wire, library, .. } = self;
-        // The library writes and reads no more.
-        drop(library);
-        let _ = timeout(LINGER, wire.close()).await;
+    async fn abandon(self) {
+        let Connection { stream, http_task_guard, .. } = self;
+        // The http_task_guard writes and reads no more.
+        drop(http_task_guard);
+        let _ = timeout(CLOSE_TIMEOUT, stream.shutdown_and_drain()).await;
     }
 }
 
@@ -65,80 +65,80 @@
     /// Its connection, not blocking.
     pub stream: Option<std::net::TcpStream>,
     /// What was read of its answer.
-    pub answer: Vec<u8>,
+    pub response_bytes: Vec<u8>,
     /// What its connection has brought before.
-    pub earlier: ConnectionAnswers,
+    pub earlier_answers: ConnectionAnswers,
     /// How long it has taken.
     pub elapsed: Duration,
 }
 
 /// The connections to endpoints. Those that are idle are kept by endpoint, the newest last: an address may belong
 /// to another endpoint by now, which must not be given what is left of the one before.
-pub struct Pool {
+pub struct ConnectionPool {
     idle: RefCell<HashMap<EndpointId, Vec<Connection>>>,
     /// What the answers of each endpoint in use are like.
-    answers: RefCell<HashMap<EndpointId, EndpointAnswers>>,
+    endpoint_answers: RefCell<HashMap<EndpointId, EndpointAnswers>>,
     /// Descriptors in use: idle, with a call, ending an answer, or being given up.
-    open: Rc<Cell<usize>>,
-    closed: Rc<Notify>,
+    open_descriptors: Rc<Cell<usize>>,
+    descriptor_released: Rc<Notify>,
     connect_timeout: Duration,
-    keep: Duration,
-    most: usize,
-    most_idle: usize,
-    share: RefCell<IdleShare>,
+    max_idle_time: Duration,
+    max_open: usize,
+    max_idle: usize,
+    idle_share: RefCell<IdleShare>,
     #[cfg(feature = "broken")]
-    believes_copies: Cell<bool>,
+    accepts_copies: Cell<bool>,
 }
 
-impl Pool {
-    /// At most `most` connections are open at a time, and `most_idle` of them idle.
+impl ConnectionPool {
+    /// At max_open `max_open` connections are open at a time, and `max_idle` of them idle.
     pub fn new(
         connect_timeout: Duration,
         conn_idle: Duration,
-        most: usize,
-        most_idle: usize,
-        share: IdleShare,
+        max_open: usize,
+        max_idle: usize,
+        idle_share: IdleShare,
     ) -> Self {
-        Pool {
+        ConnectionPool {
             idle: RefCell::default(),
-            answers: RefCell::default(),
-            open: Rc::default(),
-            closed: Rc::default(),
+            endpoint_answers: RefCell::default(),
+            open_descriptors: Rc::default(),
+            descriptor_released: Rc::default(),
             connect_timeout,
-            keep: conn_idle.mul_f64(IDLE_PART),
-            most,
-            most_idle,
-            share: RefCell::new(share),
+            max_idle_time: conn_idle.mul_f64(IDLE_TIME_FRACTION),
+            max_open,
+            max_idle,
+            idle_share: RefCell::new(idle_share),
             #[cfg(feature = "broken")]
-            believes_copies: Cell::default(),
+            accepts_copies: Cell::default(),
         }
     }
 
     /// Closes the idle connections to an endpoint.
-    pub fn close(&self, endpoint: EndpointId) {
+    pub fn close_idle(&self, endpoint: EndpointId) {
         if self.idle.borrow_mut().remove(&endpoint).is_some() {
             log_closed(endpoint, "they are not trusted any more");
         }
     }
 
     /// Closes the idle connections to all endpoints but some.
-    pub fn keep_only(&self, which: impl Fn(EndpointId) -> bool) {
+    pub fn retain_endpoints(&self, is_wanted: impl Fn(EndpointId) -> bool) {
         self.idle.borrow_mut().retain(|endpoint, _| {
-            let is_kept = which(*endpoint);
+            let is_kept = is_wanted(*endpoint);
             if !is_kept {
                 log_closed(*endpoint, "the endpoint gets nothing new");
             }
             is_kept
         });
-        self.answers.borrow_mut().retain(|endpoint, _| which(*endpoint));
+        self.endpoint_answers.borrow_mut().retain(|endpoint, _| is_wanted(*endpoint));
     }
 
     /// Closes what has been idle for too long or was closed by the other side.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let mut idle = self.idle.borrow_mut();
         for (endpoint, connections) in idle.iter_mut() {
             let before = connections.len();
-            connections.retain(|c| self.usable(c));
+            connections.retain(|c| self.is_usable(c));
             if connections.len() < before {
                 log_closed(*endpoint, "they were idle for too long, or closed by the endpoint");
             }
@@ -146,49 +146,49 @@
         idle.retain(|_, connections| !connections.is_empty());
     }
 
-    fn usable(&self, connection: &Connection) -> bool {
-        connection.idle_since.elapsed() < self.keep && !connection.sender.is_closed()
+    fn is_usable(&self, connection: &Connection) -> bool {
+        connection.idle_since.elapsed() < self.max_idle_time && !connection.sender.is_closed()
     }
 
     /// A kept connection, once one has rested; none if there is none.
-    async fn take(&self, endpoint: EndpointId, address: SocketAddr) -> Option<Connection> {
+    async fn take_idle(&self, endpoint: EndpointId, address: SocketAddr) -> Option<Connection> {
         loop {
-            let rested = {
+            let usable_at = {
                 let mut idle = self.idle.borrow_mut();
                 let connections = idle.get_mut(&endpoint)?;
-                connections.retain(|c| c.address == address && self.usable(c));
+                connections.retain(|c| c.address == address && self.is_usable(c));
                 let oldest = connections.first()?.idle_since;
-                if let Some(at) = connections.iter().rposition(|c| c.idle_since.elapsed() >= REST) {
+                if let Some(at) = connections.iter().rposition(|c| c.idle_since.elapsed() >= REUSE_DELAY) {
                     return Some(connections.remove(at));
                 }
-                oldest + REST
+                oldest + REUSE_DELAY
             };
-            sleep_until(rested).await;
+            sleep_until(usable_at).await;
         }
     }
 
     /// Takes whatever comes first behind a call for its answer.
     #[cfg(feature = "broken")]
-    pub fn believe_copies(&self, believes: bool) {
-        self.believes_copies.set(believes);
+    pub fn accept_copies(&self, believes: bool) {
+        self.accepts_copies.set(believes);
     }
 
     /// Whether a delivery belongs to the call that was out on its connection; learns from it what the endpoint's answers are
     /// like.
-    fn accept(&self, endpoint: EndpointId, wire: &Wire, body: &[u8]) -> bool {
+    fn accept_delivery(&self, endpoint: EndpointId, stream: &TrackedConnection, body: &[u8]) -> bool {
         #[cfg(feature = "broken")]
-        if self.believes_copies.get() {
+        if self.accepts_copies.get() {
             return true;
         }
         let fingerprint = Fingerprint::of(body);
-        let accepted = wire.answers.borrow_mut().accept(fingerprint);
-        let mut answers = self.answers.borrow_mut();
-        let of_endpoint = answers.entry(endpoint).or_default();
+        let accepted = stream.earlier_answers.borrow_mut().accept(fingerprint);
+        let mut answers = self.endpoint_answers.borrow_mut();
+        let endpoint_answers = answers.entry(endpoint).or_default();
         match accepted {
-            Ok(()) => of_endpoint.observe(fingerprint),
+            Ok(()) => endpoint_answers.observe(fingerprint),
             Err(doubt) => {
-                of_endpoint.doubt();
-                let (port, calls) = (wire.local_port(), wire.calls());
+                endpoint_answers.doubt();
+                let (port, calls) = (stream.local_port(), stream.call_count());
                 warn!(
                     endpoint = endpoint.0,
                     port,
@@ -202,28 +202,29 @@
     }
 
     /// Whether a connection may carry one more call.
-    fn may_be_used_again(&self, endpoint: EndpointId, wire: &Wire) -> bool {
+    fn may_reuse(&self, endpoint: EndpointId, stream: &TrackedConnection) -> bool {
         #[cfg(feature = "broken")]
-        if self.believes_copies.get() {
+        if self.accepts_copies.get() {
             return true;
         }
-        let differ = self.answers.borrow().get(&endpoint).is_some_and(EndpointAnswers::differ);
-        differ && wire.answers.borrow().allow_another_call()
+        let is_distinguishable =
+            self.endpoint_answers.borrow().get(&endpoint).is_some_and(EndpointAnswers::differ);
+        is_distinguishable && stream.earlier_answers.borrow().allow_another_call()
     }
 
-    fn put(&self, endpoint: EndpointId, mut connection: Connection) {
-        if !self.share.borrow_mut().keeps() {
+    fn keep_idle(&self, endpoint: EndpointId, mut connection: Connection) {
+        if !self.idle_share.borrow_mut().keeps() {
             return log_closed(endpoint, "it is not kept, so that the endpoint has room for others");
         }
         connection.idle_since = Instant::now();
-        if self.idle.borrow().values().map(Vec::len).sum::<usize>() >= self.most_idle {
-            self.close_oldest();
+        if self.idle.borrow().values().map(Vec::len).sum::<usize>() >= self.max_idle {
+            self.close_oldest_idle();
         }
         self.idle.borrow_mut().entry(endpoint).or_default().push(connection);
     }
 
     /// Closes the connection that has been idle for longest; each list has its oldest first.
-    fn close_oldest(&self) {
+    fn close_oldest_idle(&self) {
         let mut idle = self.idle.borrow_mut();
         let oldest = idle.iter().filter_map(|(at, c)| c.first().map(|c| (c.idle_since, *at))).min();
         let Some((_, endpoint)) = oldest else { return };
@@ -234,43 +235,44 @@
     }
 
     /// A descriptor for one more connection; idle ones give way to it.
-    async fn descriptor(&self) -> Descriptor {
-        while self.open.get() >= self.most {
-            self.close_oldest();
-            self.closed.notified().await;
+    async fn acquire_descriptor(&self) -> Descriptor {
+        while self.open_descriptors.get() >= self.max_open {
+            self.close_oldest_idle();
+            self.descriptor_released.notified().await;
         }
-        Descriptor::new(&self.open, &self.closed)
+        Descriptor::new(&self.open_descriptors, &self.descriptor_released)
     }
 
     /// A connection for a call, and whether it is a new one.
-    async fn connection(
+    async fn connection_for(
         &self,
         call: &Call,
-        limit: ConnectBy,
+        limit: ConnectLimit,
         carried: Option<&mut CarriedCall>,
     ) -> Result<(Connection, bool), Outcome> {
         if let Some(stream) = carried.and_then(|carried| carried.stream.take()) {
-            let descriptor = Descriptor::new(&self.open, &self.closed);
+            let descriptor = Descriptor::new(&self.open_descriptors, &self.descriptor_released);
             let connected = async { handshake(call.address, TcpStream::from_std(stream)?, descriptor).await };
             // It was written, so that it may have run.
             return connected.await.map(|connection| (connection, true)).map_err(|_| Outcome::Reset);
         }
         if !call.may_have_run {
-            if let Some(kept) = self.take(call.endpoint, call.address).await {
-                return Ok((kept, false));
+            if let Some(idle) = self.take_idle(call.endpoint, call.address).await {
+                return Ok((idle, false));
             }
         }
-        Ok((self.open(call.address, limit).await?, true))
+        Ok((self.open_connection(call.address, limit).await?, true))
     }
 
-    async fn open(&self, address: SocketAddr, limit: ConnectBy) -> Result<Connection, Outcome> {
+    async fn open_connection(&self, address: SocketAddr, limit: ConnectLimit) -> Result<Connection, Outcome> {
         // Without a descriptor nothing was tried, which says nothing of the endpoint.
-        let descriptor = timeout_at(limit.at, self.descriptor()).await.map_err(|_| Outcome::Moot)?;
+        let descriptor =
+            timeout_at(limit.deadline, self.acquire_descriptor()).await.map_err(|_| Outcome::Moot)?;
         // Refused, or it never came up: nothing was sent.
-        match timeout_at(limit.at, connect(address, descriptor)).await {
+        match timeout_at(limit.deadline, connect(address, descriptor)).await {
             Ok(Ok(connection)) => Ok(connection),
             Ok(Err(_)) => Err(Outcome::ConnectFailed),
-            Err(_) => Err(limit.past),
+            Err(_) => Err(limit.timeout_outcome),
         }
     }
 
@@ -281,76 +283,79 @@
         call: Call,
         send_by: Option<Instant>,
         mut stop: oneshot::Receiver<Stop>,
-        progress: Rc<Progress>,
+        progress: Rc<WriteProgress>,
         mut carried: Option<CarriedCall>,
     ) -> Ended {
         let elapsed = carried.as_ref().map_or(Duration::ZERO, |carried| carried.elapsed);
-        let start = Instant::now().checked_sub(elapsed).unwrap_or_else(Instant::now);
-        let end = start + call.try_for;
-        let ended = |outcome| Ended { outcome, latency: start.elapsed(), complete: false, allowance: None };
+        let started_at = Instant::now().checked_sub(elapsed).unwrap_or_else(Instant::now);
+        let end = started_at + call.try_for;
+        let ended =
+            |outcome| Ended { outcome, latency: started_at.elapsed(), complete: false, allowance: None };
         loop {
-            let limit = ConnectBy::new(end.min(start + self.connect_timeout), send_by);
+            let limit = ConnectLimit::new(end.min(started_at + self.connect_timeout), send_by);
             // One that was carried over has been sent: when it is stopped, it may have run.
             let is_unsent = carried.is_none();
-            let (mut connection, fresh) = tokio::select! {
+            let (mut connection, is_new) = tokio::select! {
                 biased;
-                reason = &mut stop, if is_unsent => return ended(never_sent(reason.ok())),
-                ready = self.connection(&call, limit, carried.as_mut()) => match ready {
+                reason = &mut stop, if is_unsent => return ended(outcome_if_unsent(reason.ok())),
+                ready = self.connection_for(&call, limit, carried.as_mut()) => match ready {
                     Ok(ready) => ready,
                     Err(outcome) => return ended(outcome),
                 },
             };
-            let (port, before) = (connection.wire.local_port(), connection.wire.calls());
-            debug!(target: TRAIL, id = call.id, fresh, port, before, after = ?start.elapsed(), "its connection is there");
-            let Ok(request) = request(&call) else { return ended(Outcome::Moot) };
-            let wire = connection.wire.clone();
-            wire.begin(call.body.len(), progress.clone(), send_by);
+            let (port, before) = (connection.stream.local_port(), connection.stream.call_count());
+            debug!(target: TRAIL, id = call.id, fresh = is_new, port, before, after = ?started_at.elapsed(), "its connection is there");
+            let Ok(request) = build_request(&call) else { return ended(Outcome::Moot) };
+            let stream = connection.stream.clone();
+            stream.begin_call(call.body.len(), progress.clone(), send_by);
             if let Some(carried) = carried.take() {
-                wire.go_on(carried.answer, carried.earlier);
+                stream.resume_call(carried.response_bytes, carried.earlier_answers);
             }
             let end_of_call = tokio::select! {
                 biased;
-                answer = send(&mut connection.sender, request) => match answer {
+                result = send_request(&mut connection.sender, request) => match result {
                     // Both may be due at once: what was not read in time was perhaps not written in time, and a message
                     // that was not delivered and has no notice is lost. A notice too many does no harm.
-                    Ok(_) if wire.status() == Some(200) && !wire.is_delivered_by(end) => End::TimedOut,
+                    Ok(_) if stream.status() == Some(200) && !stream.is_delivered_by(end) => CallEnd::TimedOut,
                     Ok(response) => {
-                        let (status, after) = (response.status().as_u16(), start.elapsed());
-                        let copies = wire.copies();
+                        let (status, after) = (response.status().as_u16(), started_at.elapsed());
+                        let copies = stream.copy_count();
                         debug!(target: TRAIL, id = call.id, port, before, copies, status, ?after, "it is answered");
-                        return self.read(call.endpoint, connection, response, start, end).await;
+                        return self.read_response(call.endpoint, connection, response, started_at, end).await;
                     }
-                    Err(_) => End::Broken,
+                    Err(_) => CallEnd::Broken,
                 },
-                () = sleep_until(end) => End::TimedOut,
-                () = wire.head_is_late(HEAD) => End::Broken,
-                reason = &mut stop => End::Stopped(reason.ok()),
+                () = sleep_until(end) => CallEnd::TimedOut,
+                () = stream.head_timeout(HEAD_TIMEOUT) => CallEnd::Broken,
+                reason = &mut stop => CallEnd::Stopped(reason.ok()),
             };
-            let latency = start.elapsed();
-            let ((written, read), copies) = (wire.counts(), wire.copies());
-            debug!(target: TRAIL, id = call.id, ?end_of_call, written, read, copies, status = wire.status(), "it ends without an answer");
+            let latency = started_at.elapsed();
+            let ((written, read), copies) = (stream.byte_counts(), stream.copy_count());
+            debug!(target: TRAIL, id = call.id, ?end_of_call, written, read, copies, status = stream.status(), "it ends without an answer");
             let outcome = match end_of_call {
                 // Not a byte of it was written: it has never run. That it was too late for it says nothing of the endpoint.
-                End::Broken | End::TimedOut if wire.is_untouched() && wire.is_too_late() => Outcome::Moot,
-                End::Broken if wire.is_untouched() && !fresh => {
+                CallEnd::Broken | CallEnd::TimedOut if stream.is_unwritten() && stream.is_past_send_by() => {
+                    Outcome::Moot
+                }
+                CallEnd::Broken if stream.is_unwritten() && !is_new => {
                     // A kept connection that turned out to be closed, or to hold bytes that belong to no call:
                     // it goes out on another one.
-                    log_stray(call.endpoint, &wire, "between two calls");
+                    log_stray_bytes(call.endpoint, &stream, "between two calls");
                     debug!(target: TRAIL, id = call.id, "it goes out on another connection");
                     continue;
                 }
-                End::Stopped(reason) if wire.is_untouched() => never_sent(reason),
-                End::Broken | End::TimedOut if wire.is_untouched() => Outcome::ConnectFailed,
+                CallEnd::Stopped(reason) if stream.is_unwritten() => outcome_if_unsent(reason),
+                CallEnd::Broken | CallEnd::TimedOut if stream.is_unwritten() => Outcome::ConnectFailed,
                 // What the first line says is true, whatever came behind it, where it cannot be a copy.
-                _ if wire.is_delivered_by(end) && wire.answers.borrow().is_empty() => Outcome::Ok,
-                End::Broken if wire.is_answered() => Outcome::Spoilt,
+                _ if stream.is_delivered_by(end) && stream.earlier_answers.borrow().is_empty() => Outcome::Ok,
+                CallEnd::Broken if stream.has_response_bytes() => Outcome::Spoilt,
                 // Some of it was written, and how much of that arrived cannot be told: it may have run.
-                End::Broken => Outcome::Reset,
-                End::TimedOut => Outcome::Timeout,
-                End::Stopped(_) => Outcome::Cancelled,
+                CallEnd::Broken => Outcome::Reset,
+                CallEnd::TimedOut => Outcome::Timeout,
+                CallEnd::Stopped(_) => Outcome::Cancelled,
             };
             // First, whatever ended it: until then the endpoint may still have the call.
-            connection.give_up().await;
+            connection.abandon().await;
             return Ended { latency, complete: outcome == Outcome::Ok, ..ended(outcome) };
         }
     }
@@ -358,17 +363,17 @@
     /// Reads an answer. A delivery is believed of its first line where it is the first answer of its connection. All else is
     /// believed only of an answer that is whole: the endpoint has let go of the call by then, and a copy of an earlier answer
     /// can be told from a delivery.
-    async fn read(
+    async fn read_response(
         self: &Rc<Self>,
         endpoint: EndpointId,
         connection: Connection,
         response: Response<Incoming>,
-        start: Instant,
+        started_at: Instant,
         end: Instant,
     ) -> Ended {
-        let ended = read_answer(&response, start.elapsed());
-        let is_first = connection.wire.answers.borrow().is_empty();
-        let rest = finish(self.clone(), endpoint, connection, response, end);
+        let ended = parse_response_head(&response, started_at.elapsed());
+        let is_first = connection.stream.earlier_answers.borrow().is_empty();
+        let rest = finish_response(self.clone(), endpoint, connection, response, end);
         if ended.outcome == Outcome::Ok && is_first {
             tokio::task::spawn_local(rest);
             return ended;
@@ -382,8 +387,8 @@
 }
 
 /// Says that a kept connection was closed by the endpoint, or that bytes came on it that answer no call.
-fn log_stray(endpoint: EndpointId, wire: &Wire, when: &str) {
-    let (port, calls) = (wire.local_port(), wire.calls());
+fn log_stray_bytes(endpoint: EndpointId, stream: &TrackedConnection, when: &str) {
+    let (port, calls) = (stream.local_port(), stream.call_count());
     debug!(target: TRAIL, endpoint = endpoint.0, port, calls, when, "bytes that answer no call, or an end");
 }
 
@@ -394,44 +399,47 @@
 
 /// Until when a connection may come up, and what it means that it has not.
 #[derive(Clone, Copy)]
-struct ConnectBy {
-    at: Instant,
-    past: Outcome,
+struct ConnectLimit {
+    deadline: Instant,
+    timeout_outcome: Outcome,
 }
 
-impl ConnectBy {
+impl ConnectLimit {
     /// An endpoint that is given the usual time and does not come up is out of reach; one that is given less, as its call
     /// may not be sent any more, may not be.
     fn new(usual: Instant, send_by: Option<Instant>) -> Self {
         match send_by {
-            Some(at) if at < usual => ConnectBy { at, past: Outcome::Moot },
-            _ => ConnectBy { at: usual, past: Outcome::ConnectFailed },
+            Some(at) if at < usual => ConnectLimit { deadline: at, timeout_outcome: Outcome::Moot },
+            _ => ConnectLimit { deadline: usual, timeout_outcome: Outcome::ConnectFailed },
         }
     }
 }
 
 /// How a call came to its end without the head of an answer.
 #[derive(Clone, Copy, Debug)]
-enum End {
+enum CallEnd {
     Broken,
     TimedOut,
     Stopped(Option<Stop>),
 }
 
 /// A call that was stopped before its first byte never ran.
-fn never_sent(reason: Option<Stop>) -> Outcome {
+fn outcome_if_unsent(reason: Option<Stop>) -> Outcome {
     match reason {
         Some(Stop::CalledOff) => Outcome::ConnectFailed,
         Some(Stop::Withdrawn) | None => Outcome::Moot,
     }
 }
 
-async fn send(sender: &mut Sender, request: Request<Full<Bytes>>) -> hyper::Result<Response<Incoming>> {
+async fn send_request(
+    sender: &mut RequestSender,
+    request: Request<Full<Bytes>>,
+) -> hyper::Result<Response<Incoming>> {
     sender.ready().await?;
     sender.send_request(request).await
 }
 
-fn request(call: &Call) -> hyper::http::Result<Request<Full<Bytes>>> {
+fn build_request(call: &Call) -> hyper::http::Result<Request<Full<Bytes>>> {
     let mut request = Request::post("/hook")
         .header("Host", call.address.to_string())
         .header("X-Call-Id", &call.id)
@@ -444,38 +452,39 @@
 
 /// Reads the rest of an answer, by the end of its call; false where it is not whole or may belong to another call, and its
 /// connection is given up.
-async fn finish(
-    pool: Rc<Pool>,
+async fn finish_response(
+    pool: Rc<ConnectionPool>,
     endpoint: EndpointId,
     mut connection: Connection,
-    answer: Response<Incoming>,
+    response: Response<Incoming>,
     end: Instant,
 ) -> bool {
-    let is_delivery = answer.status() == StatusCode::OK;
+    let is_delivery = response.status() == StatusCode::OK;
     // Where its end is told in two ways, one of them may be wrong.
-    let headers = answer.headers();
-    let two_ends = headers.contains_key("content-length") && headers.contains_key("transfer-encoding");
-    let Some(body) = whole_body(answer, end).await else {
-        debug!(target: TRAIL, endpoint = endpoint.0, port = connection.wire.local_port(), "an answer is not whole");
-        connection.give_up().await;
+    let headers = response.headers();
+    let has_conflicting_lengths =
+        headers.contains_key("content-length") && headers.contains_key("transfer-encoding");
+    let Some(body) = read_body(response, end).await else {
+        debug!(target: TRAIL, endpoint = endpoint.0, port = connection.stream.local_port(), "an answer is not whole");
+        connection.abandon().await;
         return false;
     };
-    if is_delivery && !pool.accept(endpoint, &connection.wire, &body) {
-        connection.give_up().await;
+    if is_delivery && !pool.accept_delivery(endpoint, &connection.stream, &body) {
+        connection.abandon().await;
         return false;
     }
     // A copy of a refusal or an error could be told from the next one by nothing.
-    if is_delivery && !two_ends && pool.may_be_used_again(endpoint, &connection.wire) {
+    if is_delivery && !has_conflicting_lengths && pool.may_reuse(endpoint, &connection.stream) {
         tokio::task::spawn_local(async move {
             // Ready once all of the answer is read, and closed when something came behind it: the connection's
             // own task has looked by then.
-            if let Ok(Ok(())) = timeout(DRAIN, connection.sender.ready()).await {
+            if let Ok(Ok(())) = timeout(BODY_TIMEOUT, connection.sender.ready()).await {
                 yield_now().await;
-                connection.wire.remember_answer();
-                if !connection.wire.is_quiet() {
-                    log_stray(endpoint, &connection.wire, "behind an answer");
-                } else if pool.may_be_used_again(endpoint, &connection.wire) {
-                    pool.put(endpoint, connection);
+                connection.stream.remember_response();
+                if !connection.stream.is_open_and_empty() {
+                    log_stray_bytes(endpoint, &connection.stream, "behind an answer");
+                } else if pool.may_reuse(endpoint, &connection.stream) {
+                    pool.keep_idle(endpoint, connection);
                 }
             }
         });
@@ -490,11 +499,11 @@
 }
 
 async fn handshake(address: SocketAddr, stream: TcpStream, descriptor: Descriptor) -> io::Result<Connection> {
-    let wire = Rc::new(Wire::new(stream, descriptor));
-    let io = TokioIo::new(WireStream(wire.clone()));
-    let handshake = http1::Builder::new().title_case_headers(true).max_buf_size(LONGEST_HEAD).handshake(io);
+    let stream = Rc::new(TrackedConnection::new(stream, descriptor));
+    let io = TokioIo::new(TrackedStream(stream.clone()));
+    let handshake = http1::Builder::new().title_case_headers(true).max_buf_size(MAX_HEAD_BYTES).handshake(io);
     let (sender, mut connection) = handshake.await.map_err(io::Error::other)?;
-    let (library, dropped) = oneshot::channel();
+    let (http_task_guard, dropped) = oneshot::channel();
     tokio::task::spawn_local(async move {
         tokio::select! {
             // First, as a given-up answer would also end the connection, without the wait for the other side.
@@ -503,9 +512,9 @@
             _ = &mut connection => {}
         }
     });
-    Ok(Connection { address, sender, wire, library, idle_since: Instant::now() })
+    Ok(Connection { address, sender, stream, http_task_guard, idle_since: Instant::now() })
 }
 
-mod answer;
+mod response;
 #[cfg(test)]
 mod tests;
--- a/crates/gullcart/src/calls/tests.rs
+++ b/crates/gullcart/src/calls/tests.rs
@@ -1,6 +1,6 @@
 //! Calls on real sockets: what is concluded of each, held against what came at the other side.
 
-use super::answer::read_report;
+use super::response::parse_load_report;
 use super::*;
 use cloverstile::{Allowance, MessageId};
 use socket2::{Domain, Socket, Type};
@@ -10,42 +10,42 @@
 
 mod truth;
 
-/// A door behind which nobody accepts, and all places in front of it are taken: who comes now comes up late, as the
+/// A listener behind which nobody accepts, and all places in front of it are taken: who comes now comes up late, as the
 /// kernel sends its first word again after a second.
-struct Crowded {
-    door: TcpListener,
+struct FullListenQueue {
+    listener: TcpListener,
     address: SocketAddr,
-    _waiting: Vec<Socket>,
+    _queued: Vec<Socket>,
 }
 
-impl Crowded {
+impl FullListenQueue {
     fn new() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(0).unwrap();
-        let door = TcpListener::from(socket);
-        let address = door.local_addr().unwrap();
+        let listener = TcpListener::from(socket);
+        let address = listener.local_addr().unwrap();
         let mut waiting = Vec::new();
         loop {
             let one = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-            let is_in = one.connect_timeout(&address.into(), Duration::from_millis(100)).is_ok();
-            if !is_in {
+            let is_connected = one.connect_timeout(&address.into(), Duration::from_millis(100)).is_ok();
+            if !is_connected {
                 break;
             }
             waiting.push(one);
             assert!(waiting.len() < 16, "the queue never fills");
         }
-        Crowded { door, address, _waiting: waiting }
+        FullListenQueue { listener, address, _queued: waiting }
     }
 
     /// Lets everybody in after a while, and counts what they send until it is over.
-    fn bytes(self, over: &AtomicBool) -> usize {
+    fn accept_and_count(self, over: &AtomicBool) -> usize {
         std::thread::sleep(Duration::from_millis(500));
-        self.door.set_nonblocking(true).unwrap();
-        let (mut inside, mut bytes) = (Vec::new(), 0);
+        self.listener.set_nonblocking(true).unwrap();
+        let (mut accepted, mut bytes) = (Vec::new(), 0);
         while !over.load(Ordering::Relaxed) {
-            inside.extend(self.door.accept().ok().map(|(stream, _)| stream));
-            for mut stream in inside.iter() {
+            accepted.extend(self.listener.accept().ok().map(|(stream, _)| stream));
+            for mut stream in accepted.iter() {
                 stream.set_nonblocking(true).unwrap();
                 bytes += std::io::Read::read(&mut stream, &mut [0; 1024]).unwrap_or(0);
             }
@@ -55,10 +55,10 @@
     }
 }
 
-fn pool() -> Rc<Pool> {
+fn pool() -> Rc<ConnectionPool> {
     let share = IdleShare::new(1, 1);
-    let patience = Duration::from_secs(10);
-    Rc::new(Pool::new(patience, patience, 8, 4, share))
+    let timeout = Duration::from_secs(10);
+    Rc::new(ConnectionPool::new(timeout, timeout, 8, 4, share))
 }
 
 fn call(address: SocketAddr) -> Call {
@@ -87,12 +87,12 @@
 #[test]
 fn a_call_whose_connection_comes_up_too_late_is_never_sent() {
     for is_bound in [true, false] {
-        let crowded = Crowded::new();
-        let address = crowded.address;
+        let full_queue = FullListenQueue::new();
+        let address = full_queue.address;
         let over = Arc::new(AtomicBool::new(false));
         let counting = std::thread::spawn({
             let over = over.clone();
-            move || crowded.bytes(&over)
+            move || full_queue.accept_and_count(&over)
         });
         let send_by = is_bound.then(|| Instant::now() + Duration::from_millis(300));
         let ended = run(async {
@@ -109,11 +109,11 @@
 /// ... and one whose connection never comes up ends then.
 #[test]
 fn a_call_waits_no_longer_for_its_connection_than_it_may_be_sent() {
-    let crowded = Crowded::new();
+    let full_queue = FullListenQueue::new();
     let ended = run(async {
         let (_stop, stopped) = oneshot::channel();
         let send_by = Instant::now() + Duration::from_millis(50);
-        pool().call(call(crowded.address), Some(send_by), stopped, Rc::default(), None).await
+        pool().call(call(full_queue.address), Some(send_by), stopped, Rc::default(), None).await
     });
     assert_eq!(ended.outcome, Outcome::Moot);
 }
@@ -122,20 +122,20 @@
 /// sent all the same, by the process before.
 #[test]
 fn a_carried_call_that_is_called_off_at_once_may_have_run() {
-    let door = TcpListener::bind("127.0.0.1:0").unwrap();
-    let stream = std::net::TcpStream::connect(door.local_addr().unwrap()).unwrap();
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let stream = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     stream.set_nonblocking(true).unwrap();
     let ended = run(async {
         let (stop, stopped) = oneshot::channel();
         stop.send(Stop::CalledOff).unwrap();
         let carried = CarriedCall {
             stream: Some(stream),
-            answer: Vec::new(),
-            earlier: ConnectionAnswers::default(),
+            response_bytes: Vec::new(),
+            earlier_answers: ConnectionAnswers::default(),
             elapsed: Duration::from_millis(20),
         };
-        let progress = Rc::new(Progress::carried_over());
-        pool().call(call(door.local_addr().unwrap()), None, stopped, progress, Some(carried)).await
+        let progress = Rc::new(WriteProgress::handed_over());
+        pool().call(call(listener.local_addr().unwrap()), None, stopped, progress, Some(carried)).await
     });
     assert_eq!(ended.outcome, Outcome::Cancelled);
 }
@@ -143,46 +143,47 @@
 /// The moment may also pass between the connection and the first byte, as when the process stands still.
 #[test]
 fn a_call_is_not_written_behind_its_time() {
-    let door = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = door.local_addr().unwrap();
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
     let (ended, progress) = run(async {
         let (_stop, stopped) = oneshot::channel();
-        let progress: Rc<Progress> = Rc::default();
+        let progress: Rc<WriteProgress> = Rc::default();
         let past = Instant::now().checked_sub(Duration::from_millis(1));
         let connection = connect(address, Descriptor::new(&Rc::default(), &Rc::default())).await.unwrap();
         let pool = pool();
-        let rested = Instant::now().checked_sub(REST).unwrap();
+        let rested = Instant::now().checked_sub(REUSE_DELAY).unwrap();
         pool.idle.borrow_mut().insert(EndpointId(1), vec![Connection { idle_since: rested, ..connection }]);
         (pool.call(call(address), past, stopped, progress.clone(), None).await, progress)
     });
     assert_eq!(ended.outcome, Outcome::Moot);
-    assert!(!progress.is_untold());
-    let (mut inside, _) = door.accept().unwrap();
-    assert_eq!(std::io::Read::read(&mut inside, &mut [0; 1024]).unwrap_or(0), 0, "it was sent");
+    assert!(!progress.is_unreported());
+    let (mut accepted, _) = listener.accept().unwrap();
+    assert_eq!(std::io::Read::read(&mut accepted, &mut [0; 1024]).unwrap_or(0), 0, "it was sent");
 }
 
 #[test]
 fn reports_that_make_no_sense_are_ignored() {
-    assert_eq!(read_report("x0=0.4,x1=25"), Some(Allowance { left: 0.4, limit: 25.0 }));
+    assert_eq!(parse_load_report("x0=0.4,x1=25"), Some(Allowance { left: 0.4, limit: 25.0 }));
     for text in ["", "x0=0.4", "x0=-1,x1=25", "x0=0.4,x1=-3", "x0=0.4,x1=1e30", "x0=nan,x1=25", "x0=7e5,x1=2"]
     {
-        assert_eq!(read_report(text), None, "{text}");
+        assert_eq!(parse_load_report(text), None, "{text}");
     }
 }
 
 /// What lies on a connection before a call is written is no answer to it, and would be taken for one.
 #[test]
 fn nothing_is_written_where_bytes_lie_that_belong_to_no_call() {
-    let door = TcpListener::bind("127.0.0.1:0").unwrap();
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     run(async {
-        let stream = TcpStream::connect(door.local_addr().unwrap()).await.unwrap();
-        let (mut inside, _) = door.accept().unwrap();
-        std::io::Write::write_all(&mut inside, b"HTTP/1.1 503 Busy\r\n").unwrap();
+        let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+        let (mut accepted, _) = listener.accept().unwrap();
+        std::io::Write::write_all(&mut accepted, b"HTTP/1.1 503 Busy\r\n").unwrap();
         stream.readable().await.unwrap();
-        let wire = Rc::new(Wire::new(stream, Descriptor::new(&Rc::default(), &Rc::default())));
-        wire.begin(0, Rc::default(), None);
-        let written = tokio::io::AsyncWriteExt::write(&mut WireStream(wire.clone()), b"POST").await;
-        assert!(written.is_err() && wire.is_untouched(), "{written:?}");
+        let connection =
+            Rc::new(TrackedConnection::new(stream, Descriptor::new(&Rc::default(), &Rc::default())));
+        connection.begin_call(0, Rc::default(), None);
+        let written = tokio::io::AsyncWriteExt::write(&mut TrackedStream(connection.clone()), b"POST").await;
+        assert!(written.is_err() && connection.is_unwritten(), "{written:?}");
     });
 }
 
@@ -202,13 +203,13 @@
 fn an_answer_that_is_read_behind_the_end_of_its_call_delivers_nothing() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (come, has_come) = std::sync::mpsc::channel();
+    let (call_read, is_call_read) = std::sync::mpsc::channel();
     let (go, may_go) = std::sync::mpsc::channel();
     let (done, is_done) = std::sync::mpsc::channel();
     let endpoint = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
         read_call(&mut stream);
-        come.send(()).unwrap();
+        call_read.send(()).unwrap();
         let () = may_go.recv().unwrap();
         std::io::Write::write_all(&mut stream, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
         done.send(()).unwrap();
@@ -223,7 +224,7 @@
         let pool = pool();
         let calling =
             tokio::task::spawn_local(async move { pool.call(call, None, stop, Rc::default(), None).await });
-        while has_come.try_recv().is_err() {
+        while is_call_read.try_recv().is_err() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         // Nothing of the runtime runs here, as in a process that is stopped.
@@ -237,9 +238,12 @@
 }
 
 /// Answers one call with that, and keeps its connection open; the connection, once the call has come.
-fn answer_and_stay(door: TcpListener, answer: &'static [u8]) -> std::thread::JoinHandle<std::net::TcpStream> {
+fn answer_and_stay(
+    listener: TcpListener,
+    answer: &'static [u8],
+) -> std::thread::JoinHandle<std::net::TcpStream> {
     std::thread::spawn(move || {
-        let (mut stream, _) = door.accept().unwrap();
+        let (mut stream, _) = listener.accept().unwrap();
         read_call(&mut stream);
         std::io::Write::write_all(&mut stream, answer).unwrap();
         stream
@@ -258,9 +262,9 @@
         b"HTTP/1.1 503 Busy\r\nContent-Length: 50\r\n\r\nshort",
     ];
     for answer in answers {
-        let door = TcpListener::bind("127.0.0.1:0").unwrap();
-        let address = door.local_addr().unwrap();
-        let endpoint = answer_and_stay(door, answer);
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = listener.local_addr().unwrap();
+        let endpoint = answer_and_stay(listener, answer);
         let (outcome, is_let_go) = run(async {
             let (_stop, stopped) = oneshot::channel();
             let ended = pool().call(call(address), None, stopped, Rc::default(), None).await;
@@ -282,9 +286,9 @@
 #[test]
 fn an_answer_that_stops_short_ends_with_its_call() {
     const TRY_FOR: Duration = Duration::from_millis(150);
-    let door = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = door.local_addr().unwrap();
-    let endpoint = answer_and_stay(door, b"HTTP/1.1 503 Busy\r\nContent-Length: 50\r\n\r\nshort");
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    let endpoint = answer_and_stay(listener, b"HTTP/1.1 503 Busy\r\nContent-Length: 50\r\n\r\nshort");
     let begun = Instant::now();
     let ended = run(async {
         let (_stop, stopped) = oneshot::channel();
@@ -294,5 +298,5 @@
     let took = begun.elapsed();
     drop(endpoint.join().unwrap());
     assert_eq!(ended.outcome, Outcome::Spoilt);
-    assert!(took < DRAIN, "told {took:?} after a call of {TRY_FOR:?} began");
+    assert!(took < BODY_TIMEOUT, "told {took:?} after a call of {TRY_FOR:?} began");
 }
--- a/crates/gullcart/src/calls/tests/truth.rs
+++ b/crates/gullcart/src/calls/tests/truth.rs
@@ -156,20 +156,25 @@
 }
 
 /// One call, in the way that the loop makes and stops it.
-async fn one(pool: Rc<Pool>, address: SocketAddr, number: u32, rng: &mut fastrand::Rng) -> (String, Ended) {
+async fn one(
+    pool: Rc<ConnectionPool>,
+    address: SocketAddr,
+    number: u32,
+    rng: &mut fastrand::Rng,
+) -> (String, Ended) {
     let id = format!("c{number}");
     let body = Bytes::from(vec![b'x'; if rng.u8(..3) == 0 { LONG_BODY } else { rng.usize(..200) }]);
     let try_for = Duration::from_millis([40, 200, 1000][rng.usize(..3)]);
     let call = Call { message: MessageId(number), id: id.clone(), body, try_for, ..super::call(address) };
     let send_by = (rng.u8(..3) == 0).then(|| Instant::now() + Duration::from_millis(rng.u64(..30)));
     let (stop, stopped) = oneshot::channel();
-    let progress: Rc<Progress> = Rc::default();
+    let progress: Rc<WriteProgress> = Rc::default();
     let reason = [None, None, Some(Stop::CalledOff), Some(Stop::Withdrawn)][rng.usize(..4)];
     let after = Duration::from_millis(rng.u64(..40));
     let stopping = async {
         let Some(reason) = reason else { return std::future::pending().await };
         sleep(after).await;
-        if reason == Stop::CalledOff || !progress.is_begun() {
+        if reason == Stop::CalledOff || !progress.is_started() {
             let _ = stop.send(reason);
         }
         std::future::pending().await
--- a/crates/gullcart/src/clients.rs
+++ b/crates/gullcart/src/clients.rs
@@ -14,121 +14,130 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 use tracing::{debug, enabled, warn, Level};
 
-use crate::places::{ClientLimits, Doing, Place, Places};
-use crate::resp::{decode, encode, read_enqueue};
-use crate::vocabulary::Inputs;
+use crate::connection_slots::{ClientLimits, ConnectionSlot, ConnectionSlots, ConnectionState};
+use crate::messages::EventSender;
+use crate::resp::{decode, encode, parse_enqueue};
 use gullcart_engine::{Answer, Enqueue, Input, Seldom, EPOCH, TRAIL};
 
 /// Read at once, as far as it is there. A request that needs more waits for one of the places for long ones.
-const READ: usize = 4 << 10;
+const READ_CHUNK_BYTES: usize = 4 << 10;
 /// How long a connection may stay without its first request, ...
-const SILENT: Duration = Duration::from_secs(2);
-/// ... with a part of a request and nothing more of it, ...
-const HALF: Duration = Duration::from_secs(1);
-/// ... with a part of a request of which more comes and comes, ...
-const WHOLE: Duration = Duration::from_secs(5);
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// ... with a close_gracefully of a request and nothing more of it, ...
+const REQUEST_STALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// ... with a close_gracefully of a request of which more comes and comes, ...
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// ... and with no request open after the first: it takes the place of one that asks.
-const IDLE: Duration = Duration::from_secs(2);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// A client that does not read its answer for this long is not waiting for it.
-const WRITE: Duration = Duration::from_secs(1);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 /// What a client still sends after its connection was shut is read for so long and up to this size: closing with something
 /// unread resets the connection, which would destroy the answer on its way.
-const DRAIN: Duration = Duration::from_secs(4);
-const DRAINED: usize = 80 << 20;
-const DRAIN_READ: usize = 64 << 10;
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(4);
+const MAX_DRAINED_BYTES: usize = 80 << 20;
+const DRAIN_CHUNK_BYTES: usize = 64 << 10;
 /// Answers to pipelined requests are written together up to this size.
-const ANSWERS: usize = 4 << 10;
+const REPLY_BUFFER_BYTES: usize = 4 << 10;
 /// Requests of one connection that are served before the others get their turn.
-const TURN: usize = 16;
+const REQUESTS_PER_YIELD: usize = 16;
 /// While the courier ends, a new connection may take this long to bring its request.
-const LAST_REQUEST: Duration = Duration::from_millis(400);
+const CLOSING_FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// What the courier is about to do, as its clients' connections have to know.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
     #[default]
     Serving,
-    /// It ends: connections are closed between two requests.
+    /// It ends: connections are closed is_between_requests two requests.
     Closing,
     /// What has come is answered, nothing more is waited for, and connections are closed.
     Over,
-    /// It moves to another process: connections are given up as they stand, to [`Clients::given_up`].
+    /// It moves to another process: connections are given up as they stand, to [`Clients::take_handed_over`].
     Moving,
 }
 
 /// A connection on its way to another process.
-pub struct Moved {
+pub struct MovedClient {
     pub stream: std::net::TcpStream,
     /// It has not brought a request yet.
-    pub is_fresh: bool,
+    pub is_new: bool,
     /// What was read and not served.
-    pub unread: Vec<u8>,
+    pub unread_bytes: Vec<u8>,
 }
 
 /// The clients' connections of a courier.
 #[derive(Clone)]
 pub struct Clients {
-    places: Rc<Places>,
-    driver: Inputs,
+    slots: Rc<ConnectionSlots>,
+    events: EventSender,
     phase: watch::Receiver<Phase>,
     /// As many at most as there are places.
-    moved: Rc<RefCell<Vec<Moved>>>,
+    handed_over: Rc<RefCell<Vec<MovedClient>>>,
 }
 
 impl Clients {
-    pub fn new(driver: Inputs, phase: watch::Receiver<Phase>, limits: ClientLimits) -> Self {
-        Clients { places: Rc::new(Places::new(limits)), driver, phase, moved: Rc::default() }
+    pub fn new(events: EventSender, phase: watch::Receiver<Phase>, limits: ClientLimits) -> Self {
+        Clients { slots: Rc::new(ConnectionSlots::new(limits)), events, phase, handed_over: Rc::default() }
     }
 
     /// Connections that may still bring or owe something.
-    pub fn in_use(&self) -> usize {
-        self.places.in_use()
+    pub fn active_count(&self) -> usize {
+        self.slots.active_count()
     }
 
     /// All connections, with those that are shut and wait for the client's own end.
-    pub fn open(&self) -> usize {
-        self.places.open()
+    pub fn open_count(&self) -> usize {
+        self.slots.open_count()
     }
 
     /// Those that were given up while the courier moves.
-    pub fn given_up(&self) -> Vec<Moved> {
-        self.moved.take()
+    pub fn take_handed_over(&self) -> Vec<MovedClient> {
+        self.handed_over.take()
     }
 
     /// Serves a connection that the process before had.
-    pub fn take_over(&self, moved: Moved) -> io::Result<()> {
+    pub fn adopt(&self, moved: MovedClient) -> io::Result<()> {
         let stream = TcpStream::from_std(moved.stream)?;
-        self.serve_one(stream, BytesMut::from(&moved.unread[..]), moved.is_fresh);
+        self.spawn_connection(stream, BytesMut::from(&moved.unread_bytes[..]), moved.is_new);
         Ok(())
     }
 
-    fn serve_one(&self, stream: TcpStream, buffer: BytesMut, fresh: bool) {
-        let place = self.places.clone().enter();
-        let (driver, phase, moved) = (self.driver.clone(), self.phase.clone(), self.moved.clone());
+    fn spawn_connection(&self, stream: TcpStream, buffer: BytesMut, is_new: bool) {
+        let slot = self.slots.clone().add();
+        let (events, phase, handed_over) =
+            (self.events.clone(), self.phase.clone(), self.handed_over.clone());
         tokio::task::spawn_local(async move {
-            let peer = is_trailed().then(|| stream.peer_addr().ok());
-            let client = Client { stream, driver, phase, place, buffer, out: Vec::new(), moved };
+            let peer = is_traced().then(|| stream.peer_addr().ok());
+            let client = ClientConnection {
+                stream,
+                events,
+                phase,
+                slot,
+                input: buffer,
+                output: Vec::new(),
+                handed_over,
+            };
             // A connection that breaks is its client's affair: what was taken on stays so.
-            let ended = client.run(fresh).await;
-            debug!(target: TRAIL, ?peer, ?ended, "a client's connection is over");
+            let result = client.run(is_new).await;
+            debug!(target: TRAIL, ?peer, ended = ?result, "a client's connection is over");
         });
     }
 }
 
 /// Accepts connections until the task is dropped.
 pub async fn serve(listener: TcpListener, clients: Clients) {
-    let places = clients.places.clone();
-    let mut failures = Seldom::default();
-    let begun = Instant::now();
+    let slots = clients.slots.clone();
+    let mut accept_errors = Seldom::default();
+    let started_at = Instant::now();
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                clients.serve_one(stream, BytesMut::new(), true);
+                clients.spawn_connection(stream, BytesMut::new(), true);
                 // One place is kept free, so that who comes next is never left in the listener's queue.
-                places.make_room().await;
+                slots.wait_for_slot().await;
             }
             Err(error) => {
-                if let Some(more) = failures.due(EPOCH + begun.elapsed()) {
+                if let Some(more) = accept_errors.due(EPOCH + started_at.elapsed()) {
                     warn!(%error, more, "a client's connection cannot be accepted");
                 }
                 sleep(Duration::from_millis(20)).await;
@@ -137,24 +146,24 @@
     }
 }
 
-struct Client {
+struct ClientConnection {
     // Before the place: the descriptor is closed by the time that the place is free.
     stream: TcpStream,
-    driver: Inputs,
+    events: EventSender,
     phase: watch::Receiver<Phase>,
-    buffer: BytesMut,
-    out: Vec<u8>,
-    moved: Rc<RefCell<Vec<Moved>>>,
-    place: Place,
+    input: BytesMut,
+    output: Vec<u8>,
+    handed_over: Rc<RefCell<Vec<MovedClient>>>,
+    slot: ConnectionSlot,
 }
 
 /// What came of reading on.
 #[derive(Debug)]
-enum Come {
+enum ReadOutcome {
     More,
-    /// The client has gone, or its connection may be closed.
+    /// The client has is_client_gone, or its connection may be closed.
     End,
-    /// It has to give way between two requests.
+    /// It has to give way is_between_requests two requests.
     GiveWay,
     /// The request did not become whole in its time.
     Late,
@@ -162,123 +171,123 @@
     Move,
 }
 
-impl Client {
-    async fn run(mut self, mut fresh: bool) -> io::Result<()> {
+impl ClientConnection {
+    async fn run(mut self, mut is_new: bool) -> io::Result<()> {
         self.stream.set_nodelay(true)?;
-        let places = self.place.places.clone();
-        let mut long: Option<SemaphorePermit> = None;
-        // When what is due next must have come: the first request, the rest of one, or another one.
-        let mut due = Instant::now() + SILENT;
+        let slots = self.slot.slots.clone();
+        let mut long_request_permit: Option<SemaphorePermit> = None;
+        // When what is deadline next must have come: the first request, the rest of one, or another one.
+        let mut deadline = Instant::now() + FIRST_REQUEST_TIMEOUT;
         let mut served = 0;
         // When the request that is being read began.
-        let mut begun = Instant::now();
+        let mut request_started_at = Instant::now();
         loop {
             if *self.phase.borrow() == Phase::Moving {
-                return self.give_up(fresh).await;
+                return self.hand_over(is_new).await;
             }
-            match decode(&mut self.buffer) {
+            match decode(&mut self.input) {
                 Ok(Some(words)) => {
-                    self.place.set(Doing::Busy);
-                    fresh = false;
-                    if self.serve(&words).await?.is_none() {
+                    self.slot.set_state(ConnectionState::Busy);
+                    is_new = false;
+                    if self.handle_request(&words).await?.is_none() {
                         return Ok(());
                     }
                     served += 1;
-                    if served % TURN == 0 {
+                    if served % REQUESTS_PER_YIELD == 0 {
                         yield_now().await;
                     }
-                    if self.buffer.is_empty() {
+                    if self.input.is_empty() {
                         // A long request's room is given back.
-                        (self.buffer, long) = (BytesMut::new(), None);
-                        due = Instant::now() + IDLE;
-                        self.place.set(Doing::Idle);
+                        (self.input, long_request_permit) = (BytesMut::new(), None);
+                        deadline = Instant::now() + IDLE_TIMEOUT;
+                        self.slot.set_state(ConnectionState::Idle);
                     } else {
-                        begun = Instant::now();
-                        due = begun + HALF;
-                        self.place.set(Doing::Half);
+                        request_started_at = Instant::now();
+                        deadline = request_started_at + REQUEST_STALL_TIMEOUT;
+                        self.slot.set_state(ConnectionState::PartialRequest);
                     }
                     continue;
                 }
                 Ok(None) => {}
                 // What follows cannot be told apart any more.
-                Err(error) => return self.refuse(&error.to_string()).await,
+                Err(error) => return self.reject(&error.to_string()).await,
             }
             self.flush().await?;
-            if self.buffer.len() >= READ && long.is_none() {
-                match timeout_at(due, places.long().acquire()).await {
-                    Ok(Ok(permit)) => long = Some(permit),
-                    Ok(Err(_)) | Err(_) => return self.refuse("too many long requests").await,
+            if self.input.len() >= READ_CHUNK_BYTES && long_request_permit.is_none() {
+                match timeout_at(deadline, slots.long_requests().acquire()).await {
+                    Ok(Ok(permit)) => long_request_permit = Some(permit),
+                    Ok(Err(_)) | Err(_) => return self.reject("too many long requests").await,
                 }
             }
-            let between = self.buffer.is_empty();
-            match self.read(fresh, due).await? {
-                Come::More if between => {
-                    begun = Instant::now();
-                    due = begun + HALF;
-                    self.place.set(Doing::Half);
+            let is_between_requests = self.input.is_empty();
+            match self.read(is_new, deadline).await? {
+                ReadOutcome::More if is_between_requests => {
+                    request_started_at = Instant::now();
+                    deadline = request_started_at + REQUEST_STALL_TIMEOUT;
+                    self.slot.set_state(ConnectionState::PartialRequest);
                 }
                 // Who writes slowly is not cut off for it, within a bound.
-                Come::More => {
-                    due = (Instant::now() + HALF).min(begun + WHOLE);
-                    self.place.goes_on();
+                ReadOutcome::More => {
+                    deadline =
+                        (Instant::now() + REQUEST_STALL_TIMEOUT).min(request_started_at + REQUEST_TIMEOUT);
+                    self.slot.record_progress();
                 }
                 // Nothing was answered on it yet that could be lost, and somebody waits for its place.
-                Come::GiveWay if fresh => return Ok(()),
-                come @ (Come::End | Come::GiveWay) => {
+                ReadOutcome::GiveWay if is_new => return Ok(()),
+                outcome @ (ReadOutcome::End | ReadOutcome::GiveWay) => {
                     debug!(
-                        target: TRAIL, peer = ?self.stream.peer_addr().ok(), phase = ?*self.phase.borrow(), ?come, served,
+                        target: TRAIL, peer = ?self.stream.peer_addr().ok(), phase = ?*self.phase.borrow(), come = ?outcome, served,
                         "a client's connection is shut"
                     );
-                    return self.part().await;
+                    return self.close_gracefully().await;
                 }
-                Come::Late => return self.refuse("the request did not come to its end").await,
-                Come::Move => return self.give_up(fresh).await,
+                ReadOutcome::Late => return self.reject("the request did not come to its end").await,
+                ReadOutcome::Move => return self.hand_over(is_new).await,
             }
         }
     }
 
-    /// Reads more of a request. When the courier ends, a connection is closed between two requests, but never
-    /// with a part of one read, and a fresh one only once its first request had time to come.
-    async fn read(&mut self, fresh: bool, due: Instant) -> io::Result<Come> {
-        let between = self.buffer.is_empty();
-        let give_way = self.place.give_way.clone();
+    /// Reads more of a request. When the courier ends, a connection is closed is_between_requests two requests, but never
+    /// with a close_gracefully of one read, and a is_new one only once its first request had time to come.
+    async fn read(&mut self, is_new: bool, deadline: Instant) -> io::Result<ReadOutcome> {
+        let is_between_requests = self.input.is_empty();
+        let close_request = self.slot.close_request.clone();
         let mut last_request = None;
         loop {
             let phase = *self.phase.borrow_and_update();
             let until = match phase {
-                Phase::Moving => return Ok(Come::Move),
-                Phase::Over if !between => return Ok(Come::End),
+                Phase::Moving => return Ok(ReadOutcome::Move),
+                Phase::Over if !is_between_requests => return Ok(ReadOutcome::End),
                 // A request that has come already is served yet, whoever brought it.
-                Phase::Over => return self.read_now(),
-                Phase::Closing if between && !fresh => return self.read_now(),
-                Phase::Closing if between => {
-                    due.min(*last_request.get_or_insert_with(|| Instant::now() + LAST_REQUEST))
-                }
-                Phase::Closing | Phase::Serving => due,
+                Phase::Over => return self.read_available(),
+                Phase::Closing if is_between_requests && !is_new => return self.read_available(),
+                Phase::Closing if is_between_requests => deadline
+                    .min(*last_request.get_or_insert_with(|| Instant::now() + CLOSING_FIRST_REQUEST_TIMEOUT)),
+                Phase::Closing | Phase::Serving => deadline,
             };
             tokio::select! {
                 biased;
                 // Room is made only when there is something to read: idle connections hold none. May say so of a new
                 // connection with nothing on it yet, until a read has failed.
                 ready = self.stream.readable() => ready?,
-                () = give_way.notified() => {
-                    return match between {
-                        true => self.read_now().map(|come| if let Come::End = come { Come::GiveWay } else { come }),
-                        false => Ok(Come::Late),
+                () = close_request.notified() => {
+                    return match is_between_requests {
+                        true => self.read_available().map(|outcome| if let ReadOutcome::End = outcome { ReadOutcome::GiveWay } else { outcome }),
+                        false => Ok(ReadOutcome::Late),
                     };
                 }
                 () = tokio::time::sleep_until(until) => {
-                    return if between { self.read_now() } else { Ok(Come::Late) };
+                    return if is_between_requests { self.read_available() } else { Ok(ReadOutcome::Late) };
                 }
                 changed = self.phase.changed() => match changed {
                     Ok(()) => continue,
-                    Err(_) => return Ok(Come::End),
+                    Err(_) => return Ok(ReadOutcome::End),
                 },
             }
-            self.buffer.reserve(READ);
-            match self.stream.try_read_buf(&mut self.buffer) {
-                Ok(0) => return Ok(Come::End),
-                Ok(_) => return Ok(Come::More),
+            self.input.reserve(READ_CHUNK_BYTES);
+            match self.stream.try_read_buf(&mut self.input) {
+                Ok(0) => return Ok(ReadOutcome::End),
+                Ok(_) => return Ok(ReadOutcome::More),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) => return Err(error),
             }
@@ -287,50 +296,50 @@
 
     /// Gives the connection up as it stands, with all answers written. A client that does not read its answers is not
     /// waited for: its connection ends here.
-    async fn give_up(mut self, is_fresh: bool) -> io::Result<()> {
+    async fn hand_over(mut self, is_new: bool) -> io::Result<()> {
         self.flush().await?;
         let stream = self.stream.into_std()?;
-        self.moved.borrow_mut().push(Moved { stream, is_fresh, unread: self.buffer.to_vec() });
+        self.handed_over.borrow_mut().push(MovedClient { stream, is_new, unread_bytes: self.input.to_vec() });
         Ok(())
     }
 
     /// What has come already, without waiting; the end if there is nothing. Asks the system itself: what the
     /// runtime has not yet been told of would be closed over.
-    fn read_now(&mut self) -> io::Result<Come> {
-        let mut bytes = [0; READ];
+    fn read_available(&mut self) -> io::Result<ReadOutcome> {
+        let mut bytes = [0; READ_CHUNK_BYTES];
         match (&*SockRef::from(&self.stream)).read(&mut bytes) {
-            Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(Come::End),
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(ReadOutcome::End),
             Err(error) => Err(error),
-            Ok(0) => Ok(Come::End),
+            Ok(0) => Ok(ReadOutcome::End),
             Ok(count) => {
-                self.buffer.extend_from_slice(&bytes[..count]);
-                Ok(Come::More)
+                self.input.extend_from_slice(&bytes[..count]);
+                Ok(ReadOutcome::More)
             }
         }
     }
 
     /// Whether the client has closed its side. One that did so before its answer has stopped waiting, and may
     /// be handing the message in elsewhere already. One with more requests on the way has not.
-    fn gone(&mut self) -> bool {
-        self.buffer.is_empty()
-            && match self.stream.try_read_buf(&mut self.buffer) {
+    fn is_client_gone(&mut self) -> bool {
+        self.input.is_empty()
+            && match self.stream.try_read_buf(&mut self.input) {
                 Ok(count) => count == 0,
                 Err(error) => error.kind() != io::ErrorKind::WouldBlock,
             }
     }
 
     /// Answers one request; none where the courier is ending.
-    async fn serve(&mut self, words: &[Bytes]) -> io::Result<Option<()>> {
+    async fn handle_request(&mut self, words: &[Bytes]) -> io::Result<Option<()>> {
         let command = words.first().map(|word| word.to_ascii_uppercase());
         let answer = match command.as_deref() {
             Some(b"PING") => {
-                self.out.extend_from_slice(b"+PONG\r\n");
-                return self.flush_long().await.map(Some);
+                self.output.extend_from_slice(b"+PONG\r\n");
+                return self.flush_if_large().await.map(Some);
             }
-            Some(b"ENQUEUE") => match read_enqueue(words) {
+            Some(b"ENQUEUE") => match parse_enqueue(words) {
                 Ok(enqueue) => {
-                    if !self.gone() {
-                        return self.hand_in(enqueue).await;
+                    if !self.is_client_gone() {
+                        return self.enqueue(enqueue).await;
                     }
                     // One that has only ended its sending still hears this.
                     Answer::Busy(None)
@@ -339,65 +348,65 @@
             },
             _ => Answer::Error("unknown command"),
         };
-        self.out.extend_from_slice(encode(&answer).as_bytes());
-        self.flush_long().await.map(Some)
+        self.output.extend_from_slice(encode(&answer).as_bytes());
+        self.flush_if_large().await.map(Some)
     }
 
-    async fn hand_in(&mut self, enqueue: Enqueue) -> io::Result<Option<()>> {
+    async fn enqueue(&mut self, enqueue: Enqueue) -> io::Result<Option<()>> {
         // What was answered before must not be lost with this answer, nor this one with those.
         self.flush().await?;
-        let id = is_trailed().then(|| enqueue.id.clone());
-        let Some(answer) = self.driver.hand_in(enqueue).await else { return Ok(None) };
-        self.out.extend_from_slice(encode(&answer).as_bytes());
+        let id = is_traced().then(|| enqueue.id.clone());
+        let Some(answer) = self.events.enqueue(enqueue).await else { return Ok(None) };
+        self.output.extend_from_slice(encode(&answer).as_bytes());
         let written = self.flush().await;
         if let Some(id) = id {
             debug!(target: TRAIL, id, peer = ?self.stream.peer_addr().ok(), ?answer, ?written, "its client is answered");
         }
         if let (Err(_), Answer::Taken(message)) = (&written, answer) {
             // The client never heard that it was taken on, and hands it in again under another id.
-            self.driver.tell(Input::Unheard(message)).await;
+            self.events.send(Input::Unheard(message)).await;
         }
         written.map(Some)
     }
 
     async fn flush(&mut self) -> io::Result<()> {
-        if !self.out.is_empty() {
-            timeout(WRITE, self.stream.write_all(&self.out)).await??;
-            self.out.clear();
+        if !self.output.is_empty() {
+            timeout(WRITE_TIMEOUT, self.stream.write_all(&self.output)).await??;
+            self.output.clear();
         }
         Ok(())
     }
 
-    async fn flush_long(&mut self) -> io::Result<()> {
-        if self.out.len() >= ANSWERS {
+    async fn flush_if_large(&mut self) -> io::Result<()> {
+        if self.output.len() >= REPLY_BUFFER_BYTES {
             self.flush().await?;
         }
         Ok(())
     }
 
     /// Tells the client its error and closes.
-    async fn refuse(mut self, error: &str) -> io::Result<()> {
+    async fn reject(mut self, error: &str) -> io::Result<()> {
         debug!(target: TRAIL, peer = ?self.stream.peer_addr().ok(), error, "a client is refused");
-        self.out.extend_from_slice(format!("-ERR {error}\r\n").as_bytes());
-        self.part().await
+        self.output.extend_from_slice(format!("-ERR {error}\r\n").as_bytes());
+        self.close_gracefully().await
     }
 
     /// Closes: ends the sending side, and reads what is still being sent until the client closes too. A request that
     /// crosses the end is thrown away, and its client hands it in anew; a close over it would reset the connection, and
     /// what the client was answered before might go with it.
-    async fn part(mut self) -> io::Result<()> {
-        self.place.set(Doing::Parting);
-        self.buffer = BytesMut::new();
+    async fn close_gracefully(mut self) -> io::Result<()> {
+        self.slot.set_state(ConnectionState::Draining);
+        self.input = BytesMut::new();
         self.flush().await?;
         self.stream.shutdown().await?;
-        let (stream, give_way) = (&self.stream, self.place.give_way.clone());
+        let (stream, close_request) = (&self.stream, self.slot.close_request.clone());
         let drain = async {
-            let mut left = DRAINED;
-            while left > 0 {
+            let mut remaining_bytes = MAX_DRAINED_BYTES;
+            while remaining_bytes > 0 {
                 stream.readable().await?;
                 match discard(stream) {
                     Ok(0) => break,
-                    Ok(count) => left = left.saturating_sub(count),
+                    Ok(count) => remaining_bytes = remaining_bytes.saturating_sub(count),
                     Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                     Err(error) => return Err(error),
                 }
@@ -406,21 +415,21 @@
             Ok(())
         };
         tokio::select! {
-            drained = timeout(DRAIN, drain) => drained.unwrap_or(Ok(())),
-            () = give_way.notified() => Ok(()),
+            drained = timeout(DRAIN_TIMEOUT, drain) => drained.unwrap_or(Ok(())),
+            () = close_request.notified() => Ok(()),
         }
     }
 }
 
 /// Whether the log follows each message.
-fn is_trailed() -> bool {
+fn is_traced() -> bool {
     enabled!(target: TRAIL, Level::DEBUG)
 }
 
 /// Reads what is there and throws it away, into the one buffer that all connections share for that.
 fn discard(stream: &TcpStream) -> io::Result<usize> {
     thread_local! {
-        static BIN: RefCell<Box<[u8]>> = RefCell::new(vec![0; DRAIN_READ].into());
+        static BUFFER: RefCell<Box<[u8]>> = RefCell::new(vec![0; DRAIN_CHUNK_BYTES].into());
     }
-    BIN.with_borrow_mut(|bin| stream.try_read(bin))
+    BUFFER.with_borrow_mut(|buffer| stream.try_read(buffer))
 }
--- a/crates/gullcart/src/config.rs
+++ b/crates/gullcart/src/config.rs
@@ -10,10 +10,10 @@
 use thiserror::Error;
 
 use crate::console;
-use crate::driver::IDLE_OF_SLOTS;
+use crate::driver::IDLE_CONNECTIONS_PER_SLOT;
 
 /// Descriptors kept for files, the runtime, the listener, discovery and notices.
-const OTHER_SOCKETS: usize = 32;
+const RESERVED_DESCRIPTORS: usize = 32;
 
 #[derive(Deserialize)]
 pub struct Config {
@@ -48,7 +48,7 @@
     }
 
     /// Bytes that the folder may hold.
-    pub fn disk(&self) -> u64 {
+    pub fn disk_bytes(&self) -> u64 {
         (self.limits.disk_mb * 1e6) as u64
     }
 }
@@ -81,22 +81,22 @@
 }
 
 /// How the descriptors are dealt out: each part keeps to its own, and idle connections give way inside it.
-pub struct Sockets {
+pub struct DescriptorBudget {
     pub clients: usize,
     pub endpoints: usize,
 }
 
-impl Sockets {
+impl DescriptorBudget {
     /// At most half goes to endpoints: calls out, calls that are ending, and idle connections.
-    pub fn deal(limit: usize, slots: usize, has_console: bool, of_group: usize) -> Self {
-        let console = if has_console { console::SOCKETS } else { 0 };
-        let rest = limit.saturating_sub(OTHER_SOCKETS + console + of_group);
-        let endpoints = ((2 + IDLE_OF_SLOTS) * slots).min(rest / 2).max(1);
-        Sockets { clients: rest.saturating_sub(endpoints).max(2), endpoints }
+    pub fn split(limit: usize, slots: usize, has_console: bool, group_descriptors: usize) -> Self {
+        let console = if has_console { console::DESCRIPTORS } else { 0 };
+        let rest = limit.saturating_sub(RESERVED_DESCRIPTORS + console + group_descriptors);
+        let endpoints = ((2 + IDLE_CONNECTIONS_PER_SLOT) * slots).min(rest / 2).max(1);
+        DescriptorBudget { clients: rest.saturating_sub(endpoints).max(2), endpoints }
     }
 }
 
-pub fn variable(name: &'static str) -> Result<OsString, StartError> {
+pub fn required_variable(name: &'static str) -> Result<OsString, StartError> {
     std::env::var_os(name).ok_or(StartError::Variable(name))
 }
 
--- a/crates/gullcart/src/console.rs
+++ b/crates/gullcart/src/console.rs
@@ -16,60 +16,64 @@
 use tracing::warn;
 
 /// Callers at a time.
-const CALLERS: usize = 12;
+const MAX_CALLERS: usize = 12;
 /// Descriptors of the console: its callers, one more that has just come, and the listener.
-pub const SOCKETS: usize = CALLERS + 2;
+pub const DESCRIPTORS: usize = MAX_CALLERS + 2;
 /// Until when a caller's line must be whole, and how long it may take to read its answer and to close after it.
-const LINE: Duration = Duration::from_secs(2);
-const WRITE: Duration = Duration::from_millis(500);
-const LINGER: Duration = Duration::from_millis(200);
+const LINE_TIMEOUT: Duration = Duration::from_secs(2);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 /// How long the loop may take; a caller is owed an answer within a second.
-const LOOP: Duration = Duration::from_millis(800);
+const DRIVER_TIMEOUT: Duration = Duration::from_millis(800);
 /// Questions that wait for the loop: no more than there are callers.
-const QUESTIONS: usize = CALLERS + 1;
+const MAX_QUEUED_REQUESTS: usize = MAX_CALLERS + 1;
 /// Read at once.
-const READ: usize = 256;
+const READ_CHUNK_BYTES: usize = 256;
 
 /// What the loop is asked.
-pub enum Question {
+pub enum ControlRequest {
     /// The figures.
     Figures(oneshot::Sender<Reading>),
     /// Something is to be done.
     Order(Order, oneshot::Sender<Result<(), Denied>>),
     /// A process of the same user asks for the courier.
-    Move(UnixStream),
+    HandOver(UnixStream),
 }
 
 /// Where the loop is asked, and where it listens.
-pub fn questions() -> (mpsc::Sender<Question>, mpsc::Receiver<Question>) {
-    mpsc::channel(QUESTIONS)
+pub fn control_channel() -> (mpsc::Sender<ControlRequest>, mpsc::Receiver<ControlRequest>) {
+    mpsc::channel(MAX_QUEUED_REQUESTS)
 }
 
 /// Answers callers until the task is dropped. `serving` is true while this process takes clients.
-pub async fn serve(listener: TcpListener, ask: mpsc::Sender<Question>, serving: watch::Receiver<bool>) {
-    let callers = Rc::new(RefCell::new(Callers::new(CALLERS)));
-    let mut failures = Seldom::default();
-    let begun = Instant::now();
+pub async fn serve(
+    listener: TcpListener,
+    requests: mpsc::Sender<ControlRequest>,
+    serving: watch::Receiver<bool>,
+) {
+    let callers = Rc::new(RefCell::new(Callers::new(MAX_CALLERS)));
+    let mut accept_errors = Seldom::default();
+    let started_at = Instant::now();
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let (give_way, leave) = oneshot::channel::<()>();
-                let (number, leaves) = callers.borrow_mut().enter(give_way);
-                drop(leaves);
-                let (callers, ask, serving) = (callers.clone(), ask.clone(), serving.clone());
+                let (evict, evicted_signal) = oneshot::channel::<()>();
+                let (id, evicted) = callers.borrow_mut().enter(evict);
+                drop(evicted);
+                let (callers, requests, serving) = (callers.clone(), requests.clone(), serving.clone());
                 tokio::task::spawn_local(async move {
-                    let has_asked = || callers.borrow_mut().has_asked(number);
+                    let has_asked = || callers.borrow_mut().has_asked(id);
                     tokio::select! {
                         biased;
                         // A caller that breaks off is its own affair.
-                        _ = call(stream, ask, serving, has_asked) => {}
-                        _ = leave => {}
+                        _ = serve_caller(stream, requests, serving, has_asked) => {}
+                        _ = evicted_signal => {}
                     }
-                    callers.borrow_mut().leave(number);
+                    callers.borrow_mut().leave(id);
                 });
             }
             Err(error) => {
-                if let Some(more) = failures.due(EPOCH + begun.elapsed()) {
+                if let Some(more) = accept_errors.due(EPOCH + started_at.elapsed()) {
                     warn!(%error, more, "a caller of the console cannot be accepted");
                 }
                 sleep(Duration::from_millis(20)).await;
@@ -78,14 +82,14 @@
     }
 }
 
-async fn call(
+async fn serve_caller(
     mut stream: TcpStream,
-    ask: mpsc::Sender<Question>,
+    requests: mpsc::Sender<ControlRequest>,
     serving: watch::Receiver<bool>,
     has_asked: impl FnOnce(),
 ) -> io::Result<()> {
     let mut lines = Lines::default();
-    let line = match timeout(LINE, read(&stream, &mut lines)).await {
+    let line = match timeout(LINE_TIMEOUT, read_line(&stream, &mut lines)).await {
         Ok(Ok(Some(line))) => line,
         Ok(Ok(None)) => return Ok(()),
         Ok(Err(error)) => return Err(error),
@@ -93,21 +97,21 @@
     };
     has_asked();
     let answer = match line {
-        Ok(call) => answer(call, &ask, &serving).await,
+        Ok(call) => answer(call, &requests, &serving).await,
         Err(fault) => no(fault),
     };
-    timeout(WRITE, stream.write_all(answer.as_bytes())).await??;
+    timeout(WRITE_TIMEOUT, stream.write_all(answer.as_bytes())).await??;
     SockRef::from(&stream).shutdown(Shutdown::Write)?;
     // Closing with something unread would destroy the answer on its way.
-    let mut rest = [0; READ];
+    let mut rest = [0; READ_CHUNK_BYTES];
     let drain = async { while matches!(read_some(&stream, &mut rest).await, Ok(1..)) {} };
-    let _ = timeout(LINGER, drain).await;
+    let _ = timeout(CLOSE_TIMEOUT, drain).await;
     Ok(())
 }
 
 /// The caller's line; nothing where it never said anything.
-async fn read(stream: &TcpStream, lines: &mut Lines) -> io::Result<Option<Result<Call, Fault>>> {
-    let mut bytes = [0; READ];
+async fn read_line(stream: &TcpStream, lines: &mut Lines) -> io::Result<Option<Result<Call, Fault>>> {
+    let mut bytes = [0; READ_CHUNK_BYTES];
     loop {
         match read_some(stream, &mut bytes).await? {
             0 => return Ok(lines.end().map(Err)),
@@ -130,30 +134,36 @@
     }
 }
 
-async fn answer(call: Call, ask: &mpsc::Sender<Question>, serving: &watch::Receiver<bool>) -> String {
-    const BUSY: &str = "the courier does not answer; what was asked may yet be done, ask again";
-    let ordered = |order: Order| async move {
+async fn answer(
+    call: Call,
+    requests: &mpsc::Sender<ControlRequest>,
+    serving: &watch::Receiver<bool>,
+) -> String {
+    const NO_ANSWER: &str = "the courier does not answer; what was asked may yet be done, ask again";
+    let send_order = |order: Order| async move {
         let (reply, done) = oneshot::channel();
-        let asked = async { ask.send(Question::Order(order, reply)).await.ok().zip(done.await.ok()) };
-        match timeout(LOOP, asked).await.ok().flatten() {
+        let exchange =
+            async { requests.send(ControlRequest::Order(order, reply)).await.ok().zip(done.await.ok()) };
+        match timeout(DRIVER_TIMEOUT, exchange).await.ok().flatten() {
             Some((_, Ok(()))) => YES.to_owned(),
             Some((_, Err(why))) => no(denied(why)),
-            None => no(BUSY),
+            None => no(NO_ANSWER),
         }
     };
     match call {
         Call::Status if *serving.borrow() => YES.to_owned(),
         Call::Status => no(NOT_SERVING),
         Call::Metrics => {
-            let (reply, told) = oneshot::channel();
-            let asked = async { ask.send(Question::Figures(reply)).await.ok().zip(told.await.ok()) };
-            timeout(LOOP, asked)
+            let (reply, reading) = oneshot::channel();
+            let exchange =
+                async { requests.send(ControlRequest::Figures(reply)).await.ok().zip(reading.await.ok()) };
+            timeout(DRIVER_TIMEOUT, exchange)
                 .await
                 .ok()
                 .flatten()
-                .map_or_else(|| no(BUSY), |(_, reading)| figures(&reading))
+                .map_or_else(|| no(NO_ANSWER), |(_, reading)| figures(&reading))
         }
-        Call::Suspend(id) => ordered(Order::Suspend(id)).await,
-        Call::Restore(id) => ordered(Order::Restore(id)).await,
+        Call::Suspend(id) => send_order(Order::Suspend(id)).await,
+        Call::Restore(id) => send_order(Order::Restore(id)).await,
     }
 }
--- a/crates/gullcart/src/group.rs
+++ b/crates/gullcart/src/group.rs
@@ -18,68 +18,77 @@
 use tracing::{error, info, warn};
 
 /// What duties of trials are called, before the destination.
-const TRIALS: &str = "trials/";
+const TRIAL_DUTY_PREFIX: &str = "trials/";
 /// Between two looks whether the group has ended by itself, and two tries to belong to it again.
-const LOOK: Duration = Duration::from_secs(1);
-const AGAIN: Duration = Duration::from_secs(5);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+const REJOIN_INTERVAL: Duration = Duration::from_secs(5);
 /// How long the group is waited for when the process ends, and when it moves to another one.
-const LEAVE: Duration = Duration::from_secs(1);
-const GIVE: Duration = Duration::from_millis(500);
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// What belonging to a group costs a courier at most.
+#[derive(Clone, Copy, Default)]
+pub struct GroupResources {
+    /// Bytes of the state folder.
+    pub disk_bytes: u64,
+    /// Open file descriptors.
+    pub descriptors: usize,
+}
 
 /// The place.
 #[derive(Clone)]
-pub struct Place {
+pub struct GroupMembership {
     settings: Rc<RefCell<Settings>>,
     /// Members for which descriptors were dealt out.
-    room: usize,
+    max_members: usize,
     folder: PathBuf,
     handle: Rc<RefCell<Option<Handle>>>,
-    keeper: Rc<RefCell<Option<AbortHandle>>>,
+    rejoin_task: Rc<RefCell<Option<AbortHandle>>>,
     /// It was given up for good, and whether that is done.
     is_left: Rc<watch::Sender<bool>>,
 }
 
-impl Place {
+impl GroupMembership {
     /// A place that is not taken yet.
     pub fn new(settings: Settings, state: &Path) -> Self {
-        Place {
-            room: settings.room(),
+        GroupMembership {
+            max_members: settings.room(),
             settings: Rc::new(RefCell::new(settings)),
             folder: state.join("group"),
             handle: Rc::default(),
-            keeper: Rc::default(),
+            rejoin_task: Rc::default(),
             is_left: Rc::default(),
         }
     }
 
     /// Bytes of the state folder that are the group's, and descriptors at most.
-    pub fn costs(settings: &Settings) -> (u64, usize) {
-        (settings.disk, settings.sockets())
+    pub fn resources(settings: &Settings) -> GroupResources {
+        GroupResources { disk_bytes: settings.disk, descriptors: settings.sockets() }
     }
 
     /// Takes it, or goes on in the place of a process that gave it up to this one.
-    pub fn take(&self, given: &[u8]) {
+    pub fn join(&self, given: &[u8]) {
         let given = Given::read(given).filter(|_| !given.is_empty());
-        self.begin(given);
-        let place = self.clone();
-        let keeper = tokio::task::spawn_local(async move {
+        self.start_member(given);
+        let membership = self.clone();
+        let rejoin_task = tokio::task::spawn_local(async move {
             loop {
-                sleep(LOOK).await;
-                let is_over = place.handle.borrow().as_ref().is_none_or(Handle::is_over);
+                sleep(CHECK_INTERVAL).await;
+                let is_over = membership.handle.borrow().as_ref().is_none_or(Handle::is_over);
                 if is_over {
                     // Its folder is free once the one before is gone.
-                    place.handle.replace(None);
-                    sleep(AGAIN).await;
-                    place.begin(None);
+                    membership.handle.replace(None);
+                    sleep(REJOIN_INTERVAL).await;
+                    membership.start_member(None);
                 }
             }
         });
-        if let Some(before) = self.keeper.replace(Some(keeper.abort_handle())) {
-            before.abort();
+        if let Some(previous) = self.rejoin_task.replace(Some(rejoin_task.abort_handle())) {
+            previous.abort();
         }
     }
 
-    fn begin(&self, given: Option<Given>) {
+    fn start_member(&self, given: Option<Given>) {
         let settings = self.settings.borrow().clone();
         match start(settings, &self.folder, given) {
             Ok(handle) => {
@@ -90,8 +99,8 @@
     }
 
     /// Follows another file of the group, as far as that may change in service.
-    pub fn follow(&self, settings: Settings) {
-        match roster::change(&self.settings.borrow(), &settings, self.room) {
+    pub fn apply_settings(&self, settings: Settings) {
+        match roster::change(&self.settings.borrow(), &settings, self.max_members) {
             Err(error) => {
                 return error!(%error, "the file of the group was read again; the group stays as it was")
             }
@@ -104,42 +113,45 @@
         self.settings.replace(settings);
     }
 
-    /// Duties that were asked for.
-    pub fn asked(&self) -> Vec<DestinationId> {
+    /// Duties that were requested_duties for.
+    pub fn requested_duties(&self) -> Vec<DestinationId> {
         let handle = self.handle.borrow();
         let wants = handle.as_ref().map(Handle::wants).unwrap_or_default();
-        wants.iter().filter_map(destination).collect()
+        wants.iter().filter_map(destination_of).collect()
     }
 
     /// How a duty stands, in the courier's time.
-    pub fn view(&self, now: Time, to: DestinationId) -> Option<DutyView> {
+    pub fn duty_view(&self, now: Time, destination: DestinationId) -> Option<DutyView> {
         let handle = self.handle.borrow();
-        let (handle, duty) = (handle.as_ref()?, duty(to)?);
-        let Look { other_until, told } = handle.look(&duty)?;
+        let (handle, duty) = (handle.as_ref()?, trial_duty(destination)?);
+        let Look { other_until, told: agreed } = handle.look(&duty)?;
         // Its clock goes on while the machine sleeps, and the courier's may not: what is left is looked up anew each time.
-        let boot = boot_now();
+        let boot_time = boot_now();
         let holder = match (handle.holds(&duty), other_until) {
             (Some((epoch, left)), _) => Holder::Me { epoch: epoch.0, until: now + left },
-            (None, Some(until)) if until > boot => Holder::Other { until: now + (until - boot) },
+            (None, Some(until)) if until > boot_time => Holder::Other { until: now + (until - boot_time) },
             (None, _) => Holder::Nobody,
         };
-        let told = told.map(|(epoch, words, at)| Told { epoch: epoch.0, words, at: now - (boot - at) });
+        let told =
+            agreed.map(|(epoch, words, at)| Told { epoch: epoch.0, words, at: now - (boot_time - at) });
         Some(DutyView { holder, told })
     }
 
-    /// Asks the group for something. Where it cannot be asked, it is asked again for what is wanted (`gullcart-engine/trials.rs`).
-    pub fn wish(&self, wish: TrialWish) {
+    /// Asks the group for something. Where it cannot be requested_duties, it is requested_duties again for what is wanted (`gullcart-engine/trials.rs`).
+    pub fn request(&self, request: TrialWish) {
         let handle = self.handle.borrow();
         let Some(handle) = handle.as_ref() else { return };
-        let done = match wish {
-            TrialWish::Want(to) => duty(to).map(|duty| handle.want(duty)),
-            TrialWish::GiveUp(to) => duty(to).map(|duty| handle.give_up(duty)),
-            TrialWish::PassOn(to, rest) => duty(to).map(|duty| handle.pass_on(duty, rest)),
-            TrialWish::Tell(to, words) => {
-                duty(to).zip(Words::new(&words)).map(|(duty, words)| handle.tell(duty, words))
+        let is_queued = match request {
+            TrialWish::Want(destination) => trial_duty(destination).map(|duty| handle.want(duty)),
+            TrialWish::GiveUp(destination) => trial_duty(destination).map(|duty| handle.give_up(duty)),
+            TrialWish::PassOn(destination, rest) => {
+                trial_duty(destination).map(|duty| handle.pass_on(duty, rest))
+            }
+            TrialWish::Tell(destination, words) => {
+                trial_duty(destination).zip(Words::new(&words)).map(|(duty, words)| handle.tell(duty, words))
             }
         };
-        if done != Some(true) {
+        if is_queued != Some(true) {
             warn!("the group is asked for too much at once");
         }
     }
@@ -149,45 +161,47 @@
         let changed = self.handle.borrow().as_ref().map(Handle::changed);
         match changed {
             Some(changed) => changed.notified().await,
-            None => sleep(LOOK).await,
+            None => sleep(CHECK_INTERVAL).await,
         }
     }
 
-    fn leave_alone(&self) -> Option<Handle> {
-        if let Some(keeper) = self.keeper.take() {
-            keeper.abort();
+    fn detach(&self) -> Option<Handle> {
+        if let Some(rejoin_task) = self.rejoin_task.take() {
+            rejoin_task.abort();
         }
         self.handle.take()
     }
 
     /// Gives up all that it holds at once, for others to take it over.
     pub async fn leave(&self) {
-        if let Some(handle) = self.leave_alone() {
-            let heard = handle.leave(LEAVE).await;
-            info!(heard, "this courier has left its group");
+        if let Some(handle) = self.detach() {
+            let is_acknowledged = handle.leave(LEAVE_TIMEOUT).await;
+            info!(heard = is_acknowledged, "this courier has left its group");
         }
         self.is_left.send_replace(true);
     }
 
-    /// Waits until [`Place::leave`], which has begun, is done.
-    pub async fn left(&self) {
-        let _ = timeout(LEAVE, self.is_left.subscribe().wait_for(|is_left| *is_left)).await;
+    /// Waits until [`GroupMembership::leave`], which has begun, is done.
+    pub async fn wait_until_left(&self) {
+        let _ = timeout(LEAVE_TIMEOUT, self.is_left.subscribe().wait_for(|is_left| *is_left)).await;
     }
 
     /// Stops, for a process that goes on in its place; nothing where it is in no group.
-    pub async fn give(&self) -> Vec<u8> {
-        match self.leave_alone() {
-            Some(handle) => handle.give_away(GIVE).await.map_or_else(Vec::new, |given| given.write()),
+    pub async fn hand_over(&self) -> Vec<u8> {
+        match self.detach() {
+            Some(handle) => {
+                handle.give_away(HANDOVER_TIMEOUT).await.map_or_else(Vec::new, |given| given.write())
+            }
             None => Vec::new(),
         }
     }
 }
 
 /// The duty to try a destination for all.
-fn duty(to: DestinationId) -> Option<Duty> {
-    Duty::new(&format!("{TRIALS}{}", to.0))
+fn trial_duty(destination: DestinationId) -> Option<Duty> {
+    Duty::new(&format!("{TRIAL_DUTY_PREFIX}{}", destination.0))
 }
 
-fn destination(duty: &Duty) -> Option<DestinationId> {
-    duty.name().strip_prefix(TRIALS)?.parse().ok().map(DestinationId)
+fn destination_of(duty: &Duty) -> Option<DestinationId> {
+    duty.name().strip_prefix(TRIAL_DUTY_PREFIX)?.parse().ok().map(DestinationId)
 }
--- a/crates/gullcart/src/lib.rs
+++ b/crates/gullcart/src/lib.rs
@@ -8,17 +8,17 @@
 mod calls;
 mod clients;
 mod config;
+mod connection_slots;
 mod console;
 mod discovery;
 mod driver;
 mod group;
-mod places;
+mod messages;
 mod resp;
 mod service;
+mod tracked_connection;
 mod update_stream;
 mod upgrade;
-mod vocabulary;
-mod wire;
 
 use gullcart_engine::Reading;
 use gullcart_journal::Options;
@@ -32,44 +32,44 @@
 use tracing::{error, info, warn};
 
 pub use crate::config::StartError;
-use crate::config::{read_config, variable, Config};
-use crate::console::Question;
-use crate::driver::End;
-use crate::group::Place;
-use crate::service::{Carried, Move, Service};
+use crate::config::{read_config, required_variable, Config};
+use crate::console::ControlRequest;
+use crate::driver::LoopExit;
+use crate::group::GroupMembership;
+use crate::service::{CarriedCourier, HandoverResult, Service};
 
 /// Names the console's address, before `console` in the configuration: without either there is none.
-const CONSOLE: &str = "BALANCER_CONSOLE";
+const CONSOLE_VARIABLE: &str = "BALANCER_CONSOLE";
 /// Names the operators' file of the journal, where there is one.
-const JOURNAL_FILE: &str = "GULLCART_JOURNAL";
+const JOURNAL_FILE_VARIABLE: &str = "GULLCART_JOURNAL";
 /// Names the operators' file of the group, where there is one.
-const GROUP_FILE: &str = "GULLCART_GROUP";
+const GROUP_FILE_VARIABLE: &str = "GULLCART_GROUP";
 /// How long a process whose courier has moved waits for its SIGTERM.
-const PAST: Duration = Duration::from_secs(60);
+const POST_HANDOVER_WAIT: Duration = Duration::from_secs(60);
 
 /// Reads the configuration again on each SIGHUP, and the file of the group where there is one. Only where discovery is, and who
 /// belongs to the group without a vote, may change in service; a file that cannot be read changes nothing.
-async fn follow(
+async fn reload_on_hangup(
     mut hang_up: Signal,
     path: PathBuf,
-    agent: watch::Sender<String>,
-    group: Option<(PathBuf, Place)>,
+    discovery_address: watch::Sender<String>,
+    group: Option<(PathBuf, GroupMembership)>,
 ) {
     while hang_up.recv().await.is_some() {
         match read_config(&path) {
             Ok(config) => {
                 info!(discovery = config.discovery, "the configuration was read again");
-                agent.send_if_modified(|address| {
-                    let other = *address != config.discovery;
+                discovery_address.send_if_modified(|address| {
+                    let is_changed = *address != config.discovery;
                     *address = config.discovery;
-                    other
+                    is_changed
                 });
             }
             Err(error) => error!(%error, "the configuration stays as it was"),
         }
-        if let Some((path, place)) = &group {
+        if let Some((path, group)) = &group {
             match Settings::read(path) {
-                Ok(settings) => place.follow(settings),
+                Ok(settings) => group.apply_settings(settings),
                 Err(error) => error!(%error, "the group stays as it was"),
             }
         }
@@ -78,7 +78,7 @@
 
 /// The console's listener, where one is named. Clients are served without it: their messages do not wait for operators.
 async fn open_console(config: &Config) -> Option<TcpListener> {
-    let named = std::env::var(CONSOLE).ok().filter(|address| !address.is_empty());
+    let named = std::env::var(CONSOLE_VARIABLE).ok().filter(|address| !address.is_empty());
     let address = named.or_else(|| config.console.clone())?;
     match TcpListener::bind(&address).await {
         Ok(listener) => {
@@ -94,9 +94,13 @@
 }
 
 /// Answers operators after the courier has moved: what this process counted, and that it takes no clients.
-async fn answer_past(questions: &mut mpsc::Receiver<Question>, reading: &Reading, until: Instant) {
+async fn answer_after_handover(
+    questions: &mut mpsc::Receiver<ControlRequest>,
+    reading: &Reading,
+    until: Instant,
+) {
     while let Ok(Some(question)) = tokio::time::timeout_at(until, questions.recv()).await {
-        if let Question::Figures(reply) = question {
+        if let ControlRequest::Figures(reply) = question {
             let _ = reply.send(reading.clone());
         }
         // All else is dropped, which is a no.
@@ -107,44 +111,44 @@
     // Before all else: without a handler the signal would end the process.
     let hang_up = signal(SignalKind::hangup())?;
     let mut terminate = signal(SignalKind::terminate())?;
-    let state = PathBuf::from(variable("BALANCER_STATE")?);
-    let path = PathBuf::from(variable("BALANCER_CONFIG")?);
+    let state_folder = PathBuf::from(required_variable("BALANCER_STATE")?);
+    let path = PathBuf::from(required_variable("BALANCER_CONFIG")?);
     // All of it, first: a bad configuration must not take a running courier over.
     let config = read_config(&path)?;
-    let options = match std::env::var_os(JOURNAL_FILE) {
+    let options = match std::env::var_os(JOURNAL_FILE_VARIABLE) {
         Some(path) => Options::read(Path::new(&path))?,
         None => Options::default(),
     };
-    let group = match std::env::var_os(GROUP_FILE) {
+    let group_settings = match std::env::var_os(GROUP_FILE_VARIABLE) {
         Some(path) => Some(Settings::read(Path::new(&path))?),
         None => None,
     };
-    let costs = group.as_ref().map(Place::costs).unwrap_or_default();
-    if costs.0 > config.disk() / 2 {
-        return Err(StartError::GroupDisk(costs.0, config.disk()));
+    let group_resources = group_settings.as_ref().map(GroupMembership::resources).unwrap_or_default();
+    if group_resources.disk_bytes > config.disk_bytes() / 2 {
+        return Err(StartError::GroupDisk(group_resources.disk_bytes, config.disk_bytes()));
     }
     let console = open_console(&config).await;
-    let (ask, mut questions) = console::questions();
-    let (serves, serving) = watch::channel(false);
-    let (found, agent) = watch::channel(config.discovery.clone());
-    let (end, terminated) = watch::channel(false);
+    let (requests, mut questions) = console::control_channel();
+    let (set_serving, serving) = watch::channel(false);
+    let (set_discovery_address, discovery_address) = watch::channel(config.discovery.clone());
+    let (set_terminated, terminated) = watch::channel(false);
     tokio::task::spawn_local(async move {
         while terminate.recv().await.is_some() {
-            end.send_replace(true);
+            set_terminated.send_replace(true);
         }
     });
-    let place = group.map(|settings| Place::new(settings, &state));
-    let file = std::env::var_os(GROUP_FILE).map(PathBuf::from);
-    tokio::task::spawn_local(follow(hang_up, path, found, file.zip(place.clone())));
+    let group = group_settings.map(|settings| GroupMembership::new(settings, &state_folder));
+    let file = std::env::var_os(GROUP_FILE_VARIABLE).map(PathBuf::from);
+    tokio::task::spawn_local(reload_on_hangup(hang_up, path, set_discovery_address, file.zip(group.clone())));
     let service = Service {
         config,
-        group_costs: costs,
-        state,
-        options,
-        agent,
+        group_resources,
+        state_folder,
+        journal_options: options,
+        discovery_address,
         terminated,
         has_console: console.is_some(),
-        place,
+        group,
         #[cfg(feature = "broken")]
         broken: {
             use gullcart_engine::broken::{Broken, VARIABLE};
@@ -152,65 +156,65 @@
         },
     };
     if let Some(listener) = console {
-        tokio::task::spawn_local(console::serve(listener, ask.clone(), serving));
+        tokio::task::spawn_local(console::serve(listener, requests.clone(), serving));
     }
-    let (arrived, journal) = service.take().await?;
+    let (arrived, journal) = service.open_journal().await?;
     #[cfg(feature = "broken")]
     let journal = journal.answering_early(service.broken.is(gullcart_engine::broken::Fault::EarlyOk));
-    let mut given = Vec::new();
+    let mut group_state = Vec::new();
     let mut running = match arrived {
         None => service.start(journal, None).await?,
         Some(mut arrived) => {
-            let mut baggage = std::mem::take(&mut arrived.baggage);
-            given = std::mem::take(&mut baggage.group);
-            let carried = Carried { baggage, descriptors: std::mem::take(&mut arrived.descriptors) };
+            let mut state = std::mem::take(&mut arrived.state);
+            group_state = std::mem::take(&mut state.group);
+            let carried = CarriedCourier { state, descriptors: std::mem::take(&mut arrived.descriptors) };
             let running = service.start(journal, Some(carried)).await?;
-            if let Err(error) = arrived.serves() {
+            if let Err(error) = arrived.confirm_serving() {
                 // It has given up the lock, and this process has it: there is one owner all the same.
                 warn!(%error, "the process before does not hear that this one serves");
             }
             running
         }
     };
-    if let Some(place) = &service.place {
-        place.take(&given);
-        let (place, mut terminated) = (place.clone(), service.terminated.clone());
+    if let Some(group) = &service.group {
+        group.join(&group_state);
+        let (group, mut terminated) = (group.clone(), service.terminated.clone());
         // At once, not when the last message is out: others go on with what is held here.
         tokio::task::spawn_local(async move {
-            if terminated.wait_for(|is_told| *is_told).await.is_ok() {
-                place.leave().await;
+            if terminated.wait_for(|is_terminated| *is_terminated).await.is_ok() {
+                group.leave().await;
             }
         });
     }
     // As long as this process has the courier, not one run of it: who asks while a hand-over fails is heard after it.
-    let asked = service.has_console.then(|| {
-        let state = service.state.clone();
-        tokio::task::spawn_local(async move { upgrade::listen(&state, ask).await })
+    let handover_listener = service.has_console.then(|| {
+        let state_folder = service.state_folder.clone();
+        tokio::task::spawn_local(async move { upgrade::listen(&state_folder, requests).await })
     });
     loop {
-        serves.send_replace(true);
+        set_serving.send_replace(true);
         let stream = match running.run(&mut questions).await? {
-            End::Over => {
-                if let Some(place) = &service.place {
-                    place.left().await;
+            LoopExit::Terminated => {
+                if let Some(group) = &service.group {
+                    group.wait_until_left().await;
                 }
                 return Ok(());
             }
-            End::Move(stream) => stream,
+            LoopExit::HandOver(stream) => stream,
         };
-        serves.send_replace(false);
-        match service.give(running, stream).await? {
-            Move::Stays(stays) => running = *stays,
-            Move::Done(reading) => {
+        set_serving.send_replace(false);
+        match service.hand_over(running, stream).await? {
+            HandoverResult::Kept(kept) => running = *kept,
+            HandoverResult::HandedOver(reading) => {
                 // The name is the new process's from here on; who waits in the queue asks there.
-                if let Some(asked) = &asked {
-                    asked.abort();
+                if let Some(task) = &handover_listener {
+                    task.abort();
                 }
                 let mut terminated = service.terminated.clone();
-                let until = Instant::now() + PAST;
+                let until = Instant::now() + POST_HANDOVER_WAIT;
                 tokio::select! {
-                    _ = timeout(PAST, terminated.wait_for(|is_told| *is_told)) => {}
-                    () = answer_past(&mut questions, &reading, until) => {}
+                    _ = timeout(POST_HANDOVER_WAIT, terminated.wait_for(|is_terminated| *is_terminated)) => {}
+                    () = answer_after_handover(&mut questions, &reading, until) => {}
                 }
                 info!("this process ends; its courier goes on in another one");
                 return Ok(());
--- a/crates/gullcart/src/resp.rs
+++ b/crates/gullcart/src/resp.rs
@@ -6,15 +6,15 @@
 use thiserror::Error;
 
 /// Words of a request, at most.
-const MOST_WORDS: usize = 16;
+const MAX_WORDS: usize = 16;
 /// The body of a message, in bytes.
-const LONGEST_BODY: usize = 64 << 10;
+const MAX_BODY_BYTES: usize = 64 << 10;
 /// All of a request but its body: a key, an id, fields and their lengths.
-const LONGEST_REST: usize = 4 << 10;
+const MAX_OVERHEAD_BYTES: usize = 4 << 10;
 /// A line that announces a count or a length.
-const LONGEST_LINE: usize = 32;
+const MAX_LENGTH_LINE_BYTES: usize = 32;
 /// An id or an idempotency key, in bytes.
-const LONGEST_TOKEN: usize = 128;
+const MAX_TOKEN_BYTES: usize = 128;
 
 /// An answer as it goes out.
 pub fn encode(answer: &Answer) -> String {
@@ -30,35 +30,35 @@
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum RespError {
     #[error("Protocol error: expected an array of bulk strings")]
-    Form,
+    InvalidFormat,
     #[error("Protocol error: too long")]
-    Long,
+    TooLong,
 }
 
 /// Takes the first whole request out of the buffer; none while it is not whole. Requests are arrays of bulk
 /// strings and nothing else, so that depth and size are bounded before anything is stored; the general
 /// decoders recurse as deep as their input says.
 pub fn decode(buffer: &mut BytesMut) -> Result<Option<Vec<Bytes>>, RespError> {
-    let Some((count, mut at)) = number(buffer, 0, b'*')? else { return Ok(None) };
-    if count > MOST_WORDS {
-        return Err(RespError::Long);
+    let Some((count, mut at)) = parse_length_line(buffer, 0, b'*')? else { return Ok(None) };
+    if count > MAX_WORDS {
+        return Err(RespError::TooLong);
     }
     let mut spans = Vec::with_capacity(count);
     let mut longest = 0;
     for _ in 0..count {
-        let Some((length, start)) = number(buffer, at, b'$')? else { return Ok(None) };
-        if length > LONGEST_BODY {
-            return Err(RespError::Long);
+        let Some((length, start)) = parse_length_line(buffer, at, b'$')? else { return Ok(None) };
+        if length > MAX_BODY_BYTES {
+            return Err(RespError::TooLong);
         }
         let end = start + length;
         longest = longest.max(length);
-        if end - longest > LONGEST_REST {
-            return Err(RespError::Long);
+        if end - longest > MAX_OVERHEAD_BYTES {
+            return Err(RespError::TooLong);
         }
         match buffer.get(end..end + 2) {
             None => return Ok(None),
             Some(b"\r\n") => {}
-            Some(_) => return Err(RespError::Form),
+            Some(_) => return Err(RespError::InvalidFormat),
         }
         spans.push(start..end);
         at = end + 2;
@@ -67,29 +67,29 @@
     Ok(Some(spans.into_iter().map(|span| frame.slice(span)).collect()))
 }
 
-/// A line of a sign and a number at a place in the buffer: the number and where the line ends.
-fn number(buffer: &BytesMut, at: usize, sign: u8) -> Result<Option<(usize, usize)>, RespError> {
+/// A line of a sign and a parse_length_line at a place in the buffer: the parse_length_line and where the line ends.
+fn parse_length_line(buffer: &BytesMut, at: usize, sign: u8) -> Result<Option<(usize, usize)>, RespError> {
     let mut line = &buffer[at..];
     match line.first() {
         None => return Ok(None),
-        Some(first) if *first != sign => return Err(RespError::Form),
+        Some(first) if *first != sign => return Err(RespError::InvalidFormat),
         Some(_) => line.advance(1),
     }
-    let Some(end) = line.iter().take(LONGEST_LINE).position(|byte| *byte == b'\n') else {
-        return if line.len() < LONGEST_LINE { Ok(None) } else { Err(RespError::Form) };
+    let Some(end) = line.iter().take(MAX_LENGTH_LINE_BYTES).position(|byte| *byte == b'\n') else {
+        return if line.len() < MAX_LENGTH_LINE_BYTES { Ok(None) } else { Err(RespError::InvalidFormat) };
     };
-    let digits = line[..end].strip_suffix(b"\r").ok_or(RespError::Form)?;
+    let digits = line[..end].strip_suffix(b"\r").ok_or(RespError::InvalidFormat)?;
     let valid = !digits.is_empty() && digits.iter().all(u8::is_ascii_digit);
-    let text = std::str::from_utf8(digits).ok().filter(|_| valid).ok_or(RespError::Form)?;
-    Ok(Some((text.parse().map_err(|_| RespError::Long)?, at + end + 2)))
+    let text = std::str::from_utf8(digits).ok().filter(|_| valid).ok_or(RespError::InvalidFormat)?;
+    Ok(Some((text.parse().map_err(|_| RespError::TooLong)?, at + end + 2)))
 }
 
 /// `ENQUEUE key id names-and-values body`.
-pub fn read_enqueue(words: &[Bytes]) -> Result<Enqueue, &'static str> {
+pub fn parse_enqueue(words: &[Bytes]) -> Result<Enqueue, &'static str> {
     let [_, key, id, fields, body] = words else {
         return Err("ENQUEUE takes a key, an id, fields and a body");
     };
-    if body.len() > LONGEST_BODY {
+    if body.len() > MAX_BODY_BYTES {
         return Err("the body is too long");
     }
     let text = |bytes: &Bytes| std::str::from_utf8(bytes).ok().map(str::to_owned);
@@ -109,7 +109,9 @@
         id,
         key,
         class: field("c").ok_or("c is missing")?.to_owned(),
-        destination: field("dest").and_then(|v| v.parse().ok()).ok_or("dest is missing or no number")?,
+        destination: field("dest")
+            .and_then(|v| v.parse().ok())
+            .ok_or("dest is missing or no number")?,
         left: field("d")
             .and_then(|v| v.parse().ok())
             .map(Duration::from_millis)
@@ -124,7 +126,7 @@
 /// Whether a text may go on in a header and in a notice.
 fn is_token(text: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(&byte);
-    (1..=LONGEST_TOKEN).contains(&text.len()) && text.bytes().all(is_allowed)
+    (1..=MAX_TOKEN_BYTES).contains(&text.len()) && text.bytes().all(is_allowed)
 }
 
 #[cfg(test)]
--- a/crates/gullcart/src/resp/tests.rs
+++ b/crates/gullcart/src/resp/tests.rs
@@ -48,8 +48,8 @@
 
 #[test]
 fn a_request_is_bounded_as_a_whole() {
-    let body = vec![b'x'; LONGEST_BODY];
+    let body = vec![b'x'; MAX_BODY_BYTES];
     let words = |other: usize| encode(&[b"ENQUEUE".to_vec(), vec![b'y'; other], body.clone()]);
     assert!(decode_parts([&words(100), b""]).is_ok());
-    assert_eq!(decode_parts([&words(LONGEST_REST), b""]), Err(RespError::Long));
+    assert_eq!(decode_parts([&words(MAX_OVERHEAD_BYTES), b""]), Err(RespError::TooLong));
 }
--- a/crates/gullcart/src/wire/first_line.rs
+++ b/crates/gullcart/src/tracked_connection/status_line.rs
@@ -3,22 +3,22 @@
 use std::io;
 
 /// `HTTP/1.1 200` and what ends the number.
-const STATUS_END: usize = 13;
-/// More interim answers (1xx) than this before the answer itself are no answer.
-const MOST_INTERIM: u32 = 16;
+const STATUS_PREFIX_LENGTH: usize = 13;
+/// More interim_count answers (1xx) than this before the answer itself are no answer.
+const MAX_INTERIM_RESPONSES: u32 = 16;
 
 /// The status of an answer, from its bytes as they come.
 #[derive(Default)]
-pub(super) struct FirstLine {
+pub(super) struct StatusLine {
     pub(super) status: Option<u16>,
     /// The start of the line that is being read.
     line: Vec<u8>,
     /// In the rest of a head of which the status is known; an empty line ends it.
     in_head: bool,
-    interim: u32,
+    interim_count: u32,
 }
 
-impl FirstLine {
+impl StatusLine {
     /// Reads on.
     pub(super) fn feed(&mut self, bytes: &[u8]) -> io::Result<()> {
         for &byte in bytes {
@@ -30,30 +30,33 @@
                     self.in_head = false;
                 } else if !self.in_head {
                     // A line that ends before its number does says nothing.
-                    self.line_status(b' ')?;
+                    self.parse_status(b' ')?;
                 }
                 self.line.clear();
-            } else if byte != b'\r' && self.line.len() < STATUS_END {
+            } else if byte != b'\r' && self.line.len() < STATUS_PREFIX_LENGTH {
                 self.line.push(byte);
-                if !self.in_head && self.line.len() == STATUS_END {
-                    self.line_status(byte)?;
+                if !self.in_head && self.line.len() == STATUS_PREFIX_LENGTH {
+                    self.parse_status(byte)?;
                 }
             }
         }
         Ok(())
     }
 
-    /// Reads the number of a first line; that of an interim answer is passed over.
-    fn line_status(&mut self, end: u8) -> io::Result<()> {
+    /// Reads the number of a first line; that of an interim_count answer is passed over.
+    fn parse_status(&mut self, terminator: u8) -> io::Result<()> {
         let text = std::str::from_utf8(&self.line).ok();
         let number = text.and_then(|text| text.strip_prefix("HTTP/1.0 ").or(text.strip_prefix("HTTP/1.1 ")));
-        let number = number.and_then(|number| number.get(..3)).filter(|_| end == b' ');
+        let number = number.and_then(|number| number.get(..3)).filter(|_| terminator == b' ');
         match number.and_then(|number| number.parse().ok()) {
             Some(100..=199) => {
                 self.in_head = true;
-                self.interim += 1;
-                if self.interim > MOST_INTERIM {
-                    return Err(io::Error::new(io::ErrorKind::InvalidData, "interim answers without end"));
+                self.interim_count += 1;
+                if self.interim_count > MAX_INTERIM_RESPONSES {
+                    return Err(io::Error::new(
+                        io::ErrorKind::InvalidData,
+                        "interim answers without end",
+                    ));
                 }
             }
             Some(status) => self.status = Some(status),
--- a/crates/gullcart/src/update_stream.rs
+++ b/crates/gullcart/src/update_stream.rs
@@ -1,24 +1,24 @@
-//! The stream of changes of a watch, cut into its objects as its bytes come. No socket: whoever reads hands bytes in.
+//! The stream of changes of a watch, discard_scanned into its objects as its bytes come. No socket: whoever reads hands bytes in.
 
 use gullcart_message::Update;
 use thiserror::Error;
 
 /// Bytes that a list may have at any limit of memory.
-const LEAST_LONGEST: usize = 4 << 20;
+const MIN_LIST_LIMIT_BYTES: usize = 4 << 20;
 /// Part of the memory that a list's text may take. An endpoint that is held takes more than this many times the 150 bytes
 /// or so that tell of it, so that all endpoints that fit into the memory can be told of.
-const MEMORY_OVER_LIST: f64 = 16.0;
+const MEMORY_TO_LIST_RATIO: f64 = 16.0;
 const BYTES_PER_MB: f64 = 1e6;
 
 /// How many bytes a list, or a change of it, may have. One that is longer is damage: an agent that never ends one must
 /// not take all memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LongestList(pub usize);
+pub struct MaxListBytes(pub usize);
 
-impl LongestList {
+impl MaxListBytes {
     /// The bound for a courier with so much memory.
     pub fn for_memory(memory_mb: f64) -> Self {
-        LongestList(LEAST_LONGEST.max((memory_mb * BYTES_PER_MB / MEMORY_OVER_LIST) as usize))
+        MaxListBytes(MIN_LIST_LIMIT_BYTES.max((memory_mb * BYTES_PER_MB / MEMORY_TO_LIST_RATIO) as usize))
     }
 }
 
@@ -27,14 +27,14 @@
     #[error("a change cannot be read: {0}")]
     Json(#[from] serde_json::Error),
     #[error("something else than a change stands between two of them")]
-    Stray,
+    UnexpectedByte,
     #[error("longer than {0} bytes")]
-    Long(usize),
+    TooLong(usize),
 }
 
 /// What came whole.
 #[derive(Debug, PartialEq)]
-pub enum Piece {
+pub enum StreamItem {
     /// The end of a line outside of a change: the watch lasts.
     KeepAlive,
     /// A change. It ends with its last brace, so that it may be indented, over several lines.
@@ -43,7 +43,7 @@
 
 /// Cuts a stream into pieces. Each byte is looked at once, in whatever parts they come.
 pub struct UpdateStream {
-    longest: LongestList,
+    max_bytes: MaxListBytes,
     /// What came of the change that is not whole yet, or was not looked at.
     buffer: Vec<u8>,
     /// How much of it was looked at.
@@ -56,9 +56,9 @@
 
 impl UpdateStream {
     /// A stream of which nothing has come.
-    pub fn new(longest: LongestList) -> Self {
+    pub fn new(max_bytes: MaxListBytes) -> Self {
         UpdateStream {
-            longest,
+            max_bytes,
             buffer: Vec::new(),
             scanned: 0,
             depth: 0,
@@ -73,7 +73,7 @@
     }
 
     /// The next piece that is whole; none until more has come.
-    pub fn next(&mut self) -> Result<Option<Piece>, StreamError> {
+    pub fn next(&mut self) -> Result<Option<StreamItem>, StreamError> {
         while let Some(&byte) = self.buffer.get(self.scanned) {
             self.scanned += 1;
             if self.in_string {
@@ -90,27 +90,27 @@
                 b'}' if self.depth == 1 => {
                     self.depth = 0;
                     let change = serde_json::from_slice(&self.buffer[..self.scanned]);
-                    self.cut();
-                    return Ok(Some(Piece::Change(change?)));
+                    self.discard_scanned();
+                    return Ok(Some(StreamItem::Change(change?)));
                 }
                 b'}' if self.depth > 1 => self.depth -= 1,
                 b'"' if self.depth > 0 => self.in_string = true,
                 _ if self.depth > 0 => {}
                 b'\n' => {
-                    self.cut();
-                    return Ok(Some(Piece::KeepAlive));
+                    self.discard_scanned();
+                    return Ok(Some(StreamItem::KeepAlive));
                 }
                 b' ' | b'\t' | b'\r' => {}
-                _ => return Err(StreamError::Stray),
+                _ => return Err(StreamError::UnexpectedByte),
             }
         }
-        if self.buffer.len() > self.longest.0 {
-            return Err(StreamError::Long(self.longest.0));
+        if self.buffer.len() > self.max_bytes.0 {
+            return Err(StreamError::TooLong(self.max_bytes.0));
         }
         Ok(None)
     }
 
-    fn cut(&mut self) {
+    fn discard_scanned(&mut self) {
         self.buffer.drain(..self.scanned);
         self.scanned = 0;
         if self.buffer.is_empty() {
--- a/crates/gullcart/src/update_stream/tests.rs
+++ b/crates/gullcart/src/update_stream/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use proptest::prelude::*;
 
-const LONGEST: LongestList = LongestList(4 << 20);
+const MAX_BYTES: MaxListBytes = MaxListBytes(4 << 20);
 
 const CHANGE: &str = r#"{"rev":7,"all":false,"targets":[{"uid":"s-{\"1}","endpoint":"127.0.0.1:1","az":"a\\","model":"m","pod_group":1,"state":"SERVING","capacity_hint":1.0,"boot_ms":0}]}"#;
 
@@ -10,53 +10,53 @@
     serde_json::to_string_pretty(&value).unwrap()
 }
 
-/// All pieces of a stream that comes in parts of some size, and the error that ends it.
-fn pieces(bytes: &[u8], size: usize) -> (Vec<Piece>, Option<String>) {
-    let mut stream = UpdateStream::new(LONGEST);
-    let mut pieces = Vec::new();
+/// All items of a stream that comes in parts of some size, and the error that ends it.
+fn items(bytes: &[u8], size: usize) -> (Vec<StreamItem>, Option<String>) {
+    let mut stream = UpdateStream::new(MAX_BYTES);
+    let mut items = Vec::new();
     for part in bytes.chunks(size.max(1)) {
         stream.feed(part);
         loop {
             match stream.next() {
-                Ok(Some(piece)) => pieces.push(piece),
+                Ok(Some(item)) => items.push(item),
                 Ok(None) => break,
-                Err(error) => return (pieces, Some(error.to_string())),
+                Err(error) => return (items, Some(error.to_string())),
             }
         }
     }
-    (pieces, None)
+    (items, None)
 }
 
 #[test]
 fn a_change_is_one_however_it_is_written_and_in_whatever_parts_it_comes() {
     let text = format!("\n{CHANGE}\n{}\r\n \n{CHANGE}{CHANGE}\n", indented());
     for size in 1..text.len() {
-        let (pieces, error) = pieces(text.as_bytes(), size);
+        let (items, error) = items(text.as_bytes(), size);
         assert_eq!(error, None);
-        let changes = pieces.iter().filter(
-            |piece| matches!(piece, Piece::Change(update) if update.rev == 7 && update.targets.len() == 1),
+        let changes = items.iter().filter(
+            |item| matches!(item, StreamItem::Change(update) if update.rev == 7 && update.targets.len() == 1),
         );
         assert_eq!(changes.count(), 4, "parts of {size}");
-        assert_eq!(pieces.iter().filter(|piece| **piece == Piece::KeepAlive).count(), 5, "parts of {size}");
+        assert_eq!(items.iter().filter(|item| **item == StreamItem::KeepAlive).count(), 5, "parts of {size}");
     }
 }
 
 #[test]
 fn what_is_no_change_is_an_error_and_not_waited_for() {
     for bad in ["x", "}", "[", "\"", "{}", "{\"rev\":\"x\"}", "{\"rev\":1,,}", "5\n"] {
-        let (pieces, error) = pieces(bad.as_bytes(), 1);
-        assert!(error.is_some() && pieces.is_empty(), "{bad}: {pieces:?}");
+        let (items, error) = items(bad.as_bytes(), 1);
+        assert!(error.is_some() && items.is_empty(), "{bad}: {items:?}");
     }
 }
 
 /// One without an end is bounded, and is not looked through again with each part that comes.
 #[test]
 fn a_change_without_end_is_given_up_at_its_bound() {
-    let mut stream = UpdateStream::new(LONGEST);
+    let mut stream = UpdateStream::new(MAX_BYTES);
     stream.feed(b"{\"rev\":7,\"targets\":[\"");
     let mut fed = 0;
     let error = loop {
-        assert!(fed <= LONGEST.0 + 64, "it is without bound");
+        assert!(fed <= MAX_BYTES.0 + 64, "it is without bound");
         stream.feed(b"xxxxxxxx");
         fed += 8;
         match stream.next() {
@@ -64,15 +64,15 @@
             other => break other,
         }
     };
-    assert!(matches!(error, Err(StreamError::Long(bytes)) if bytes == LONGEST.0), "{error:?}");
+    assert!(matches!(error, Err(StreamError::TooLong(bytes)) if bytes == MAX_BYTES.0), "{error:?}");
 }
 
 /// 4 MiB as ever where memory is short, and a sixteenth of it where there is more.
 #[test]
 fn the_bound_grows_with_the_memory() {
-    assert_eq!(LongestList::for_memory(8.0), LongestList(4 << 20));
-    assert_eq!(LongestList::for_memory(64.0), LongestList(4 << 20));
-    assert_eq!(LongestList::for_memory(1_600.0), LongestList(100_000_000));
+    assert_eq!(MaxListBytes::for_memory(8.0), MaxListBytes(4 << 20));
+    assert_eq!(MaxListBytes::for_memory(64.0), MaxListBytes(4 << 20));
+    assert_eq!(MaxListBytes::for_memory(1_600.0), MaxListBytes(100_000_000));
 }
 
 proptest! {
@@ -82,6 +82,6 @@
         bytes in prop::collection::vec(prop::sample::select(b"{}[]\"\\,:1x\n ".to_vec()), 0..80),
         size in 1..80_usize,
     ) {
-        prop_assert_eq!(pieces(&bytes, size), pieces(&bytes, bytes.len()));
+        prop_assert_eq!(items(&bytes, size), items(&bytes, bytes.len()));
     }
 }
--- a/crates/gullcart/src/upgrade.rs
+++ b/crates/gullcart/src/upgrade.rs
@@ -22,65 +22,65 @@
 use tokio::time::sleep;
 use tracing::{info, warn};
 
-use crate::console::Question;
+use crate::console::ControlRequest;
 
 /// Descriptors in one message.
-const BATCH: usize = 64;
+const DESCRIPTORS_PER_MESSAGE: usize = 64;
 /// How long one side waits for the next word of the other: it may have to replay its journal.
-const PATIENCE: Duration = Duration::from_secs(3);
+const PEER_TIMEOUT: Duration = Duration::from_secs(3);
 /// ... for a new process to have read what was sent: nothing is served meanwhile, ...
-const READ: Duration = Duration::from_secs(1);
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(1);
 /// ... and the running process for the first word of one that has come.
-const HELLO: Duration = Duration::from_millis(200);
+const HELLO_TIMEOUT: Duration = Duration::from_millis(200);
 /// Between tries to have the name, which the process before may still hold.
-const NAME: Duration = Duration::from_millis(20);
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Why a courier did not move.
 #[derive(Debug, Error)]
-pub enum MoveError {
+pub enum HandoverError {
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("what came is no hand-over: {0}")]
     Frame(#[from] FrameError),
     #[error("the other process belongs to another user")]
-    Stranger,
+    ForeignUser,
     #[error("the other process said something out of turn")]
-    Word,
+    UnexpectedWord,
     #[error("{0} descriptors came, and {1} were announced")]
     Descriptors(usize, usize),
 }
 
 /// A name for the couriers of a folder, in the abstract namespace: it goes with its process.
-fn address(state: &Path) -> io::Result<SocketAddr> {
-    let folder = std::fs::metadata(state)?;
+fn socket_address(state_folder: &Path) -> io::Result<SocketAddr> {
+    let folder = std::fs::metadata(state_folder)?;
     SocketAddr::from_abstract_name(format!("gullcart-move-{}-{}", folder.dev(), folder.ino()))
 }
 
-fn is_own(stream: &UnixStream) -> io::Result<bool> {
+fn is_same_user(stream: &UnixStream) -> io::Result<bool> {
     Ok(rustix::net::sockopt::socket_peercred(stream)?.uid == rustix::process::geteuid())
 }
 
-fn say(stream: &mut UnixStream, word: u8) -> io::Result<()> {
+fn send_word(stream: &mut UnixStream, word: u8) -> io::Result<()> {
     stream.write_all(&[word])
 }
 
-fn hear(stream: &mut UnixStream, word: u8) -> Result<(), MoveError> {
-    let mut heard = [0];
-    stream.read_exact(&mut heard)?;
-    if heard[0] == word {
+fn expect_word(stream: &mut UnixStream, word: u8) -> Result<(), HandoverError> {
+    let mut received = [0];
+    stream.read_exact(&mut received)?;
+    if received[0] == word {
         Ok(())
     } else {
-        Err(MoveError::Word)
+        Err(HandoverError::UnexpectedWord)
     }
 }
 
 /// Lets new processes ask the loop to move, one at a time, until the task is dropped: for as long as this process has the
 /// courier, also while it is being given to one that may fail. Who comes meanwhile waits its turn.
-pub async fn listen(state: &Path, ask: mpsc::Sender<Question>) {
+pub async fn listen(state_folder: &Path, requests: mpsc::Sender<ControlRequest>) {
     let listener = loop {
-        match address(state).and_then(|address| UnixListener::bind_addr(&address)) {
+        match socket_address(state_folder).and_then(|address| UnixListener::bind_addr(&address)) {
             Ok(listener) => break listener,
-            Err(error) if error.kind() == io::ErrorKind::AddrInUse => sleep(NAME).await,
+            Err(error) if error.kind() == io::ErrorKind::AddrInUse => sleep(BIND_RETRY_INTERVAL).await,
             Err(error) => return warn!(%error, "a later version cannot take over while this one runs"),
         }
     };
@@ -90,63 +90,70 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 let Ok(stream) = stream.into_std() else { continue };
-                // Nobody else may have it, nor hold the loop up: its first word must have been said.
-                if !is_own(&stream).unwrap_or(false) {
+                // Unavailable else may have it, nor hold the loop up: its first word must have been said.
+                if !is_same_user(&stream).unwrap_or(false) {
                     warn!("a process of another user asked for the courier");
-                } else if ask.send(Question::Move(stream)).await.is_err() {
+                } else if requests.send(ControlRequest::HandOver(stream)).await.is_err() {
                     return;
                 }
             }
-            Err(_) => sleep(NAME).await,
+            Err(_) => sleep(BIND_RETRY_INTERVAL).await,
         }
     }
 }
 
 /// Whether the process that asks speaks our language. It has said so at once, or not at all.
-pub fn is_greeted(stream: &mut UnixStream) -> bool {
-    let patient = stream
+pub fn receive_hello(stream: &mut UnixStream) -> bool {
+    let configured = stream
         .set_nonblocking(false)
-        .and_then(|()| stream.set_read_timeout(Some(HELLO)))
-        .and_then(|()| stream.set_write_timeout(Some(PATIENCE)));
-    patient.is_ok() && hear(stream, words::HELLO).is_ok() && stream.set_read_timeout(Some(READ)).is_ok()
+        .and_then(|()| stream.set_read_timeout(Some(HELLO_TIMEOUT)))
+        .and_then(|()| stream.set_write_timeout(Some(PEER_TIMEOUT)));
+    configured.is_ok()
+        && expect_word(stream, words::HELLO).is_ok()
+        && stream.set_read_timeout(Some(TRANSFER_TIMEOUT)).is_ok()
 }
 
 /// Gives the courier to the process that asks. `release` gives up the lock of the folder. What is to be done then.
-pub fn give(
+pub fn hand_over(
     mut stream: UnixStream,
-    baggage: &Baggage,
+    state: &Baggage,
     descriptors: &[OwnedFd],
     release: impl FnOnce(),
 ) -> Act {
-    let mut giver = Giver::default();
-    giver.on(Event::Hello);
-    let sent = send(&mut stream, baggage, descriptors).and_then(|()| hear(&mut stream, words::ACCEPTED));
+    let mut sender = Giver::default();
+    sender.on(Event::Hello);
+    let sent =
+        send_state(&mut stream, state, descriptors).and_then(|()| expect_word(&mut stream, words::ACCEPTED));
     if let Err(error) = sent {
         warn!(%error, "the courier stays in this process");
-        return giver.on(Event::Gone);
+        return sender.on(Event::Gone);
     }
-    giver.on(Event::Accepted);
-    let patient = stream.set_read_timeout(Some(PATIENCE));
+    sender.on(Event::Accepted);
+    let configured = stream.set_read_timeout(Some(PEER_TIMEOUT));
     release();
-    giver.on(Event::Released);
-    let served = patient
-        .and_then(|()| say(&mut stream, words::YOURS))
-        .map_err(MoveError::from)
-        .and_then(|()| hear(&mut stream, words::SERVING));
+    sender.on(Event::Released);
+    let served = configured
+        .and_then(|()| send_word(&mut stream, words::YOURS))
+        .map_err(HandoverError::from)
+        .and_then(|()| expect_word(&mut stream, words::SERVING));
     match served {
-        Ok(()) => giver.on(Event::Serving),
+        Ok(()) => sender.on(Event::Serving),
         Err(error) => {
             warn!(%error, "the new process does not serve; the courier comes back to this one");
-            giver.on(Event::Gone)
+            sender.on(Event::Gone)
         }
     }
 }
 
-fn send(stream: &mut UnixStream, baggage: &Baggage, descriptors: &[OwnedFd]) -> Result<(), MoveError> {
-    stream.write_all(&write(baggage)?)?;
-    for batch in descriptors.chunks(BATCH) {
+fn send_state(
+    stream: &mut UnixStream,
+    state: &Baggage,
+    descriptors: &[OwnedFd],
+) -> Result<(), HandoverError> {
+    stream.write_all(&write(state)?)?;
+    for batch in descriptors.chunks(DESCRIPTORS_PER_MESSAGE) {
         let batch: Vec<_> = batch.iter().map(AsFd::as_fd).collect();
-        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(BATCH))];
+        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(DESCRIPTORS_PER_MESSAGE))];
         let mut control = SendAncillaryBuffer::new(&mut space);
         control.push(SendAncillaryMessage::ScmRights(&batch));
         sendmsg(&*stream, &[IoSlice::new(b"d")], &mut control, SendFlags::NOSIGNAL)
@@ -156,71 +163,73 @@
 }
 
 /// What came of asking for the courier.
-pub enum Asked {
+pub enum RequestOutcome {
     /// It has come.
-    Arrived(Box<Arrived>),
-    /// Nobody gave anything: none runs, or it ends, or it is just being given to somebody else. It may be asked for again.
-    Nobody,
+    Arrived(Box<ArrivedCourier>),
+    /// Unavailable gave anything: none runs, or it ends, or it is just being given to somebody else. It may be asked for again.
+    Unavailable,
 }
 
-/// A courier that has come, and is still that of the process before until [`Arrived::own`].
-pub struct Arrived {
+/// A courier that has come, and is still that of the process before until [`ArrivedCourier::own`].
+pub struct ArrivedCourier {
     stream: UnixStream,
-    pub baggage: Baggage,
+    pub state: Baggage,
     /// In the order in which the baggage names them.
     pub descriptors: Vec<OwnedFd>,
 }
 
-impl Arrived {
+impl ArrivedCourier {
     /// Asks the process that runs on the same folder for its courier. An error is for what had begun to come.
-    pub fn ask(state: &Path) -> Result<Asked, MoveError> {
-        let mut stream = match UnixStream::connect_addr(&address(state)?) {
+    pub fn request(state_folder: &Path) -> Result<RequestOutcome, HandoverError> {
+        let mut stream = match UnixStream::connect_addr(&socket_address(state_folder)?) {
             Ok(stream) => stream,
-            Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => return Ok(Asked::Nobody),
+            Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
+                return Ok(RequestOutcome::Unavailable)
+            }
             Err(error) => return Err(error.into()),
         };
-        if !is_own(&stream)? {
-            return Err(MoveError::Stranger);
+        if !is_same_user(&stream)? {
+            return Err(HandoverError::ForeignUser);
         }
-        stream.set_read_timeout(Some(PATIENCE))?;
-        stream.set_write_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(PEER_TIMEOUT))?;
+        stream.set_write_timeout(Some(PEER_TIMEOUT))?;
         let mut head = [0; HEAD];
-        if say(&mut stream, words::HELLO).and_then(|()| stream.read_exact(&mut head)).is_err() {
-            return Ok(Asked::Nobody);
+        if send_word(&mut stream, words::HELLO).and_then(|()| stream.read_exact(&mut head)).is_err() {
+            return Ok(RequestOutcome::Unavailable);
         }
         let head = read_head(&head)?;
         let mut body = vec![0; head.length];
         stream.read_exact(&mut body)?;
-        let baggage = read_baggage(head, &body)?;
-        let announced = baggage.descriptors();
+        let state = read_baggage(head, &body)?;
+        let announced = state.descriptors();
         let mut descriptors = Vec::with_capacity(announced.min(MOST_DESCRIPTORS));
         while descriptors.len() < announced {
-            let before = descriptors.len();
-            receive(&stream, &mut descriptors)?;
-            if descriptors.len() == before || descriptors.len() > announced {
-                return Err(MoveError::Descriptors(descriptors.len(), announced));
+            let previous_count = descriptors.len();
+            receive_descriptors(&stream, &mut descriptors)?;
+            if descriptors.len() == previous_count || descriptors.len() > announced {
+                return Err(HandoverError::Descriptors(descriptors.len(), announced));
             }
         }
-        Ok(Asked::Arrived(Box::new(Arrived { stream, baggage, descriptors })))
+        Ok(RequestOutcome::Arrived(Box::new(ArrivedCourier { stream, state, descriptors })))
     }
 
     /// Accepts it: once this is done the folder's lock is free.
-    pub fn own(&mut self) -> Result<(), MoveError> {
-        say(&mut self.stream, words::ACCEPTED)?;
-        hear(&mut self.stream, words::YOURS)
+    pub fn accept(&mut self) -> Result<(), HandoverError> {
+        send_word(&mut self.stream, words::ACCEPTED)?;
+        expect_word(&mut self.stream, words::YOURS)
     }
 
     /// Tells the process before that this one serves. From then on that one holds nothing any more.
-    pub fn serves(mut self) -> Result<(), MoveError> {
-        say(&mut self.stream, words::SERVING)?;
+    pub fn confirm_serving(mut self) -> Result<(), HandoverError> {
+        send_word(&mut self.stream, words::SERVING)?;
         info!("the process before holds nothing any more");
         Ok(())
     }
 }
 
-fn receive(stream: &UnixStream, descriptors: &mut Vec<OwnedFd>) -> io::Result<()> {
+fn receive_descriptors(stream: &UnixStream, descriptors: &mut Vec<OwnedFd>) -> io::Result<()> {
     let mut byte = [0];
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(BATCH))];
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(DESCRIPTORS_PER_MESSAGE))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
     recvmsg(stream, &mut [IoSliceMut::new(&mut byte)], &mut control, RecvFlags::CMSG_CLOEXEC)?;
     for message in control.drain() {
