--- a/crates/gullcart/src/calls.rs
+++ b/crates/gullcart/src/calls.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints: one call each at a time, and how it ended.
+//! Connections to endpoints. A connection carries one call at a time; each call ends with an outcome.
 
 use bytes::Bytes;
 use cloverstile::{EndpointId, Outcome};
@@ -24,61 +24,61 @@
 
 use crate::tracked_connection::{Descriptor, TrackedConnection, TrackedStream, WriteProgress};
 
-/// Idle connections are closed after this part of the endpoint's own limit, so that no call meets its closing.
+/// Part of the endpoints' own idle timeout after which idle connections are closed here, so that no call meets the other side's close.
 const IDLE_TIME_FRACTION: f64 = 0.7;
-/// How long a connection rests before it is used again, so that bytes right behind an answer are seen before they
-/// could be taken for the next one. A new connection would take longer.
+/// How long a connection stays unused after a response, so that surplus bytes behind the response are noticed before they could
+/// pass for the next response. Opening a new connection takes longer.
 const REUSE_DELAY: Duration = Duration::from_millis(5);
-/// How long a given-up connection may take to be closed by the other side before it is dropped.
+/// How long the endpoint may take to close an abandoned connection before it is dropped.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(40);
-/// Longest head of an answer.
+/// Largest head of a response that is accepted.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// From the first byte of an answer to the end of its head: one that takes longer is broken.
+/// Time from the first byte of a response to the end of its head; a slower one counts as broken.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(250);
 
 type RequestSender = SendRequest<Full<Bytes>>;
 
-/// An open connection. Dropping it closes it.
+/// An open connection to an endpoint, closed when dropped.
 struct Connection {
     address: SocketAddr,
+    /// The connection below the HTTP library.
     sender: RequestSender,
     stream: Rc<TrackedConnection>,
-    /// The http_task_guard has the connection until this is dropped.
+    /// Keeps the HTTP library's task running; the task ends when this is dropped.
     http_task_guard: oneshot::Sender<()>,
     idle_since: Instant,
 }
 
 impl Connection {
-    /// Gives up the call that is out: ends the sending side and waits, for a moment, until the endpoint has
-    /// closed too. Only then has it let go of the call, so that the slot is free and a next attempt is no
-    /// second copy.
+    /// Abandons the call in flight: shuts the sending side down and waits briefly until the endpoint has closed too. Only then has
+    /// the endpoint let go of the call, so that the slot is free and the next attempt is not a second copy at the endpoint.
     async fn abandon(self) {
         let Connection { stream, http_task_guard, .. } = self;
-        // The http_task_guard writes and reads no more.
+        // From here on the HTTP library neither reads nor writes.
         drop(http_task_guard);
         let _ = timeout(CLOSE_TIMEOUT, stream.shutdown_and_drain()).await;
     }
 }
 
-/// A call that the process before has written.
+/// A call that the previous process has written.
 pub struct CarriedCall {
-    /// Its connection, not blocking.
+    /// The connection, in non-blocking mode; taken when the call is resumed.
     pub stream: Option<std::net::TcpStream>,
-    /// What was read of its answer.
+    /// Bytes of the response read so far.
     pub response_bytes: Vec<u8>,
-    /// What its connection has brought before.
+    /// Fingerprints of the responses that the connection has brought before.
     pub earlier_answers: ConnectionAnswers,
-    /// How long it has taken.
+    /// Time since the call started.
     pub elapsed: Duration,
 }
 
-/// The connections to endpoints. Those that are idle are kept by endpoint, the newest last: an address may belong
-/// to another endpoint by now, which must not be given what is left of the one before.
+/// The connections to endpoints. Idle ones are kept by endpoint, the newest last, and not by address: an address may belong to
+/// another endpoint by now, which must not get the connections of its predecessor.
 pub struct ConnectionPool {
     idle: RefCell<HashMap<EndpointId, Vec<Connection>>>,
-    /// What the answers of each endpoint in use are like.
+    /// Response statistics of each endpoint in use, which tell whether its responses can be told apart.
     endpoint_answers: RefCell<HashMap<EndpointId, EndpointAnswers>>,
-    /// Descriptors in use: idle, with a call, ending an answer, or being given up.
+    /// Descriptors in use: idle, with a call, reading the rest of a response, or being abandoned.
     open_descriptors: Rc<Cell<usize>>,
     descriptor_released: Rc<Notify>,
     connect_timeout: Duration,
@@ -91,7 +91,7 @@
 }
 
 impl ConnectionPool {
-    /// At max_open `max_open` connections are open at a time, and `max_idle` of them idle.
+    /// A pool of at most `max_open` connections, of which at most `max_idle` are idle.
     pub fn new(
         connect_timeout: Duration,
         conn_idle: Duration,
@@ -117,30 +117,30 @@
     /// Closes the idle connections to an endpoint.
     pub fn close_idle(&self, endpoint: EndpointId) {
         if self.idle.borrow_mut().remove(&endpoint).is_some() {
-            log_closed(endpoint, "they are not trusted any more");
+            log_closed(endpoint, "connections no longer trusted");
         }
     }
 
-    /// Closes the idle connections to all endpoints but some.
+    /// Closes the idle connections of all endpoints for which `is_wanted` is false.
     pub fn retain_endpoints(&self, is_wanted: impl Fn(EndpointId) -> bool) {
         self.idle.borrow_mut().retain(|endpoint, _| {
             let is_kept = is_wanted(*endpoint);
             if !is_kept {
-                log_closed(*endpoint, "the endpoint gets nothing new");
+                log_closed(*endpoint, "the endpoint gets no new calls");
             }
             is_kept
         });
         self.endpoint_answers.borrow_mut().retain(|endpoint, _| is_wanted(*endpoint));
     }
 
-    /// Closes what has been idle for too long or was closed by the other side.
+    /// Closes connections that have been idle for too long or were closed by the other side.
     pub fn close_expired(&self) {
         let mut idle = self.idle.borrow_mut();
         for (endpoint, connections) in idle.iter_mut() {
             let before = connections.len();
             connections.retain(|c| self.is_usable(c));
             if connections.len() < before {
-                log_closed(*endpoint, "they were idle for too long, or closed by the endpoint");
+                log_closed(*endpoint, "idle for too long, or closed by the endpoint");
             }
         }
         idle.retain(|_, connections| !connections.is_empty());
@@ -150,7 +150,7 @@
         connection.idle_since.elapsed() < self.max_idle_time && !connection.sender.is_closed()
     }
 
-    /// A kept connection, once one has rested; none if there is none.
+    /// Takes an idle connection once one has passed [`REUSE_DELAY`]; none if the endpoint has no idle connection.
     async fn take_idle(&self, endpoint: EndpointId, address: SocketAddr) -> Option<Connection> {
         loop {
             let usable_at = {
@@ -167,14 +167,14 @@
         }
     }
 
-    /// Takes whatever comes first behind a call for its answer.
+    /// Injected fault: accepts any response, also a copy of an earlier one.
     #[cfg(feature = "broken")]
-    pub fn accept_copies(&self, believes: bool) {
-        self.accepts_copies.set(believes);
+    pub fn accept_copies(&self, is_accepted: bool) {
+        self.accepts_copies.set(is_accepted);
     }
 
-    /// Whether a delivery belongs to the call that was out on its connection; learns from it what the endpoint's answers are
-    /// like.
+    /// Whether a 200 response belongs to the call on its connection, and is not a copy of an earlier response. Updates the
+    /// endpoint's response statistics.
     fn accept_delivery(&self, endpoint: EndpointId, stream: &TrackedConnection, body: &[u8]) -> bool {
         #[cfg(feature = "broken")]
         if self.accepts_copies.get() {
@@ -201,7 +201,7 @@
         accepted.is_ok()
     }
 
-    /// Whether a connection may carry one more call.
+    /// Whether a connection may carry another call.
     fn may_reuse(&self, endpoint: EndpointId, stream: &TrackedConnection) -> bool {
         #[cfg(feature = "broken")]
         if self.accepts_copies.get() {
@@ -212,9 +212,10 @@
         is_distinguishable && stream.earlier_answers.borrow().allow_another_call()
     }
 
+    /// Keeps a connection for later calls, within the limits.
     fn keep_idle(&self, endpoint: EndpointId, mut connection: Connection) {
         if !self.idle_share.borrow_mut().keeps() {
-            return log_closed(endpoint, "it is not kept, so that the endpoint has room for others");
+            return log_closed(endpoint, "not kept, to leave room at the endpoint for other couriers");
         }
         connection.idle_since = Instant::now();
         if self.idle.borrow().values().map(Vec::len).sum::<usize>() >= self.max_idle {
@@ -223,18 +224,18 @@
         self.idle.borrow_mut().entry(endpoint).or_default().push(connection);
     }
 
-    /// Closes the connection that has been idle for longest; each list has its oldest first.
+    /// Closes the connection that has been idle longest; each endpoint's list has its oldest first.
     fn close_oldest_idle(&self) {
         let mut idle = self.idle.borrow_mut();
         let oldest = idle.iter().filter_map(|(at, c)| c.first().map(|c| (c.idle_since, *at))).min();
         let Some((_, endpoint)) = oldest else { return };
         if let Some(connections) = idle.get_mut(&endpoint) {
             connections.remove(0);
-            log_closed(endpoint, "room is needed for another one");
+            log_closed(endpoint, "descriptor needed for another connection");
         }
     }
 
-    /// A descriptor for one more connection; idle ones give way to it.
+    /// Waits for a free descriptor, closing idle connections for it.
     async fn acquire_descriptor(&self) -> Descriptor {
         while self.open_descriptors.get() >= self.max_open {
             self.close_oldest_idle();
@@ -243,7 +244,7 @@
         Descriptor::new(&self.open_descriptors, &self.descriptor_released)
     }
 
-    /// A connection for a call, and whether it is a new one.
+    /// A connection for a call, and whether it is new.
     async fn connection_for(
         &self,
         call: &Call,
@@ -253,7 +254,7 @@
         if let Some(stream) = carried.and_then(|carried| carried.stream.take()) {
             let descriptor = Descriptor::new(&self.open_descriptors, &self.descriptor_released);
             let connected = async { handshake(call.address, TcpStream::from_std(stream)?, descriptor).await };
-            // It was written, so that it may have run.
+            // The request was written, so the call may have run.
             return connected.await.map(|connection| (connection, true)).map_err(|_| Outcome::Reset);
         }
         if !call.may_have_run {
@@ -264,11 +265,12 @@
         Ok((self.open_connection(call.address, limit).await?, true))
     }
 
+    /// Opens a connection within `limit`.
     async fn open_connection(&self, address: SocketAddr, limit: ConnectLimit) -> Result<Connection, Outcome> {
-        // Without a descriptor nothing was tried, which says nothing of the endpoint.
+        // Without a descriptor nothing was tried, which says nothing about the endpoint.
         let descriptor =
             timeout_at(limit.deadline, self.acquire_descriptor()).await.map_err(|_| Outcome::Moot)?;
-        // Refused, or it never came up: nothing was sent.
+        // Refused or timed out: nothing was sent.
         match timeout_at(limit.deadline, connect(address, descriptor)).await {
             Ok(Ok(connection)) => Ok(connection),
             Ok(Err(_)) => Err(Outcome::ConnectFailed),
@@ -276,8 +278,8 @@
         }
     }
 
-    /// Makes one call; `progress` tells how much of it has been written. One that was carried over goes on where the process
-    /// before left it. Nothing is written after `send_by`.
+    /// Makes one call and returns how it ended; `progress` shows how much of the request has been written. A call that was handed
+    /// over resumes where the previous process left it. Nothing is written after `send_by`.
     pub async fn call(
         self: &Rc<Self>,
         call: Call,
@@ -293,7 +295,7 @@
             |outcome| Ended { outcome, latency: started_at.elapsed(), complete: false, allowance: None };
         loop {
             let limit = ConnectLimit::new(end.min(started_at + self.connect_timeout), send_by);
-            // One that was carried over has been sent: when it is stopped, it may have run.
+            // A call that was handed over has been sent, so it may have run even when it is stopped at once.
             let is_unsent = carried.is_none();
             let (mut connection, is_new) = tokio::select! {
                 biased;
@@ -304,7 +306,7 @@
                 },
             };
             let (port, before) = (connection.stream.local_port(), connection.stream.call_count());
-            debug!(target: TRAIL, id = call.id, fresh = is_new, port, before, after = ?started_at.elapsed(), "its connection is there");
+            debug!(target: TRAIL, id = call.id, fresh = is_new, port, before, after = ?started_at.elapsed(), "connection ready");
             let Ok(request) = build_request(&call) else { return ended(Outcome::Moot) };
             let stream = connection.stream.clone();
             stream.begin_call(call.body.len(), progress.clone(), send_by);
@@ -314,13 +316,13 @@
             let end_of_call = tokio::select! {
                 biased;
                 result = send_request(&mut connection.sender, request) => match result {
-                    // Both may be due at once: what was not read in time was perhaps not written in time, and a message
-                    // that was not delivered and has no notice is lost. A notice too many does no harm.
+                    // After a stalled process the response and the timeout may both be due. A response that was not read in time may not
+                    // have been written in time either; taking it for a delivery could lose the message, while a surplus notice is harmless.
                     Ok(_) if stream.status() == Some(200) && !stream.is_delivered_by(end) => CallEnd::TimedOut,
                     Ok(response) => {
                         let (status, after) = (response.status().as_u16(), started_at.elapsed());
                         let copies = stream.copy_count();
-                        debug!(target: TRAIL, id = call.id, port, before, copies, status, ?after, "it is answered");
+                        debug!(target: TRAIL, id = call.id, port, before, copies, status, ?after, "response head received");
                         return self.read_response(call.endpoint, connection, response, started_at, end).await;
                     }
                     Err(_) => CallEnd::Broken,
@@ -331,38 +333,38 @@
             };
             let latency = started_at.elapsed();
             let ((written, read), copies) = (stream.byte_counts(), stream.copy_count());
-            debug!(target: TRAIL, id = call.id, ?end_of_call, written, read, copies, status = stream.status(), "it ends without an answer");
+            debug!(target: TRAIL, id = call.id, ?end_of_call, written, read, copies, status = stream.status(), "call ended without a response head");
             let outcome = match end_of_call {
-                // Not a byte of it was written: it has never run. That it was too late for it says nothing of the endpoint.
+                // Not a byte was written, so the call never ran. A missed `send_by` says nothing about the endpoint.
                 CallEnd::Broken | CallEnd::TimedOut if stream.is_unwritten() && stream.is_past_send_by() => {
                     Outcome::Moot
                 }
                 CallEnd::Broken if stream.is_unwritten() && !is_new => {
-                    // A kept connection that turned out to be closed, or to hold bytes that belong to no call:
-                    // it goes out on another one.
+                    // An idle connection that turned out to be closed, or to hold bytes that belong to no call: the call is sent on
+                    // another connection.
                     log_stray_bytes(call.endpoint, &stream, "between two calls");
-                    debug!(target: TRAIL, id = call.id, "it goes out on another connection");
+                    debug!(target: TRAIL, id = call.id, "call retried on another connection");
                     continue;
                 }
                 CallEnd::Stopped(reason) if stream.is_unwritten() => outcome_if_unsent(reason),
                 CallEnd::Broken | CallEnd::TimedOut if stream.is_unwritten() => Outcome::ConnectFailed,
-                // What the first line says is true, whatever came behind it, where it cannot be a copy.
+                // A status line with 200 counts whatever follows it, unless it may be a copy of an earlier response.
                 _ if stream.is_delivered_by(end) && stream.earlier_answers.borrow().is_empty() => Outcome::Ok,
                 CallEnd::Broken if stream.has_response_bytes() => Outcome::Spoilt,
-                // Some of it was written, and how much of that arrived cannot be told: it may have run.
+                // Some of the request was written, and how much of it arrived is unknown: the call may have run.
                 CallEnd::Broken => Outcome::Reset,
                 CallEnd::TimedOut => Outcome::Timeout,
                 CallEnd::Stopped(_) => Outcome::Cancelled,
             };
-            // First, whatever ended it: until then the endpoint may still have the call.
+            // Before the outcome is returned: until the connection is closed, the endpoint may still run the call.
             connection.abandon().await;
             return Ended { latency, complete: outcome == Outcome::Ok, ..ended(outcome) };
         }
     }
 
-    /// Reads an answer. A delivery is believed of its first line where it is the first answer of its connection. All else is
-    /// believed only of an answer that is whole: the endpoint has let go of the call by then, and a copy of an earlier answer
-    /// can be told from a delivery.
+    /// Handles a response after its head. A 200 is trusted at once on the connection's first response. Everything else is trusted
+    /// only once the response is complete: by then the endpoint has let go of the call, and a copy of an earlier response can be
+    /// told from a delivery.
     async fn read_response(
         self: &Rc<Self>,
         endpoint: EndpointId,
@@ -386,18 +388,18 @@
     }
 }
 
-/// Says that a kept connection was closed by the endpoint, or that bytes came on it that answer no call.
+/// Logs that an idle connection was closed by the endpoint, or that it brought bytes that belong to no call.
 fn log_stray_bytes(endpoint: EndpointId, stream: &TrackedConnection, when: &str) {
     let (port, calls) = (stream.local_port(), stream.call_count());
-    debug!(target: TRAIL, endpoint = endpoint.0, port, calls, when, "bytes that answer no call, or an end");
+    debug!(target: TRAIL, endpoint = endpoint.0, port, calls, when, "unexpected bytes, or closed by the endpoint");
 }
 
-/// Says why idle connections to an endpoint are closed.
+/// Logs why idle connections to an endpoint are closed.
 fn log_closed(endpoint: EndpointId, reason: &str) {
-    debug!(target: TRAIL, endpoint = endpoint.0, reason, "idle connections are closed");
+    debug!(target: TRAIL, endpoint = endpoint.0, reason, "idle connections closed");
 }
 
-/// Until when a connection may come up, and what it means that it has not.
+/// By when a connection must be open, and the outcome if it is not.
 #[derive(Clone, Copy)]
 struct ConnectLimit {
     deadline: Instant,
@@ -405,8 +407,8 @@
 }
 
 impl ConnectLimit {
-    /// An endpoint that is given the usual time and does not come up is out of reach; one that is given less, as its call
-    /// may not be sent any more, may not be.
+    /// An endpoint that does not accept within the usual timeout is unreachable. If `send_by` cuts the timeout short, nothing is
+    /// known about the endpoint.
     fn new(usual: Instant, send_by: Option<Instant>) -> Self {
         match send_by {
             Some(at) if at < usual => ConnectLimit { deadline: at, timeout_outcome: Outcome::Moot },
@@ -415,15 +417,18 @@
     }
 }
 
-/// How a call came to its end without the head of an answer.
+/// How a call ended without the head of a response.
 #[derive(Clone, Copy, Debug)]
 enum CallEnd {
+    /// The connection failed, or the response was malformed.
     Broken,
+    /// The call's time was up.
     TimedOut,
+    /// The courier stopped the call.
     Stopped(Option<Stop>),
 }
 
-/// A call that was stopped before its first byte never ran.
+/// The outcome of a call that was stopped before its first byte was written, and so never ran.
 fn outcome_if_unsent(reason: Option<Stop>) -> Outcome {
     match reason {
         Some(Stop::CalledOff) => Outcome::ConnectFailed,
@@ -431,6 +436,7 @@
     }
 }
 
+/// Sends a request and waits for the head of the response.
 async fn send_request(
     sender: &mut RequestSender,
     request: Request<Full<Bytes>>,
@@ -439,6 +445,7 @@
     sender.send_request(request).await
 }
 
+/// The HTTP request of a call.
 fn build_request(call: &Call) -> hyper::http::Result<Request<Full<Bytes>>> {
     let mut request = Request::post("/hook")
         .header("Host", call.address.to_string())
@@ -450,8 +457,8 @@
     request.body(Full::new(call.body.clone()))
 }
 
-/// Reads the rest of an answer, by the end of its call; false where it is not whole or may belong to another call, and its
-/// connection is given up.
+/// Reads the rest of a response until the end of its call. Returns false, and abandons the connection, if the response is
+/// incomplete or may belong to another call.
 async fn finish_response(
     pool: Rc<ConnectionPool>,
     endpoint: EndpointId,
@@ -460,12 +467,12 @@
     end: Instant,
 ) -> bool {
     let is_delivery = response.status() == StatusCode::OK;
-    // Where its end is told in two ways, one of them may be wrong.
+    // With both headers one of them may be wrong, and the end of the response is ambiguous.
     let headers = response.headers();
     let has_conflicting_lengths =
         headers.contains_key("content-length") && headers.contains_key("transfer-encoding");
     let Some(body) = read_body(response, end).await else {
-        debug!(target: TRAIL, endpoint = endpoint.0, port = connection.stream.local_port(), "an answer is not whole");
+        debug!(target: TRAIL, endpoint = endpoint.0, port = connection.stream.local_port(), "response incomplete");
         connection.abandon().await;
         return false;
     };
@@ -473,16 +480,16 @@
         connection.abandon().await;
         return false;
     }
-    // A copy of a refusal or an error could be told from the next one by nothing.
+    // Only 200 responses have a body that tells copies apart, so a connection is not reused after any other response.
     if is_delivery && !has_conflicting_lengths && pool.may_reuse(endpoint, &connection.stream) {
         tokio::task::spawn_local(async move {
-            // Ready once all of the answer is read, and closed when something came behind it: the connection's
-            // own task has looked by then.
+            // The sender is ready once the whole response is read, and closed if bytes followed it; the connection's own task has
+            // checked for them by then.
             if let Ok(Ok(())) = timeout(BODY_TIMEOUT, connection.sender.ready()).await {
                 yield_now().await;
                 connection.stream.remember_response();
                 if !connection.stream.is_open_and_empty() {
-                    log_stray_bytes(endpoint, &connection.stream, "behind an answer");
+                    log_stray_bytes(endpoint, &connection.stream, "after a response");
                 } else if pool.may_reuse(endpoint, &connection.stream) {
                     pool.keep_idle(endpoint, connection);
                 }
@@ -492,12 +499,14 @@
     true
 }
 
+/// Opens a connection to an endpoint.
 async fn connect(address: SocketAddr, descriptor: Descriptor) -> io::Result<Connection> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     handshake(address, stream, descriptor).await
 }
 
+/// Starts the HTTP library on a connected stream.
 async fn handshake(address: SocketAddr, stream: TcpStream, descriptor: Descriptor) -> io::Result<Connection> {
     let stream = Rc::new(TrackedConnection::new(stream, descriptor));
     let io = TokioIo::new(TrackedStream(stream.clone()));
@@ -506,7 +515,8 @@
     let (http_task_guard, dropped) = oneshot::channel();
     tokio::task::spawn_local(async move {
         tokio::select! {
-            // First, as a given-up answer would also end the connection, without the wait for the other side.
+            // First: dropping a response that was abandoned also ends the connection's own future, but without waiting for the
+            // other side to close.
             biased;
             _ = dropped => {}
             _ = &mut connection => {}
--- a/crates/gullcart/src/calls/response.rs
+++ b/crates/gullcart/src/calls/response.rs
@@ -1,4 +1,4 @@
-//! What an endpoint's answer says.
+//! Interprets an endpoint's response.
 
 use bytes::Bytes;
 use cloverstile::{Allowance, Outcome};
@@ -9,16 +9,17 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// The body of an answer means nothing; a longer one, or a longer wait for its end, is not worth the connection.
+/// Largest body that is read. The body has no meaning for the courier, so a connection with a longer one is closed.
 const MAX_BODY_BYTES: u64 = 64 << 10;
+/// How long the rest of a response may take before its connection is closed.
 pub(super) const BODY_TIMEOUT: Duration = Duration::from_millis(500);
-/// What is reported of a limit beyond these figures is no report.
+/// Largest values of a load report that are plausible; a report beyond them is ignored.
 const MAX_REMAINING_SHARE: f64 = 2.0;
 const MAX_CALL_LIMIT: f64 = 1e6;
-/// A longer wait than this is no wait that anybody can mean.
+/// Upper bound on the retry-after interval that an endpoint can ask for.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(600);
 
-/// What an answer's head says of its call.
+/// The outcome that a response's head reports for its call.
 pub(super) fn parse_response_head(response: &Response<Incoming>, latency: Duration) -> Ended {
     let header = |name: &str| response.headers().get(name).and_then(|value| value.to_str().ok());
     let (outcome, complete) = match response.status().as_u16() {
@@ -33,12 +34,12 @@
         503 => (Outcome::Full(None), false),
         504 => (Outcome::Spent, false),
         410 => (Outcome::Moot, true),
-        // An error, or an answer that nobody knows: it may have run.
+        // A server error, or a status without a defined meaning: the call may have run.
         _ => (Outcome::Error, false),
     };
     Ended { outcome, latency, complete, allowance: header("X-Load-Report").and_then(parse_load_report) }
 }
-
+/// Parses the load report header; none where a value is missing or implausible.
 pub(super) fn parse_load_report(text: &str) -> Option<Allowance> {
     let value = |name: &str| -> Option<f64> {
         let fields = text.split(',').filter_map(|field| field.trim().split_once('='));
@@ -49,7 +50,7 @@
     is_plausible.then_some(Allowance { left, limit })
 }
 
-/// The body of an answer; none where it is too long, does not come by the end of its call, or breaks off.
+/// Reads the body of a response; none if it is too long, incomplete, or not received by `end`.
 pub(super) async fn read_body(response: Response<Incoming>, end: Instant) -> Option<Bytes> {
     if response.body().size_hint().lower() > MAX_BODY_BYTES {
         return None;
--- a/crates/gullcart/src/clients.rs
+++ b/crates/gullcart/src/clients.rs
@@ -1,5 +1,4 @@
-//! The server for clients: requests in, one answer each, on a bounded number of connections. How they are written is in
-//! `resp`.
+//! The server for clients: reads requests and replies to each, on a bounded number of connections. The protocol is in `resp`.
 
 use bytes::{Bytes, BytesMut};
 use socket2::SockRef;
@@ -19,89 +18,95 @@
 use crate::resp::{decode, encode, parse_enqueue};
 use gullcart_engine::{Answer, Enqueue, Input, Seldom, EPOCH, TRAIL};
 
-/// Read at once, as far as it is there. A request that needs more waits for one of the places for long ones.
+/// Bytes read at a time. A longer request needs one of the permits for long requests.
 const READ_CHUNK_BYTES: usize = 4 << 10;
-/// How long a connection may stay without its first request, ...
+/// How long a new connection may take until the first bytes of its first request.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// ... with a close_gracefully of a request and nothing more of it, ...
+/// How long nothing may arrive of an incomplete request.
 const REQUEST_STALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// ... with a close_gracefully of a request of which more comes and comes, ...
+/// How long a request may take to arrive completely.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// ... and with no request open after the first: it takes the place of one that asks.
+/// How long a connection may be idle after a request: idle ones occupy slots that other clients need.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A client that does not read its answer for this long is not waiting for it.
+/// How long a client may take to read a reply. One that is slower is no longer waiting for it.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// What a client still sends after its connection was shut is read for so long and up to this size: closing with something
-/// unread resets the connection, which would destroy the answer on its way.
+/// After its shutdown, a connection is read for this long and up to [`MAX_DRAINED_BYTES`]: closing with unread bytes resets the
+/// connection, which would destroy a reply on its way.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(4);
+/// Bytes read and discarded after a shutdown at most.
 const MAX_DRAINED_BYTES: usize = 80 << 20;
+/// Bytes discarded at a time.
 const DRAIN_CHUNK_BYTES: usize = 64 << 10;
-/// Answers to pipelined requests are written together up to this size.
+/// Replies to pipelined requests are buffered up to this size.
 const REPLY_BUFFER_BYTES: usize = 4 << 10;
-/// Requests of one connection that are served before the others get their turn.
+/// Requests of one connection that are handled before other connections get a turn.
 const REQUESTS_PER_YIELD: usize = 16;
-/// While the courier ends, a new connection may take this long to bring its request.
+/// While the courier shuts down, how long a new connection may take to bring its first request.
 const CLOSING_FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What the courier is about to do, as its clients' connections have to know.
+/// What the courier is doing, as far as it concerns clients' connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
+    /// Normal service.
     #[default]
     Serving,
-    /// It ends: connections are closed is_between_requests two requests.
+    /// The courier shuts down: connections are closed between two requests.
     Closing,
-    /// What has come is answered, nothing more is waited for, and connections are closed.
+    /// The last phase of a shutdown: complete requests are answered, nothing more is waited for, and connections are closed.
     Over,
-    /// It moves to another process: connections are given up as they stand, to [`Clients::take_handed_over`].
+    /// The courier is handed over: connections are released in their current state, to [`Clients::take_handed_over`].
     Moving,
 }
 
-/// A connection on its way to another process.
+/// A client's connection on its way to another process.
 pub struct MovedClient {
+    /// The connection.
     pub stream: std::net::TcpStream,
-    /// It has not brought a request yet.
+    /// No request has arrived on it yet.
     pub is_new: bool,
-    /// What was read and not served.
+    /// Bytes that were read and not handled.
     pub unread_bytes: Vec<u8>,
 }
 
-/// The clients' connections of a courier.
+/// The connections of clients.
 #[derive(Clone)]
 pub struct Clients {
     slots: Rc<ConnectionSlots>,
     events: EventSender,
     phase: watch::Receiver<Phase>,
-    /// As many at most as there are places.
+    /// Connections released for a hand-over; no more than there are slots.
     handed_over: Rc<RefCell<Vec<MovedClient>>>,
 }
 
 impl Clients {
+    /// No connections yet. Requests go to `events`.
     pub fn new(events: EventSender, phase: watch::Receiver<Phase>, limits: ClientLimits) -> Self {
         Clients { slots: Rc::new(ConnectionSlots::new(limits)), events, phase, handed_over: Rc::default() }
     }
 
-    /// Connections that may still bring or owe something.
+    /// Number of connections that may still bring a request or need a reply.
     pub fn active_count(&self) -> usize {
         self.slots.active_count()
     }
 
-    /// All connections, with those that are shut and wait for the client's own end.
+    /// Number of open connections, including those that wait for the client to close.
     pub fn open_count(&self) -> usize {
         self.slots.open_count()
     }
 
-    /// Those that were given up while the courier moves.
+    /// Takes the connections that were released for a hand-over.
     pub fn take_handed_over(&self) -> Vec<MovedClient> {
         self.handed_over.take()
     }
 
-    /// Serves a connection that the process before had.
+    /// Serves a connection of the previous process.
     pub fn adopt(&self, moved: MovedClient) -> io::Result<()> {
         let stream = TcpStream::from_std(moved.stream)?;
         self.spawn_connection(stream, BytesMut::from(&moved.unread_bytes[..]), moved.is_new);
         Ok(())
     }
 
+    /// Serves a connection in a task of its own.
     fn spawn_connection(&self, stream: TcpStream, buffer: BytesMut, is_new: bool) {
         let slot = self.slots.clone().add();
         let (events, phase, handed_over) =
@@ -117,9 +122,9 @@
                 output: Vec::new(),
                 handed_over,
             };
-            // A connection that breaks is its client's affair: what was taken on stays so.
+            // An error concerns this client alone; accepted messages stay accepted.
             let result = client.run(is_new).await;
-            debug!(target: TRAIL, ?peer, ended = ?result, "a client's connection is over");
+            debug!(target: TRAIL, ?peer, ended = ?result, "client connection closed");
         });
     }
 }
@@ -133,12 +138,12 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 clients.spawn_connection(stream, BytesMut::new(), true);
-                // One place is kept free, so that who comes next is never left in the listener's queue.
+                // A slot is kept free, so that a new connection does not stay in the listener's queue.
                 slots.wait_for_slot().await;
             }
             Err(error) => {
                 if let Some(more) = accept_errors.due(EPOCH + started_at.elapsed()) {
-                    warn!(%error, more, "a client's connection cannot be accepted");
+                    warn!(%error, more, "cannot accept a client's connection");
                 }
                 sleep(Duration::from_millis(20)).await;
             }
@@ -146,8 +151,9 @@
     }
 }
 
+/// A client's connection and its state.
 struct ClientConnection {
-    // Before the place: the descriptor is closed by the time that the place is free.
+    // Before the slot: the descriptor is closed before the slot is freed.
     stream: TcpStream,
     events: EventSender,
     phase: watch::Receiver<Phase>,
@@ -157,29 +163,31 @@
     slot: ConnectionSlot,
 }
 
-/// What came of reading on.
+/// What came of reading more of a request.
 #[derive(Debug)]
 enum ReadOutcome {
+    /// More bytes have arrived.
     More,
-    /// The client has is_client_gone, or its connection may be closed.
+    /// The client has closed its side, or the connection may be closed.
     End,
-    /// It has to give way is_between_requests two requests.
+    /// The connection was asked to close between two requests.
     GiveWay,
-    /// The request did not become whole in its time.
+    /// The request did not arrive completely in time.
     Late,
-    /// The courier moves to another process, and the connection with it.
+    /// The courier is handed over, and the connection with it.
     Move,
 }
 
 impl ClientConnection {
+    /// Serves the connection until it ends or is handed over.
     async fn run(mut self, mut is_new: bool) -> io::Result<()> {
         self.stream.set_nodelay(true)?;
         let slots = self.slot.slots.clone();
         let mut long_request_permit: Option<SemaphorePermit> = None;
-        // When what is deadline next must have come: the first request, the rest of one, or another one.
+        // By when to have the next thing: the first request, the rest of a request, or another request.
         let mut deadline = Instant::now() + FIRST_REQUEST_TIMEOUT;
         let mut served = 0;
-        // When the request that is being read began.
+        // When the current request started to arrive.
         let mut request_started_at = Instant::now();
         loop {
             if *self.phase.borrow() == Phase::Moving {
@@ -197,7 +205,7 @@
                         yield_now().await;
                     }
                     if self.input.is_empty() {
-                        // A long request's room is given back.
+                        // Frees the memory of a long request.
                         (self.input, long_request_permit) = (BytesMut::new(), None);
                         deadline = Instant::now() + IDLE_TIMEOUT;
                         self.slot.set_state(ConnectionState::Idle);
@@ -209,7 +217,7 @@
                     continue;
                 }
                 Ok(None) => {}
-                // What follows cannot be told apart any more.
+                // The boundaries of the following requests are unknown.
                 Err(error) => return self.reject(&error.to_string()).await,
             }
             self.flush().await?;
@@ -226,13 +234,13 @@
                     deadline = request_started_at + REQUEST_STALL_TIMEOUT;
                     self.slot.set_state(ConnectionState::PartialRequest);
                 }
-                // Who writes slowly is not cut off for it, within a bound.
+                // A slow client has up to `REQUEST_TIMEOUT` as long as more arrives.
                 ReadOutcome::More => {
                     deadline =
                         (Instant::now() + REQUEST_STALL_TIMEOUT).min(request_started_at + REQUEST_TIMEOUT);
                     self.slot.record_progress();
                 }
-                // Nothing was answered on it yet that could be lost, and somebody waits for its place.
+                // No reply can be lost on it yet, and another client needs the slot.
                 ReadOutcome::GiveWay if is_new => return Ok(()),
                 outcome @ (ReadOutcome::End | ReadOutcome::GiveWay) => {
                     debug!(
@@ -247,8 +255,8 @@
         }
     }
 
-    /// Reads more of a request. When the courier ends, a connection is closed is_between_requests two requests, but never
-    /// with a close_gracefully of one read, and a is_new one only once its first request had time to come.
+    /// Reads more of a request. During a shutdown, a connection is closed between two requests, but not with a request partly read,
+    /// and a new one only after its first request had time to arrive.
     async fn read(&mut self, is_new: bool, deadline: Instant) -> io::Result<ReadOutcome> {
         let is_between_requests = self.input.is_empty();
         let close_request = self.slot.close_request.clone();
@@ -258,7 +266,7 @@
             let until = match phase {
                 Phase::Moving => return Ok(ReadOutcome::Move),
                 Phase::Over if !is_between_requests => return Ok(ReadOutcome::End),
-                // A request that has come already is served yet, whoever brought it.
+                // Requests that have arrived already are still handled.
                 Phase::Over => return self.read_available(),
                 Phase::Closing if is_between_requests && !is_new => return self.read_available(),
                 Phase::Closing if is_between_requests => deadline
@@ -267,8 +275,8 @@
             };
             tokio::select! {
                 biased;
-                // Room is made only when there is something to read: idle connections hold none. May say so of a new
-                // connection with nothing on it yet, until a read has failed.
+                // Memory is reserved only when there is something to read, so that idle connections hold none. A new connection may
+                // seem readable until a read has returned `WouldBlock`.
                 ready = self.stream.readable() => ready?,
                 () = close_request.notified() => {
                     return match is_between_requests {
@@ -294,8 +302,8 @@
         }
     }
 
-    /// Gives the connection up as it stands, with all answers written. A client that does not read its answers is not
-    /// waited for: its connection ends here.
+    /// Releases the connection in its current state, with all replies written. The connection of a client that does not read its
+    /// replies ends here.
     async fn hand_over(mut self, is_new: bool) -> io::Result<()> {
         self.flush().await?;
         let stream = self.stream.into_std()?;
@@ -303,8 +311,8 @@
         Ok(())
     }
 
-    /// What has come already, without waiting; the end if there is nothing. Asks the system itself: what the
-    /// runtime has not yet been told of would be closed over.
+    /// Reads the bytes that have arrived without waiting; the outcome is `End` if there are none. Reads from the socket itself:
+    /// readiness that the runtime has not seen yet would be missed, and the connection closed despite a request.
     fn read_available(&mut self) -> io::Result<ReadOutcome> {
         let mut bytes = [0; READ_CHUNK_BYTES];
         match (&*SockRef::from(&self.stream)).read(&mut bytes) {
@@ -318,8 +326,8 @@
         }
     }
 
-    /// Whether the client has closed its side. One that did so before its answer has stopped waiting, and may
-    /// be handing the message in elsewhere already. One with more requests on the way has not.
+    /// Whether the client has closed its side. A client that did so before its reply has stopped waiting, and may be enqueueing the
+    /// message elsewhere already. One with more requests on the way has not closed.
     fn is_client_gone(&mut self) -> bool {
         self.input.is_empty()
             && match self.stream.try_read_buf(&mut self.input) {
@@ -328,7 +336,7 @@
             }
     }
 
-    /// Answers one request; none where the courier is ending.
+    /// Handles one request; none if the courier has ended.
     async fn handle_request(&mut self, words: &[Bytes]) -> io::Result<Option<()>> {
         let command = words.first().map(|word| word.to_ascii_uppercase());
         let answer = match command.as_deref() {
@@ -341,7 +349,7 @@
                     if !self.is_client_gone() {
                         return self.enqueue(enqueue).await;
                     }
-                    // One that has only ended its sending still hears this.
+                    // A client that has only shut its sending side down still reads this.
                     Answer::Busy(None)
                 }
                 Err(text) => Answer::Error(text),
@@ -352,23 +360,25 @@
         self.flush_if_large().await.map(Some)
     }
 
+    /// Enqueues a message and writes the reply; none if the courier has ended.
     async fn enqueue(&mut self, enqueue: Enqueue) -> io::Result<Option<()>> {
-        // What was answered before must not be lost with this answer, nor this one with those.
+        // Earlier replies are written first, so that they and this reply cannot be lost together.
         self.flush().await?;
         let id = is_traced().then(|| enqueue.id.clone());
         let Some(answer) = self.events.enqueue(enqueue).await else { return Ok(None) };
         self.output.extend_from_slice(encode(&answer).as_bytes());
         let written = self.flush().await;
         if let Some(id) = id {
-            debug!(target: TRAIL, id, peer = ?self.stream.peer_addr().ok(), ?answer, ?written, "its client is answered");
+            debug!(target: TRAIL, id, peer = ?self.stream.peer_addr().ok(), ?answer, ?written, "reply written to client");
         }
         if let (Err(_), Answer::Taken(message)) = (&written, answer) {
-            // The client never heard that it was taken on, and hands it in again under another id.
+            // The client did not get the reply, and enqueues the message again under another id.
             self.events.send(Input::Unheard(message)).await;
         }
         written.map(Some)
     }
 
+    /// Writes the buffered replies.
     async fn flush(&mut self) -> io::Result<()> {
         if !self.output.is_empty() {
             timeout(WRITE_TIMEOUT, self.stream.write_all(&self.output)).await??;
@@ -377,6 +387,7 @@
         Ok(())
     }
 
+    /// Writes the buffered replies once there are [`REPLY_BUFFER_BYTES`] of them.
     async fn flush_if_large(&mut self) -> io::Result<()> {
         if self.output.len() >= REPLY_BUFFER_BYTES {
             self.flush().await?;
@@ -384,16 +395,16 @@
         Ok(())
     }
 
-    /// Tells the client its error and closes.
+    /// Replies with an error and closes.
     async fn reject(mut self, error: &str) -> io::Result<()> {
-        debug!(target: TRAIL, peer = ?self.stream.peer_addr().ok(), error, "a client is refused");
+        debug!(target: TRAIL, peer = ?self.stream.peer_addr().ok(), error, "client rejected");
         self.output.extend_from_slice(format!("-ERR {error}\r\n").as_bytes());
         self.close_gracefully().await
     }
 
-    /// Closes: ends the sending side, and reads what is still being sent until the client closes too. A request that
-    /// crosses the end is thrown away, and its client hands it in anew; a close over it would reset the connection, and
-    /// what the client was answered before might go with it.
+    /// Closes without a reset: shuts the sending side down and discards what still arrives until the client closes too. A request
+    /// that crosses the shutdown is discarded, and its client enqueues the message again; closing at once would reset the
+    /// connection, and replies on their way might be lost.
     async fn close_gracefully(mut self) -> io::Result<()> {
         self.slot.set_state(ConnectionState::Draining);
         self.input = BytesMut::new();
@@ -421,12 +432,12 @@
     }
 }
 
-/// Whether the log follows each message.
+/// Whether the log traces each message.
 fn is_traced() -> bool {
     enabled!(target: TRAIL, Level::DEBUG)
 }
 
-/// Reads what is there and throws it away, into the one buffer that all connections share for that.
+/// Reads what has arrived and discards it, using one buffer for all connections.
 fn discard(stream: &TcpStream) -> io::Result<usize> {
     thread_local! {
         static BUFFER: RefCell<Box<[u8]>> = RefCell::new(vec![0; DRAIN_CHUNK_BYTES].into());
--- a/crates/gullcart/src/config.rs
+++ b/crates/gullcart/src/config.rs
@@ -1,4 +1,4 @@
-//! What a courier is told at its start, and how its descriptors are dealt out.
+//! The courier's configuration, and how its descriptors are divided.
 
 use cloverstile::SettingError;
 use gullcart_journal::{JournalError, OptionsError};
@@ -12,47 +12,61 @@
 use crate::console;
 use crate::driver::IDLE_CONNECTIONS_PER_SLOT;
 
-/// Descriptors kept for files, the runtime, the listener, discovery and notices.
+/// Descriptors reserved for files, the runtime, the listener, discovery and notices.
 const RESERVED_DESCRIPTORS: usize = 32;
 
+/// The configuration file. The fields have the names of its keys.
 #[derive(Deserialize)]
 pub struct Config {
+    /// Name of the courier, for the log.
     pub name: String,
+    /// Address on which clients are served.
     pub listen: String,
+    /// Address of the operators' console, if there is to be one.
     pub console: Option<String>,
+    /// Address of discovery's agent.
     pub discovery: String,
+    /// Seed of the random decisions.
     pub seed: String,
+    /// Limits on the process's resources.
     pub limits: Limits,
+    /// The list of endpoints known when the file was written.
     pub known: Update,
+    /// The settings, read by the package `cloverstile`.
     pub settings: serde_json::Value,
 }
 
+/// Limits on the process's resources.
 #[derive(Deserialize)]
 pub struct Limits {
+    /// Memory in megabytes.
     pub memory_mb: f64,
+    /// Number of open descriptors.
     pub sockets: usize,
+    /// Size of the state folder in megabytes.
     pub disk_mb: f64,
 }
 
 impl Config {
-    /// Any text serves as a seed, but two couriers must not act alike.
+    /// The seed of the courier. Text that is not hexadecimal is hashed, so that couriers with different seeds act differently.
     pub fn seed(&self) -> u64 {
         u64::from_str_radix(&self.seed, 16)
             .unwrap_or_else(|_| u64::from(crc32fast::hash(self.seed.as_bytes())))
     }
 
-    /// Sum over the settings and the release: books are carried over only between processes that have the same.
+    /// Checksum of the settings and the release: state is handed over only between processes with the same one.
     pub fn fingerprint(&self) -> u32 {
         let text = format!("{} {}", env!("CARGO_PKG_VERSION"), self.settings);
         crc32fast::hash(text.as_bytes())
     }
 
-    /// Bytes that the folder may hold.
+    /// Limit on the size of the state folder.
     pub fn disk_bytes(&self) -> u64 {
         (self.limits.disk_mb * 1e6) as u64
     }
 }
 
+/// Why the daemon cannot start, or why a configuration is invalid.
 #[derive(Debug, Error)]
 pub enum StartError {
     #[error("{0} is not set")]
@@ -63,7 +77,7 @@
     Parse(#[from] serde_json::Error),
     #[error(transparent)]
     Setting(#[from] SettingError),
-    #[error("the configuration: discovery is '{0}', and not an address with a port")]
+    #[error("the configuration: discovery is '{0}', which is not an address with a port")]
     Discovery(String),
     #[error(transparent)]
     Journal(#[from] JournalError),
@@ -71,7 +85,9 @@
     JournalOptions(#[from] OptionsError),
     #[error("the group: {0}")]
     Group(#[from] SettingsError),
-    #[error("the group may have {0} bytes (disk_kb), which is more than half of the courier's {1} (limits.disk_mb)")]
+    #[error(
+        "the group's limit of {0} bytes (disk_kb) is more than half of the courier's {1} (limits.disk_mb)"
+    )]
     GroupDisk(u64, u64),
     #[cfg(feature = "broken")]
     #[error("{0}")]
@@ -80,14 +96,17 @@
     Listen(String, std::io::Error),
 }
 
-/// How the descriptors are dealt out: each part keeps to its own, and idle connections give way inside it.
+/// How the descriptors are divided. Each part keeps within its own share, and closes idle connections for new ones.
 pub struct DescriptorBudget {
+    /// Descriptors of clients' connections.
     pub clients: usize,
+    /// Descriptors of connections to endpoints.
     pub endpoints: usize,
 }
 
 impl DescriptorBudget {
-    /// At most half goes to endpoints: calls out, calls that are ending, and idle connections.
+    /// Divides `limit` descriptors. At most half of the rest goes to endpoints: calls in flight, calls being closed, and idle
+    /// connections.
     pub fn split(limit: usize, slots: usize, has_console: bool, group_descriptors: usize) -> Self {
         let console = if has_console { console::DESCRIPTORS } else { 0 };
         let rest = limit.saturating_sub(RESERVED_DESCRIPTORS + console + group_descriptors);
@@ -96,11 +115,12 @@
     }
 }
 
+/// The value of an environment variable that must be set.
 pub fn required_variable(name: &'static str) -> Result<OsString, StartError> {
     std::env::var_os(name).ok_or(StartError::Variable(name))
 }
 
-/// Reads the configuration, and all of its settings: one of which a part cannot be read is none.
+/// Reads and validates the configuration with all of its settings.
 pub fn read_config(path: &Path) -> Result<Config, StartError> {
     let config: Config = serde_json::from_slice(&std::fs::read(path)?)?;
     cloverstile::parse_settings_json(&config.settings)?;
--- a/crates/gullcart/src/connection_slots.rs
+++ b/crates/gullcart/src/connection_slots.rs
@@ -1,4 +1,5 @@
-//! The places of clients' connections, and who gives way when they are short. No socket: a connection says what it does.
+//! Slots for clients' connections, and which connection is closed when slots run short. Without sockets: each connection reports its
+//! own state.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -7,73 +8,79 @@
 use tokio::sync::{Notify, Semaphore};
 use tokio::time::{timeout, Instant};
 
-/// While places are short, a part of a request is given up once nothing of it came for as long as its client would wait for
-/// an answer, a silent connection goes before the idle ones once its first request is not to be expected any more, ...
+/// While slots are short, a connection with an incomplete request may be closed once nothing of the request has arrived for this
+/// long: clients wait no longer for a reply.
 const STALLED_REQUEST_MIN_AGE: Duration = Duration::from_millis(400);
+/// While slots are short, a connection without a request is closed before idle ones once it is this old: its first request is not
+/// expected any more.
 const NEW_CONNECTION_MIN_AGE: Duration = Duration::from_millis(250);
-/// ... and one whose request comes slowly goes last, once it has come for so long.
+/// While slots are short, a connection whose request arrives slowly may be closed, as the last, once it has taken this long.
 const SLOW_REQUEST_MIN_AGE: Duration = Duration::from_millis(2500);
-/// A connection that is shut keeps its place for so long at least: its client closes as soon as it hears of it.
+/// A draining connection keeps its slot for at least this long, which its client needs to notice the shutdown and close.
 const DRAINING_MIN_AGE: Duration = Duration::from_millis(20);
-/// ConnectionSlots kept free, as a part of all of them, so that who comes next waits for no client that parts; one at least.
+/// One slot in this many is kept free, and at least one, so that a new connection need not wait for another one to close.
 const SPARE_SLOTS_DIVISOR: usize = 8;
 
-/// What clients may hold.
+/// Limits on clients' connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
-    /// Connections that are open.
+    /// Open connections.
     pub max_connections: usize,
-    /// Connections between two requests. Clients hold only so many themselves: those that ask once and stay would
-    /// request_close them none to ask on.
+    /// Connections between two requests. Clients only open a limited number themselves: connections that ask once and stay open
+    /// would leave them none to ask on.
     pub max_idle: usize,
-    /// Requests longer than a few KiB that are read at a time.
+    /// Requests longer than a few KiB that are read at the same time.
     pub max_long_requests: usize,
 }
 
-/// What a connection is state, which decides who gives way when places are short.
+/// The state of a connection, which decides on the order of closing when slots are short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// Has not asked anything yet.
+    /// No request has arrived yet.
     New,
     /// Between two requests.
     Idle,
-    /// A part of a request has come.
+    /// Part of a request has arrived.
     PartialRequest,
-    /// Has a request open.
+    /// A request is being handled.
     Busy,
-    /// Its sending side is shut; what its client since_progress sends is thrown away until that one closes too.
+    /// The sending side is shut down; what the client still sends is discarded until it closes too.
     Draining,
-    /// Has been told to give way.
+    /// It was asked to close.
     Closing,
 }
 
-/// The open connections of clients.
+/// The slots of the clients' connections.
 pub struct ConnectionSlots {
     max_connections: usize,
     max_idle: usize,
     table: RefCell<ConnectionTable>,
-    /// A connection has closed or changed what it does.
+    /// Notified when a connection has closed or changed its state.
     changed: Notify,
     long_requests: Semaphore,
 }
 
+/// The open connections by id.
 #[derive(Default)]
 struct ConnectionTable {
     last_id: u64,
     connections: BTreeMap<u64, ConnectionEntry>,
 }
 
+/// An open connection.
 struct ConnectionEntry {
     state: ConnectionState,
     state_since: Instant,
-    /// When something of a request last came.
+    /// When a part of a request last arrived.
     last_progress: Instant,
+    /// Asks the connection's task to close it.
     close_request: Rc<Notify>,
 }
 
-/// Who gives way first has the least; none where it may not be closed. `state_age` is how long it has done so, `since_progress` how long
-/// nothing of its request has come. Nobody waits for one that is shut; a silent one that should have asked by now goes
-/// before those that ask now and then; one whose request since_progress comes goes last, and not while its client may be waiting.
+/// The rank in the order of closing, the lowest first; none if the connection may not be closed. `state_age` is the time since
+/// the state was entered, `since_progress` the time since a part of the request arrived. Draining connections are of no further use;
+/// a new connection whose first request is overdue goes before idle ones, which are used now and then; one whose request is still
+/// arriving goes last, and not while its client may be waiting.
 fn eviction_rank(state: ConnectionState, state_age: Duration, since_progress: Duration) -> Option<u8> {
     match state {
         ConnectionState::Draining if state_age >= DRAINING_MIN_AGE => Some(0),
@@ -95,6 +102,7 @@
             .map(|eviction_rank| (eviction_rank, self.state_since))
     }
 
+    /// Asks the connection to close.
     fn request_close(&mut self) {
         self.state = ConnectionState::Closing;
         self.close_request.notify_one();
@@ -102,6 +110,7 @@
 }
 
 impl ConnectionSlots {
+    /// Slots within `limits`, all of them free.
     pub fn new(limits: ClientLimits) -> Self {
         ConnectionSlots {
             max_connections: limits.max_connections,
@@ -112,12 +121,12 @@
         }
     }
 
-    /// Connections that are open.
+    /// Number of open connections.
     pub fn open_count(&self) -> usize {
         self.table.borrow().connections.len()
     }
 
-    /// Those that are not shut yet.
+    /// Number of open connections that are not draining.
     pub fn active_count(&self) -> usize {
         self.table
             .borrow()
@@ -127,11 +136,12 @@
             .count()
     }
 
-    /// ConnectionSlots for long requests.
+    /// Permits for requests longer than a few KiB.
     pub fn long_requests(&self) -> &Semaphore {
         &self.long_requests
     }
 
+    /// Enters a new connection.
     pub fn add(self: Rc<Self>) -> ConnectionSlot {
         let close_request = Rc::new(Notify::new());
         let id = {
@@ -151,8 +161,8 @@
         ConnectionSlot { id, close_request, slots: self }
     }
 
-    /// Waits until a place is free. Some are kept free beyond it, by closing those connections that can best be spared; no
-    /// more than that, whatever the others take to go.
+    /// Waits until a slot is free. Keeps some spare slots besides by asking the connections ranked first to close; it asks no more
+    /// of them, however long they take.
     pub async fn wait_for_slot(&self) {
         let spare_slots = (self.max_connections / SPARE_SLOTS_DIVISOR).max(1);
         loop {
@@ -161,19 +171,19 @@
                 return;
             }
             self.close_drained();
-            // Those that may not be closed now may be so later.
+            // Connections that may not be closed now may be later.
             let _ = timeout(DRAINING_MIN_AGE, self.changed.notified()).await;
         }
     }
 
-    /// Those that nobody has told to go.
+    /// Number of connections that were not asked to close.
     fn staying_count(&self) -> usize {
         let is_leaving =
             |state: ConnectionState| matches!(state, ConnectionState::Draining | ConnectionState::Closing);
         self.table.borrow().connections.values().filter(|entry| !is_leaving(entry.state)).count()
     }
 
-    /// The longest idle one gives way where there are too many.
+    /// Asks the connection that has been idle longest to close if there are too many idle ones.
     fn limit_idle(&self) {
         let mut table = self.table.borrow_mut();
         let mut idle: Vec<_> =
@@ -185,7 +195,7 @@
         }
     }
 
-    /// Tells the one that can best be spared to go; whether there is one.
+    /// Asks the connection ranked first to close; returns whether there is one.
     fn evict_one(&self) -> bool {
         let now = Instant::now();
         let mut table = self.table.borrow_mut();
@@ -196,7 +206,7 @@
         first.map(|(_, entry)| entry.request_close()).is_some()
     }
 
-    /// Closes those that are shut and had the time to close themselves.
+    /// Closes the draining connections that had time to close themselves.
     fn close_drained(&self) {
         let now = Instant::now();
         let mut table = self.table.borrow_mut();
@@ -206,25 +216,28 @@
     }
 }
 
-/// The place of one connection, free again when dropped.
+/// The slot of one connection, freed when dropped.
 pub struct ConnectionSlot {
     id: u64,
+    /// Notified when the connection should close.
     pub close_request: Rc<Notify>,
+    /// All slots, this one among them.
     pub slots: Rc<ConnectionSlots>,
 }
 
 impl ConnectionSlot {
-    /// More of its request has come.
+    /// Records that more of a request has arrived.
     pub fn record_progress(&self) {
         if let Some(entry) = self.slots.table.borrow_mut().connections.get_mut(&self.id) {
             entry.last_progress = Instant::now();
         }
     }
 
+    /// Records the connection's new state.
     pub fn set_state(&self, state: ConnectionState) {
         if let Some(entry) = self.slots.table.borrow_mut().connections.get_mut(&self.id) {
             if entry.state == ConnectionState::Closing {
-                // It stays after all: another one has to give way.
+                // It was asked to close but goes on: another one has to close.
                 self.slots.changed.notify_one();
             }
             let now = Instant::now();
--- a/crates/gullcart/src/console.rs
+++ b/crates/gullcart/src/console.rs
@@ -1,4 +1,4 @@
-//! The operators' console on its sockets: one line to a connection, one answer, on a few descriptors of its own.
+//! The server of the operators' console: one line and one answer for each connection, on a small number of descriptors.
 
 use gullcart_console::{denied, figures, no, Call, Callers, Fault, Lines, NOT_SERVING, YES};
 use gullcart_engine::{Denied, Order, Reading, Seldom, EPOCH};
@@ -15,37 +15,39 @@
 use tokio::time::{sleep, timeout, Instant};
 use tracing::warn;
 
-/// Callers at a time.
+/// Maximum number of callers at a time.
 const MAX_CALLERS: usize = 12;
-/// Descriptors of the console: its callers, one more that has just come, and the listener.
+/// Descriptors of the console: the callers, one more that was just accepted, and the listener.
 pub const DESCRIPTORS: usize = MAX_CALLERS + 2;
-/// Until when a caller's line must be whole, and how long it may take to read its answer and to close after it.
+/// How long a caller may take to send its line.
 const LINE_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a caller may take to read its answer.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long a caller may take to close after its answer.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long the loop may take; a caller is owed an answer within a second.
+/// How long to wait for the driver; callers are promised an answer within a second.
 const DRIVER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Questions that wait for the loop: no more than there are callers.
+/// Capacity of the driver's request queue, which the number of callers bounds.
 const MAX_QUEUED_REQUESTS: usize = MAX_CALLERS + 1;
-/// Read at once.
+/// Bytes read at a time.
 const READ_CHUNK_BYTES: usize = 256;
 
-/// What the loop is asked.
+/// A request to the driver, of an operator or of another process.
 pub enum ControlRequest {
-    /// The figures.
+    /// Returns the metrics.
     Figures(oneshot::Sender<Reading>),
-    /// Something is to be done.
+    /// Carries out an order of an operator.
     Order(Order, oneshot::Sender<Result<(), Denied>>),
-    /// A process of the same user asks for the courier.
+    /// Hands the courier over to the process, of the same user, at the other end of the connection.
     HandOver(UnixStream),
 }
 
-/// Where the loop is asked, and where it listens.
+/// The channel for requests to the driver.
 pub fn control_channel() -> (mpsc::Sender<ControlRequest>, mpsc::Receiver<ControlRequest>) {
     mpsc::channel(MAX_QUEUED_REQUESTS)
 }
 
-/// Answers callers until the task is dropped. `serving` is true while this process takes clients.
+/// Serves callers until the task is dropped. `serving` is true while this process serves clients.
 pub async fn serve(
     listener: TcpListener,
     requests: mpsc::Sender<ControlRequest>,
@@ -65,7 +67,7 @@
                     let has_asked = || callers.borrow_mut().has_asked(id);
                     tokio::select! {
                         biased;
-                        // A caller that breaks off is its own affair.
+                        // An error concerns this caller alone.
                         _ = serve_caller(stream, requests, serving, has_asked) => {}
                         _ = evicted_signal => {}
                     }
@@ -74,7 +76,7 @@
             }
             Err(error) => {
                 if let Some(more) = accept_errors.due(EPOCH + started_at.elapsed()) {
-                    warn!(%error, more, "a caller of the console cannot be accepted");
+                    warn!(%error, more, "cannot accept a connection to the console");
                 }
                 sleep(Duration::from_millis(20)).await;
             }
@@ -82,6 +84,7 @@
     }
 }
 
+/// Reads one line, answers it and closes the connection.
 async fn serve_caller(
     mut stream: TcpStream,
     requests: mpsc::Sender<ControlRequest>,
@@ -102,14 +105,14 @@
     };
     timeout(WRITE_TIMEOUT, stream.write_all(answer.as_bytes())).await??;
     SockRef::from(&stream).shutdown(Shutdown::Write)?;
-    // Closing with something unread would destroy the answer on its way.
+    // Closing with unread bytes would reset the connection and destroy the answer on its way.
     let mut rest = [0; READ_CHUNK_BYTES];
     let drain = async { while matches!(read_some(&stream, &mut rest).await, Ok(1..)) {} };
     let _ = timeout(CLOSE_TIMEOUT, drain).await;
     Ok(())
 }
 
-/// The caller's line; nothing where it never said anything.
+/// Reads the caller's line; none if it closes without sending anything.
 async fn read_line(stream: &TcpStream, lines: &mut Lines) -> io::Result<Option<Result<Call, Fault>>> {
     let mut bytes = [0; READ_CHUNK_BYTES];
     loop {
@@ -124,6 +127,7 @@
     }
 }
 
+/// Reads the bytes that have arrived, and waits for some.
 async fn read_some(stream: &TcpStream, bytes: &mut [u8]) -> io::Result<usize> {
     loop {
         stream.readable().await?;
@@ -134,6 +138,7 @@
     }
 }
 
+/// The answer to a call.
 async fn answer(
     call: Call,
     requests: &mpsc::Sender<ControlRequest>,
--- a/crates/gullcart/src/discovery.rs
+++ b/crates/gullcart/src/discovery.rs
@@ -1,5 +1,5 @@
-//! The watch on the list of endpoints, and the notices that end messages. Each request has a connection to itself: nothing tells
-//! its answer from a second copy of the one before.
+//! The client of discovery's agent: watches the list of endpoints, and sends notices that end messages. Each request uses a new
+//! connection, since a duplicate of an earlier response could not be told from its own response.
 
 use bytes::Bytes;
 use gullcart_engine::{CallsForLists, Input, Notice, CALL, SILENCE, TRAIL};
@@ -20,16 +20,17 @@
 use crate::messages::EventSender;
 use crate::update_stream::{MaxListBytes, StreamError, StreamItem, UpdateStream};
 
-/// How long the agent may take to answer a batch of notices before it is told on a new connection: it answers at once, a notice
-/// that comes twice does no harm, and one is lost that comes 300 ms too late. Doubled with each batch that is not answered, ...
+/// How long the agent may take to acknowledge a batch of notices before it is sent on a new connection. The agent answers at
+/// once, a repeated notice is harmless, and one that is more than 300 ms late is lost. Doubled with each failed attempt.
 const NOTICE_TIMEOUT: Duration = Duration::from_millis(100);
-/// ... up to this.
+/// Upper bound on [`NOTICE_TIMEOUT`] when doubled.
 const MAX_NOTICE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Mean wait between tries to tell the agent of notices.
+/// Mean delay between attempts to send notices.
 const MEAN_NOTICE_BACKOFF: Duration = Duration::from_millis(100);
-/// Notices that go in one request at most.
+/// Maximum number of notices in one request.
 const MAX_NOTICES_PER_REQUEST: usize = 200;
 
+/// Why a request to the agent failed.
 #[derive(Debug, Error)]
 enum AgentError {
     #[error("{0}")]
@@ -40,20 +41,21 @@
     Request(#[from] hyper::http::Error),
     #[error("silent")]
     Silent(#[from] tokio::time::error::Elapsed),
-    #[error("no line of it came to its end in time")]
+    #[error("no complete line arrived in time")]
     UnfinishedLine,
-    #[error("answered {0}")]
+    #[error("HTTP status {0}")]
     Status(StatusCode),
     #[error("the list cannot be read: {0}")]
     List(#[from] serde_json::Error),
     #[error("{0}")]
     Stream(#[from] StreamError),
-    #[error("broken off, or longer than {0} bytes")]
+    #[error("incomplete, or longer than {0} bytes")]
     TooLong(usize),
 }
 
 type Connection = SendRequest<Full<Bytes>>;
 
+/// Opens a connection to the agent.
 async fn connect(agent: &str) -> Result<Connection, AgentError> {
     let stream = TcpStream::connect(agent).await?;
     stream.set_nodelay(true)?;
@@ -62,10 +64,11 @@
     Ok(sender)
 }
 
-/// Where discovery's agent is now; a new address is gone over to at once.
+/// The current address of discovery's agent; a change is followed at once.
 pub type AgentAddress = watch::Receiver<String>;
 
-/// Watches the list from the last version on. DriverChannels never: what breaks is started_at anew when `calls` says.
+/// Watches the list, starting after revision `rev`, and never ends. A watch that fails is opened again at the time that `pacing`
+/// determines.
 pub async fn watch(
     mut agent: AgentAddress,
     mut rev: u64,
@@ -74,7 +77,7 @@
     max_list_bytes: MaxListBytes,
 ) {
     let mut is_broken = false;
-    // Another agent may know another list: it is asked for the needs_full_list of it first.
+    // Another agent may know another list, so all of it is fetched first.
     let mut needs_full_list = timeout(pacing.first(), agent.changed()).await.is_ok();
     loop {
         let address = agent.borrow_and_update().clone();
@@ -103,7 +106,7 @@
             warn!(reason, rev, "the watch on the list broke");
             is_broken = true;
         }
-        // One that breaks as soon as it is heard is a call that failed.
+        // A watch that fails soon after it was established counts as a failed call.
         let delay = match started_at.elapsed() {
             took if was_established && took > CALL => pacing.after_break(),
             took => pacing.after_failure(took),
@@ -112,6 +115,7 @@
     }
 }
 
+/// Opens one watch and passes on its changes until it fails. First fetches the full list if `needs_full_list` is set.
 async fn watch_once(
     agent: &str,
     max_list_bytes: MaxListBytes,
@@ -126,7 +130,7 @@
         let mut connection = timeout_at(deadline, connect(agent)).await??;
         let request = Request::get("/v1/endpoints").header("Host", agent).body(Full::default())?;
         let list = timeout_at(deadline, fetch_list(&mut connection, request, max_list_bytes)).await??;
-        // An agent that has heard less than the one before must not take back a drain.
+        // An agent with an older list than the previous one must not revert a drain.
         if list.rev >= *rev {
             let new_rev = list.rev;
             events.send(Input::Listed(Update { all: true, ..list })).await;
@@ -148,7 +152,7 @@
     }
     let mut body = response.into_body();
     let mut stream = UpdateStream::new(max_list_bytes);
-    // Whole lines alone say that the watch was_established: bytes without an end may come for ever.
+    // Only complete lines show that the watch is alive: bytes without a line end may arrive forever.
     let mut last_item_at = Instant::now();
     while let Some(part) = timeout_at(last_item_at + SILENCE, body.frame()).await? {
         let Ok(data) = part?.into_data() else { continue };
@@ -156,14 +160,14 @@
         while let Some(piece) = stream.next()? {
             *was_established = true;
             if *is_broken {
-                info!(rev, "the list is being watched again");
+                info!(rev, "the watch on the list is back");
                 *is_broken = false;
             }
             match piece {
                 StreamItem::KeepAlive => {}
-                // It was on its way when a newer one came by another call: it must not take back what that one told.
+                // An older change that was still on its way must not revert a newer list that came by another call.
                 StreamItem::Change(update) if update.rev < *rev => {
-                    warn!(rev, older = update.rev, "an older list is left");
+                    warn!(rev, older = update.rev, "an older list is ignored");
                 }
                 StreamItem::Change(update) => {
                     let new_rev = update.rev;
@@ -173,7 +177,7 @@
             }
             last_item_at = Instant::now();
         }
-        // What is there already is read before the clock is looked at.
+        // Checked after what had already arrived was read.
         if last_item_at.elapsed() > SILENCE {
             return Err(AgentError::UnfinishedLine);
         }
@@ -181,7 +185,7 @@
     Ok(())
 }
 
-/// The needs_full_list list.
+/// Fetches the full list.
 async fn fetch_list(
     connection: &mut Connection,
     request: Request<Full<Bytes>>,
@@ -195,6 +199,7 @@
     Ok(serde_json::from_slice(&body.map_err(|_| AgentError::TooLong(max_list_bytes.0))?.to_bytes())?)
 }
 
+/// The line of a notice in a request.
 fn notice_line(notice: &Notice) -> String {
     let mut value = match notice.verdict {
         Verdict::Failed => serde_json::json!({"id": notice.id, "state": "failed"}),
@@ -207,8 +212,8 @@
     value
 }
 
-/// Sends notices until each is answered, at a new address those that the old one has not answered. A notice that
-/// comes twice does no harm, one that never comes does.
+/// Sends notices until each is acknowledged; those still pending go to the new address when it changes. Repeating a notice is
+/// harmless, losing one is not.
 pub async fn notices(
     mut agent: AgentAddress,
     mut queue: Receiver<Notice>,
@@ -228,12 +233,12 @@
             match result {
                 Ok(()) => failures = 0,
                 Err(reason) => {
-                    debug!(target: TRAIL, %reason, failures, patience = ?timeout_for_batch, waiting = batch.len(), "notices go once more");
+                    debug!(target: TRAIL, %reason, failures, patience = ?timeout_for_batch, waiting = batch.len(), "sending notices again");
                     if failures == 0 {
-                        warn!(%reason, waiting = batch.len(), "notices are not answered");
+                        warn!(%reason, waiting = batch.len(), "notices are not acknowledged");
                     }
                     failures = failures.saturating_add(1);
-                    // One connection may have fallen silent by itself: another one is tried at once.
+                    // A single connection may have failed on its own, so the first retry is immediate.
                     if failures > 1 {
                         let _ = timeout(MEAN_NOTICE_BACKOFF.mul_f64(0.5 + rng.f64()), agent.changed()).await;
                     }
@@ -243,7 +248,7 @@
     }
 }
 
-/// Sends a batch of notices; those that are answered leave it.
+/// Sends a batch of notices and removes those that are acknowledged.
 async fn send_batch(
     agent: &str,
     batch: &mut Vec<Notice>,
@@ -251,7 +256,7 @@
     time_limit: Duration,
 ) -> Result<(), AgentError> {
     match post_notices(agent, batch.iter().map(notice_line).collect(), time_limit).await {
-        // One bad line must not hold up the others: they go one by one, and it is let go.
+        // One invalid line must not block the others: they are sent one by one, and the invalid one is dropped.
         Err(AgentError::Status(StatusCode::BAD_REQUEST)) => {}
         result => {
             result?;
@@ -263,7 +268,7 @@
     while let Some(notice) = batch.last() {
         match post_notices(agent, notice_line(notice), time_limit).await {
             Err(rejection @ AgentError::Status(StatusCode::BAD_REQUEST)) => {
-                error!(id = notice.id, refused = %rejection, "a notice is not understood");
+                error!(id = notice.id, refused = %rejection, "discovery rejected a notice as invalid; it is dropped");
             }
             result => result?,
         }
@@ -273,6 +278,7 @@
     Ok(())
 }
 
+/// Posts lines of notices to the agent and waits for the acknowledgement.
 async fn post_notices(agent: &str, lines: String, time_limit: Duration) -> Result<(), AgentError> {
     let deadline = Instant::now() + time_limit;
     let mut connection = timeout_at(deadline, connect(agent)).await??;
--- a/crates/gullcart/src/driver.rs
+++ b/crates/gullcart/src/driver.rs
@@ -1,4 +1,5 @@
-//! The loop round the engine: inputs in, effects out, timers. It moves bytes and decides nothing.
+//! The event loop around the engine: it passes events to the engine and carries out the effects that the engine returns.
+//! All decisions are the engine's; this module only moves bytes and keeps time.
 
 use cloverstile::{MessageId, Outcome, Settings, Time};
 use gullcart_engine::{
@@ -27,50 +28,54 @@
 use crate::tracked_connection::{WriteProgress, WrittenPart};
 use crate::upgrade;
 
-/// EventSender that one run_turn takes in at most.
+/// Maximum number of events handled in one turn of the loop.
 const MAX_EVENTS_PER_TURN: usize = 256;
-/// How often idle connections are looked through, and what the log says of the load.
+/// How often idle connections are checked and metrics are logged.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// The load is logged once in this many sweeps.
 const SWEEPS_PER_REPORT: u32 = 10;
-/// A loop that is later than this is said to be late.
+/// A timer or a step of the loop that is later than this is logged.
 const LATENESS_WARNING: Duration = Duration::from_millis(25);
-/// Idle connections that are kept, for each call slot: most endpoints have few calls out at a time, so that a
-/// courier needs far more connections than slots to keep one ready at each.
+/// Idle connections kept for each call slot. Most endpoints have few calls in flight at a time, so keeping one connection ready
+/// at each takes far more connections than slots.
 pub const IDLE_CONNECTIONS_PER_SLOT: usize = 4;
-/// From its last call on, a courier that channels waits so long at most for its clients to hear their answers and to close: SIGKILL
-/// comes half a second after it. It looks for their channels at this pace.
+/// On shutdown, the longest time to wait, after the last call, for clients to read their replies and close: SIGKILL follows half
+/// a second after the last call.
 const MAX_SHUTDOWN_WAIT: Duration = Duration::from_millis(250);
+/// How often a shutdown checks whether all clients have closed.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How long a courier that moves waits for its clients' connections to be given up: none of them has anything to wait for but
-/// a client that does not read.
+/// How long a hand-over waits for the clients' connections to be released: only a client that does not read its replies takes
+/// longer.
 const MAX_CLIENT_RELEASE_WAIT: Duration = Duration::from_millis(60);
-/// A courier that moved cannot have been on its way for longer.
+/// Upper bound on the duration of a hand-over, in case the wall clock jumps.
 const MAX_HANDOVER_DURATION: Duration = Duration::from_secs(10);
 
-/// The process's clock: the module's time, which begins with it.
+/// The courier's monotonic clock, which starts at [`EPOCH`].
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
-    /// Unix milliseconds of the beginning.
+    /// Unix time at which the clock started, in milliseconds.
     pub epoch_ms: u64,
 }
 
 impl Clock {
+    /// A clock that starts now.
     pub fn new() -> Self {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { start: Instant::now(), epoch_ms: wall.as_millis() as u64 }
     }
 
-    /// The clock of a courier that stopped at that time of its own, in the process before.
+    /// Continues the clock of a courier that was stopped at `stopped_at` in the previous process.
     pub fn resumed(epoch_ms: u64, stopped_at: Time) -> Self {
         let now = Clock::new();
         let elapsed_before = stopped_at - EPOCH;
-        // By the wall, which both processes read; but one that jumps must not move this clock back, nor far on.
+        // Both processes read the wall clock; the clamp keeps a jump of it from moving this clock back or far ahead.
         let wall_elapsed = Duration::from_millis(now.epoch_ms.saturating_sub(epoch_ms));
         let elapsed = wall_elapsed.clamp(elapsed_before, elapsed_before + MAX_HANDOVER_DURATION);
         Clock { start: now.start.checked_sub(elapsed).unwrap_or(now.start), epoch_ms }
     }
 
+    /// The time on this clock.
     pub fn now(&self) -> Time {
         EPOCH + self.start.elapsed()
     }
@@ -80,52 +85,56 @@
     }
 }
 
-/// A call that is out.
+/// A call whose end has not been reported yet.
 struct InFlightCall {
+    /// Stops the call; none once it was asked to stop.
     stop: Option<oneshot::Sender<Stop>>,
-    /// How much of it has gone.
+    /// How much of the request has been written.
     progress: Rc<WriteProgress>,
     task: AbortHandle,
     started_at: Instant,
     timeout: Duration,
 }
 
-/// Why the loop ended.
+/// Why [`Driver::run`] returned.
 pub enum LoopExit {
-    /// The process is to end.
+    /// The courier has shut down.
     Terminated,
-    /// Another process asks for the courier, and has greeted.
+    /// Another process asked for the courier and has sent its hello.
     HandOver(UnixStream),
 }
 
-/// A courier that stands still. It still has the lock of its folder.
+/// A courier stopped for a hand-over. It still holds the lock of its folder.
 pub struct StoppedCourier {
+    /// The engine, which must be dropped to release the lock.
     pub engine: Engine<Folder>,
-    /// All that is to move, without the listener and the clients.
+    /// The state to hand over, without the listener and the clients.
     pub state: Baggage,
-    /// The connections of its calls, in the order of the baggage.
+    /// The connections of the calls, in the order in which `state` lists them.
     pub call_connections: Vec<OwnedFd>,
-    /// What operators were told last.
+    /// The metrics at the time of the stop.
     pub last_reading: Reading,
 }
 
-/// Where the other parts are reached.
+/// The channels by which the driver reaches the other parts of the daemon.
 pub struct DriverChannels {
-    /// The courier's place in a group, where it has one.
+    /// The courier's membership in a group, if it has one.
     pub group: Option<GroupMembership>,
-    /// What happens to this part, also by its own doing.
+    /// Events for the driver itself.
     pub events: EventSender,
+    /// Notices for the task that sends them to discovery's agent.
     pub notices: Sender<Notice>,
+    /// The phase that the clients' connections follow.
     pub phase: watch::Sender<Phase>,
 }
 
-/// The connections to endpoints that the settings and the descriptors allow.
+/// Creates the connection pool with the limits that the settings and the descriptor budget allow.
 pub fn connection_pool(settings: &Settings, endpoint_sockets: usize, seed: u64) -> Rc<ConnectionPool> {
     Rc::new(ConnectionPool::new(
         settings.connect_timeout,
         settings.conn_idle,
         endpoint_sockets,
-        // Some are left for calls, so that these need not wait for others to close.
+        // Leaves descriptors for calls, so that these need not wait until an idle connection has closed.
         (IDLE_CONNECTIONS_PER_SLOT * settings.call_slots)
             .min(endpoint_sockets.saturating_sub(settings.call_slots))
             .max(1),
@@ -133,7 +142,7 @@
     ))
 }
 
-/// Waits until the group has something new; for ever without one.
+/// Waits until something in the group has changed; forever for a courier without a group.
 async fn group_changed(group: Option<&GroupMembership>) {
     match group {
         Some(group) => group.changed().await,
@@ -141,19 +150,20 @@
     }
 }
 
-/// The loop.
+/// The event loop and everything it keeps between two turns.
 pub struct Driver {
     engine: Engine<Folder>,
     clock: Clock,
     pool: Rc<ConnectionPool>,
     channels: DriverChannels,
     in_flight_calls: HashMap<MessageId, InFlightCall>,
-    /// Clients that wait for an answer, until the end of the run_turn.
+    /// Clients waiting for the reply to an enqueue, which they get at the end of the turn.
     waiting_clients: HashMap<Ticket, oneshot::Sender<Answer>>,
-    /// Operators that wait for theirs; no more than the console has callers.
+    /// Operators waiting for the result of an order; bounded by the number of console callers.
     waiting_operators: HashMap<Ticket, oneshot::Sender<Result<(), Denied>>>,
     last_ticket: u64,
-    /// Notices for which there is no place yet among those being told: as many as there are messages held.
+    /// Notices for which the sender's queue has no room; bounded by the number of messages held.
+    /// The longest delay of a timer or step since the last report.
     unsent_notices: VecDeque<Notice>,
     max_lateness: Duration,
     lateness_log: Seldom,
@@ -162,6 +172,7 @@
 }
 
 impl Driver {
+    /// A driver with no call in flight.
     pub fn new(
         engine: Engine<Folder>,
         clock: Clock,
@@ -186,7 +197,7 @@
         }
     }
 
-    /// Runs until the process is to end.
+    /// Runs until the courier has shut down or another process asks for it.
     pub async fn run(
         &mut self,
         events: &mut Receiver<DriverEvent>,
@@ -202,7 +213,7 @@
             let fallback_wake = Instant::now() + SWEEP_INTERVAL;
             tokio::select! {
                 biased;
-                // An operator's answer is owed whatever else waits.
+                // First, as the console promises operators a reply within a second.
                 Some(question) = questions.recv() => {
                     if let Some(stream) = self.handle_question(question) {
                         return Ok(LoopExit::HandOver(stream));
@@ -228,22 +239,22 @@
                 self.record_lateness(step_start - at, "a timer was late");
             }
             self.run_turn()?;
-            self.record_lateness(step_start.elapsed(), "a step took long");
+            self.record_lateness(step_start.elapsed(), "a step of the event loop took too long");
             if self.engine.may_end(self.clock.now()) {
                 return self.finish(events, clients).await.map(|()| LoopExit::Terminated);
             }
         }
     }
 
-    /// Goes on with calls that the process before had out.
+    /// Resumes the calls that were in flight in the previous process.
     pub fn resume_calls(&mut self, calls: Vec<(Call, calls::CarriedCall)>) {
         for (call, carried) in calls {
             self.start_call(call, Some(carried));
         }
     }
 
-    /// Stops between two turns, for another process: what was read is answered, clients' connections are given up, and calls
-    /// of which nothing has gone have not been made.
+    /// Stops between two turns for a hand-over: requests that were read get their reply, the clients' connections are released, and
+    /// calls of which nothing was written count as not sent.
     pub async fn stop(
         mut self,
         events: &mut Receiver<DriverEvent>,
@@ -275,7 +286,7 @@
             let elapsed = call.started_at.elapsed();
             let outcome = match (call.progress.written_part(), call.stop.is_some()) {
                 (WrittenPart::Nothing, _) => Outcome::Moot,
-                // The courier has called it off already.
+                // The courier has cancelled it already.
                 (_, false) => Outcome::Cancelled,
                 (WrittenPart::Part, true) => Outcome::Reset,
                 (WrittenPart::All, true) => match call.progress.to_handover() {
@@ -299,7 +310,7 @@
                 self.engine.handle(now, Input::Ended(message, endpoint, ended));
             }
         }
-        // What is counted here stays here; what is in flight moves.
+        // The counters stay with this process; the calls in flight move to the next one.
         let last_reading = Reading { in_flight: 0, ..self.engine.reading(now) };
         let (effects, books) = self.engine.freeze(now)?;
         for effect in effects {
@@ -309,9 +320,9 @@
         Ok(StoppedCourier { engine: self.engine, state, call_connections, last_reading })
     }
 
-    /// Answers the requests that have come, and waits for no more: ending a connection before would lose their messages.
-    /// The next process finds them in the journal. Then the connections are shut, and their clients have some time to hear
-    /// that and to close: an end over what they still send would reset what they were answered.
+    /// Ends the service: answers the requests that have arrived, since closing a connection before would lose their messages, which
+    /// the next process finds in the journal. Then shuts the connections down for writing and gives clients time to close: closing
+    /// while a client still sends would reset the connection and destroy the replies on their way.
     async fn finish(
         &mut self,
         events: &mut Receiver<DriverEvent>,
@@ -325,9 +336,9 @@
                 self.handle_event(event);
             }
             self.run_turn()?;
-            // The tasks of the connections write what they were given.
+            // Lets the connections' tasks write the replies.
             yield_now().await;
-            // Connections that wait to be accepted are seen in one look, and their requests in the next.
+            // One round accepts the connections in the listen queue, and the next one reads their requests.
             let is_quiet = started_at.elapsed() > 3 * SHUTDOWN_POLL_INTERVAL
                 && clients.open_count() == 0
                 && events.is_empty();
@@ -345,10 +356,11 @@
             }
         }
         let (held, in_flight) = self.engine.load();
-        info!(held, out = in_flight, "the courier ends");
+        info!(held, out = in_flight, "the courier has shut down");
         Ok(())
     }
 
+    /// Keeps the maximum for the report, and logs a delay that is too long.
     fn record_lateness(&mut self, lateness: Duration, what: &str) {
         self.max_lateness = self.max_lateness.max(lateness);
         if lateness > LATENESS_WARNING {
@@ -358,11 +370,11 @@
         }
     }
 
-    /// Answers a question; the process that asks for the courier, if it may have it.
+    /// Handles a request of the console or of another process. Returns the connection of a process that may have the courier.
     fn handle_question(&mut self, question: ControlRequest) -> Option<UnixStream> {
         match question {
             ControlRequest::Figures(reply) => {
-                // Who does not wait any more has given up.
+                // A receiver that is gone no longer waits.
                 let _ = reply.send(self.engine.reading(self.clock.now()));
             }
             ControlRequest::Order(order, reply) => {
@@ -372,9 +384,9 @@
             }
             ControlRequest::HandOver(mut stream) => {
                 if self.engine.is_ending() {
-                    // It asks again until this process has ended.
+                    // The other process repeats its request until this one has ended.
                     if let Some(more) = self.denied_log.due(self.clock.now()) {
-                        info!(more, "another process asks for the courier, which ends; it can start when this one has ended");
+                        info!(more, "hand-over refused during shutdown; the new process can start once this one has ended");
                     }
                 } else if upgrade::receive_hello(&mut stream) {
                     return Some(stream);
@@ -384,9 +396,10 @@
         None
     }
 
+    /// Passes an event to the engine.
     fn handle_event(&mut self, event: DriverEvent) {
         let input = match event {
-            // Whoever does not wait any more hands it in elsewhere.
+            // A client that no longer waits enqueues its message elsewhere.
             DriverEvent::Enqueue(_, reply) if reply.is_closed() => return,
             DriverEvent::Enqueue(enqueue, reply) => {
                 self.last_ticket += 1;
@@ -401,11 +414,11 @@
         self.engine.handle(self.clock.now(), input);
     }
 
-    /// DriverChannels a run_turn and does what it brought about. No other task runs meanwhile, so that nothing leaves the process
-    /// before the journal has what it promises.
+    /// Ends a turn and carries out its effects. No other task runs in between, so nothing leaves the process before the journal has
+    /// recorded what it depends on.
     fn run_turn(&mut self) -> Result<(), JournalError> {
         if let Some(group) = &self.channels.group {
-            // Right before what it decides, and its calls leave within the same run_turn.
+            // The engine decides on duties right after this, and starts the calls in the same turn, so that the view is current.
             let now = self.clock.now();
             let view = |destination| group.duty_view(now, destination);
             let requests =
@@ -422,12 +435,13 @@
         Ok(())
     }
 
+    /// Carries out one effect of a turn.
     fn apply_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Answer(ticket, answer) => {
                 let reply = self.waiting_clients.remove(&ticket);
                 if let Some(Err(Answer::Taken(message))) = reply.map(|reply| reply.send(answer)) {
-                    // Heard in the next run_turn.
+                    // The client has gone; the engine learns of it in the next turn.
                     let events = self.channels.events.clone();
                     tokio::task::spawn_local(async move { events.send(Input::Unheard(message)).await });
                 }
@@ -478,6 +492,7 @@
         }
     }
 
+    /// Starts a call, or resumes one that was handed over, in a task of its own.
     fn start_call(&mut self, call: Call, carried: Option<calls::CarriedCall>) {
         let (stop, stopped) = oneshot::channel();
         let progress = Rc::new(match &carried {
@@ -497,7 +512,7 @@
                 events.send(Input::Written(message)).await;
                 std::future::pending().await
             };
-            // First the call: what its task waits for must not wait for the loop.
+            // The call comes first: it must not wait for the driver to take the `Written` event.
             let ended = tokio::select! {
                 biased;
                 ended = call => ended,
--- a/crates/gullcart/src/group.rs
+++ b/crates/gullcart/src/group.rs
@@ -1,5 +1,5 @@
-//! The courier's place in a group, where `GULLCART_GROUP` names a file. Without it none of this is there: no thread, no socket,
-//! no file. Whatever becomes of the group, the courier carries messages.
+//! The courier's membership in a group, if `GULLCART_GROUP` names a settings file. Without one there is no thread, socket or file
+//! for it. A failure of the group never keeps the courier from delivering messages.
 
 use cloverstile::{DestinationId, Time};
 use gullcart_engine::{DutyView, Holder, Told, TrialWish};
@@ -17,13 +17,15 @@
 use tokio::time::{sleep, timeout};
 use tracing::{error, info, warn};
 
-/// What duties of trials are called, before the destination.
+/// Prefix of the names of trial duties, before the destination's number.
 const TRIAL_DUTY_PREFIX: &str = "trials/";
-/// Between two looks whether the group has ended by itself, and two tries to belong to it again.
+/// How often to check whether the group's thread has ended by itself.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Delay before the courier joins its group again.
 const REJOIN_INTERVAL: Duration = Duration::from_secs(5);
-/// How long the group is waited for when the process ends, and when it moves to another one.
+/// How long to wait for the group when the process ends.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long to wait for the group's state in a hand-over.
 const HANDOVER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// What belonging to a group costs a courier at most.
@@ -35,21 +37,22 @@
     pub descriptors: usize,
 }
 
-/// The place.
+/// A courier's membership in its group, which may be suspended or over.
 #[derive(Clone)]
 pub struct GroupMembership {
     settings: Rc<RefCell<Settings>>,
-    /// Members for which descriptors were dealt out.
+    /// Number of members for which descriptors are reserved.
     max_members: usize,
     folder: PathBuf,
+    /// The task that joins again after the group's thread has ended.
     handle: Rc<RefCell<Option<Handle>>>,
     rejoin_task: Rc<RefCell<Option<AbortHandle>>>,
-    /// It was given up for good, and whether that is done.
+    /// Set to true once the courier has left the group for good.
     is_left: Rc<watch::Sender<bool>>,
 }
 
 impl GroupMembership {
-    /// A place that is not taken yet.
+    /// A membership that has not been joined yet.
     pub fn new(settings: Settings, state: &Path) -> Self {
         GroupMembership {
             max_members: settings.room(),
@@ -61,12 +64,12 @@
         }
     }
 
-    /// Bytes of the state folder that are the group's, and descriptors at most.
+    /// What the group of these settings takes from the courier's limits.
     pub fn resources(settings: &Settings) -> GroupResources {
         GroupResources { disk_bytes: settings.disk, descriptors: settings.sockets() }
     }
 
-    /// Takes it, or goes on in the place of a process that gave it up to this one.
+    /// Joins the group, or resumes the membership of a process that handed it over.
     pub fn join(&self, given: &[u8]) {
         let given = Given::read(given).filter(|_| !given.is_empty());
         self.start_member(given);
@@ -76,7 +79,7 @@
                 sleep(CHECK_INTERVAL).await;
                 let is_over = membership.handle.borrow().as_ref().is_none_or(Handle::is_over);
                 if is_over {
-                    // Its folder is free once the one before is gone.
+                    // Dropped first, as the previous thread holds the folder.
                     membership.handle.replace(None);
                     sleep(REJOIN_INTERVAL).await;
                     membership.start_member(None);
@@ -88,21 +91,22 @@
         }
     }
 
+    /// Starts the group's thread. A failure is logged, and the courier goes on without a group.
     fn start_member(&self, given: Option<Given>) {
         let settings = self.settings.borrow().clone();
         match start(settings, &self.folder, given) {
             Ok(handle) => {
                 self.handle.replace(Some(handle));
             }
-            Err(error) => warn!(%error, "this courier is in no group for now, and goes on by itself"),
+            Err(error) => warn!(%error, "cannot join the group for now; the courier goes on without it"),
         }
     }
 
-    /// Follows another file of the group, as far as that may change in service.
+    /// Applies a new settings file, as far as its changes are possible while the process runs.
     pub fn apply_settings(&self, settings: Settings) {
         match roster::change(&self.settings.borrow(), &settings, self.max_members) {
             Err(error) => {
-                return error!(%error, "the file of the group was read again; the group stays as it was")
+                return error!(%error, "cannot apply the new settings of the group; it stays as it was")
             }
             Ok(change) if change == roster::Change::default() => return,
             Ok(_) => {}
@@ -113,19 +117,19 @@
         self.settings.replace(settings);
     }
 
-    /// Duties that were requested_duties for.
+    /// The trial duties that this courier has asked for.
     pub fn requested_duties(&self) -> Vec<DestinationId> {
         let handle = self.handle.borrow();
         let wants = handle.as_ref().map(Handle::wants).unwrap_or_default();
         wants.iter().filter_map(destination_of).collect()
     }
 
-    /// How a duty stands, in the courier's time.
+    /// The state of a trial duty, in the courier's time.
     pub fn duty_view(&self, now: Time, destination: DestinationId) -> Option<DutyView> {
         let handle = self.handle.borrow();
         let (handle, duty) = (handle.as_ref()?, trial_duty(destination)?);
         let Look { other_until, told: agreed } = handle.look(&duty)?;
-        // Its clock goes on while the machine sleeps, and the courier's may not: what is left is looked up anew each time.
+        // The group's clock runs on while the machine sleeps, unlike the courier's, so the remaining time is computed anew each time.
         let boot_time = boot_now();
         let holder = match (handle.holds(&duty), other_until) {
             (Some((epoch, left)), _) => Holder::Me { epoch: epoch.0, until: now + left },
@@ -137,7 +141,7 @@
         Some(DutyView { holder, told })
     }
 
-    /// Asks the group for something. Where it cannot be requested_duties, it is requested_duties again for what is wanted (`gullcart-engine/trials.rs`).
+    /// Sends a request to the group. One that fails is repeated by `gullcart-engine/trials.rs` as long as it is needed.
     pub fn request(&self, request: TrialWish) {
         let handle = self.handle.borrow();
         let Some(handle) = handle.as_ref() else { return };
@@ -152,11 +156,11 @@
             }
         };
         if is_queued != Some(true) {
-            warn!("the group is asked for too much at once");
+            warn!("a request to the group was dropped: too many requests are pending");
         }
     }
 
-    /// Waits until something of that has changed; for ever where there is no group.
+    /// Waits until a duty may have changed.
     pub async fn changed(&self) {
         let changed = self.handle.borrow().as_ref().map(Handle::changed);
         match changed {
@@ -165,6 +169,7 @@
         }
     }
 
+    /// Ends the membership on this side and returns its handle.
     fn detach(&self) -> Option<Handle> {
         if let Some(rejoin_task) = self.rejoin_task.take() {
             rejoin_task.abort();
@@ -172,7 +177,7 @@
         self.handle.take()
     }
 
-    /// Gives up all that it holds at once, for others to take it over.
+    /// Leaves the group and releases all duties at once, so that other members can take them over.
     pub async fn leave(&self) {
         if let Some(handle) = self.detach() {
             let is_acknowledged = handle.leave(LEAVE_TIMEOUT).await;
@@ -181,12 +186,12 @@
         self.is_left.send_replace(true);
     }
 
-    /// Waits until [`GroupMembership::leave`], which has begun, is done.
+    /// Waits for the end of [`GroupMembership::leave`], which must have been started.
     pub async fn wait_until_left(&self) {
         let _ = timeout(LEAVE_TIMEOUT, self.is_left.subscribe().wait_for(|is_left| *is_left)).await;
     }
 
-    /// Stops, for a process that goes on in its place; nothing where it is in no group.
+    /// Stops the membership for a hand-over, and returns its state; empty without a group.
     pub async fn hand_over(&self) -> Vec<u8> {
         match self.detach() {
             Some(handle) => {
@@ -197,11 +202,12 @@
     }
 }
 
-/// The duty to try a destination for all.
+/// The duty of making the trial calls for a destination.
 fn trial_duty(destination: DestinationId) -> Option<Duty> {
     Duty::new(&format!("{TRIAL_DUTY_PREFIX}{}", destination.0))
 }
 
+/// The destination of a trial duty.
 fn destination_of(duty: &Duty) -> Option<DestinationId> {
     duty.name().strip_prefix(TRIAL_DUTY_PREFIX)?.parse().ok().map(DestinationId)
 }
--- a/crates/gullcart/src/lib.rs
+++ b/crates/gullcart/src/lib.rs
@@ -1,8 +1,9 @@
 //! gullcart: a courier that takes messages from clients and delivers them to partners' endpoints.
 //!
-//! The courier itself is `gullcart-engine`. Here are its sockets: `vocabulary` and `resp` below all; `update_stream`, `wire`, `calls`, `discovery` and
-//! `clients` above it, none of which knows the loop; then `driver`, the loop round the engine; `upgrade`, by which all of it moves
-//! to another process; `service`, which puts the parts together; then this file.
+//! The decisions are made by the package `gullcart-engine`; this package connects the engine to real sockets. The modules, from
+//! the bottom up: `messages` and `resp` depend on no other module; `update_stream`, `tracked_connection`, `calls`, `discovery`
+//! and `clients` handle connections and do not know the event loop; `driver` is the event loop around the engine; `upgrade` moves
+//! a running courier to another process; `service` assembles the parts; this file starts and ends the process.
 #![forbid(unsafe_code)]
 
 mod calls;
@@ -38,17 +39,17 @@
 use crate::group::GroupMembership;
 use crate::service::{CarriedCourier, HandoverResult, Service};
 
-/// Names the console's address, before `console` in the configuration: without either there is none.
+/// Environment variable with the console's address. It overrides `console` in the configuration; without both there is no console.
 const CONSOLE_VARIABLE: &str = "BALANCER_CONSOLE";
-/// Names the operators' file of the journal, where there is one.
+/// Environment variable with the path of the journal's options file, which is optional.
 const JOURNAL_FILE_VARIABLE: &str = "GULLCART_JOURNAL";
-/// Names the operators' file of the group, where there is one.
+/// Environment variable with the path of the group's settings file, which is optional.
 const GROUP_FILE_VARIABLE: &str = "GULLCART_GROUP";
-/// How long a process whose courier has moved waits for its SIGTERM.
+/// How long a process whose courier was handed over waits for its SIGTERM.
 const POST_HANDOVER_WAIT: Duration = Duration::from_secs(60);
 
-/// Reads the configuration again on each SIGHUP, and the file of the group where there is one. Only where discovery is, and who
-/// belongs to the group without a vote, may change in service; a file that cannot be read changes nothing.
+/// Reads the configuration, and the group's settings file if there is one, again on each SIGHUP. Only discovery's address and
+/// the group's members without a vote can change while the process runs; a file that cannot be read changes nothing.
 async fn reload_on_hangup(
     mut hang_up: Signal,
     path: PathBuf,
@@ -76,7 +77,7 @@
     }
 }
 
-/// The console's listener, where one is named. Clients are served without it: their messages do not wait for operators.
+/// Opens the console's listener, if an address is configured. A failure is only logged: clients are served without a console.
 async fn open_console(config: &Config) -> Option<TcpListener> {
     let named = std::env::var(CONSOLE_VARIABLE).ok().filter(|address| !address.is_empty());
     let address = named.or_else(|| config.console.clone())?;
@@ -93,7 +94,7 @@
     }
 }
 
-/// Answers operators after the courier has moved: what this process counted, and that it takes no clients.
+/// Answers operators after a hand-over: with the figures that this process counted, and that it serves no clients.
 async fn answer_after_handover(
     questions: &mut mpsc::Receiver<ControlRequest>,
     reading: &Reading,
@@ -103,17 +104,18 @@
         if let ControlRequest::Figures(reply) = question {
             let _ = reply.send(reading.clone());
         }
-        // All else is dropped, which is a no.
+        // Any other request is dropped, which refuses it.
     }
 }
 
+/// Runs the daemon until the courier has shut down, or was handed over and this process may end.
 pub async fn run() -> Result<(), StartError> {
-    // Before all else: without a handler the signal would end the process.
+    // First of all: without a handler, SIGHUP and SIGTERM would end the process.
     let hang_up = signal(SignalKind::hangup())?;
     let mut terminate = signal(SignalKind::terminate())?;
     let state_folder = PathBuf::from(required_variable("BALANCER_STATE")?);
     let path = PathBuf::from(required_variable("BALANCER_CONFIG")?);
-    // All of it, first: a bad configuration must not take a running courier over.
+    // Validates all of the configuration first: a bad one must not take over a running courier.
     let config = read_config(&path)?;
     let options = match std::env::var_os(JOURNAL_FILE_VARIABLE) {
         Some(path) => Options::read(Path::new(&path))?,
@@ -170,8 +172,8 @@
             let carried = CarriedCourier { state, descriptors: std::mem::take(&mut arrived.descriptors) };
             let running = service.start(journal, Some(carried)).await?;
             if let Err(error) = arrived.confirm_serving() {
-                // It has given up the lock, and this process has it: there is one owner all the same.
-                warn!(%error, "the process before does not hear that this one serves");
+                // That process has released the lock and this one holds it, so there is still only one owner.
+                warn!(%error, "cannot confirm the takeover to the previous process");
             }
             running
         }
@@ -179,14 +181,14 @@
     if let Some(group) = &service.group {
         group.join(&group_state);
         let (group, mut terminated) = (group.clone(), service.terminated.clone());
-        // At once, not when the last message is out: others go on with what is held here.
+        // On SIGTERM at once, not after the last message, so that other members can take over the duties held here.
         tokio::task::spawn_local(async move {
             if terminated.wait_for(|is_terminated| *is_terminated).await.is_ok() {
                 group.leave().await;
             }
         });
     }
-    // As long as this process has the courier, not one run of it: who asks while a hand-over fails is heard after it.
+    // Lives as long as this process owns the courier: requests that arrive during a failing hand-over are handled after it.
     let handover_listener = service.has_console.then(|| {
         let state_folder = service.state_folder.clone();
         tokio::task::spawn_local(async move { upgrade::listen(&state_folder, requests).await })
@@ -206,7 +208,7 @@
         match service.hand_over(running, stream).await? {
             HandoverResult::Kept(kept) => running = *kept,
             HandoverResult::HandedOver(reading) => {
-                // The name is the new process's from here on; who waits in the queue asks there.
+                // The socket's name belongs to the new process now; connections waiting in the queue ask there.
                 if let Some(task) = &handover_listener {
                     task.abort();
                 }
@@ -216,7 +218,7 @@
                     _ = timeout(POST_HANDOVER_WAIT, terminated.wait_for(|is_terminated| *is_terminated)) => {}
                     () = answer_after_handover(&mut questions, &reading, until) => {}
                 }
-                info!("this process ends; its courier goes on in another one");
+                info!("process ends after the hand-over of its courier");
                 return Ok(());
             }
         }
--- a/crates/gullcart/src/main.rs
+++ b/crates/gullcart/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon: `gullcart` on one thread, until it is told to end.
+//! The daemon `gullcart`: runs the courier on one thread until the process is told to end.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
@@ -8,19 +8,19 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// What is logged beside the usual: targets and levels, such as `gullcart::tally=debug`.
-const LOG: &str = "GULLCART_LOG";
+/// Environment variable with targets and levels to be logged besides info, such as `gullcart::tally=debug`.
+const LOG_VARIABLE: &str = "GULLCART_LOG";
 
 fn main() -> ExitCode {
-    let wanted = std::env::var(LOG).unwrap_or_default();
-    let usual = Targets::new().with_default(LevelFilter::INFO);
-    let targets = match wanted.parse::<Targets>() {
-        _ if wanted.trim().is_empty() => usual,
+    let filter = std::env::var(LOG_VARIABLE).unwrap_or_default();
+    let default_targets = Targets::new().with_default(LevelFilter::INFO);
+    let targets = match filter.parse::<Targets>() {
+        _ if filter.trim().is_empty() => default_targets,
         Ok(targets) if targets.default_level().is_none() => targets.with_default(LevelFilter::INFO),
         Ok(targets) => targets,
         Err(error) => {
-            eprintln!("gullcart: {LOG} is '{wanted}', which cannot be read: {error}; info is logged");
-            usual
+            eprintln!("gullcart: {LOG_VARIABLE} is '{filter}', which is not a valid filter: {error}; logging at level info");
+            default_targets
         }
     };
     let lines =
--- a/crates/gullcart/src/messages.rs
+++ b/crates/gullcart/src/messages.rs
@@ -1,37 +1,37 @@
-//! How the parts of the daemon reach the loop. It lies below all of them, so that imports run one way.
+//! The events that the parts of the daemon send to the driver. This module imports none of them, which keeps dependencies acyclic.
 
 use gullcart_engine::{Answer, Enqueue, Input};
 use tokio::sync::{mpsc, oneshot};
 
-/// EventSender that wait for the loop at most. Where there are more, whoever tells the next one waits: clients for their
-/// answers, calls for their ends to be heard. The loop itself waits for nobody.
+/// Capacity of the event queue. When it is full, senders wait: clients for their replies, and calls to report their end. The
+/// driver never waits for a sender.
 const MAX_QUEUED_EVENTS: usize = 4096;
 
-/// What the loop is told.
+/// An event for the driver.
 pub enum DriverEvent {
-    /// A client hands a message in and waits for its answer here.
+    /// A client enqueues a message and waits for the reply on the channel.
     Enqueue(Enqueue, oneshot::Sender<Answer>),
-    /// Something else has happened.
+    /// Any other input for the engine.
     Input(Input),
 }
 
-/// Tells the loop what happens.
+/// Sends events to the driver.
 #[derive(Clone)]
 pub struct EventSender(mpsc::Sender<DriverEvent>);
 
 impl EventSender {
-    /// Where it is told, and where it listens.
+    /// A sender and the receiver that belongs to it.
     pub fn channel() -> (Self, mpsc::Receiver<DriverEvent>) {
         let (sender, receiver) = mpsc::channel(MAX_QUEUED_EVENTS);
         (EventSender(sender), receiver)
     }
 
-    /// Something has happened. Once the loop has ended nobody listens.
+    /// Sends an input. It is dropped if the driver has ended.
     pub async fn send(&self, input: Input) {
         let _ = self.0.send(DriverEvent::Input(input)).await;
     }
 
-    /// Hands a message in; none if the loop ends before it has an answer.
+    /// Enqueues a message and waits for the reply; none if the driver ends before that.
     pub async fn enqueue(&self, enqueue: Enqueue) -> Option<Answer> {
         let (reply, answer) = oneshot::channel();
         self.0.send(DriverEvent::Enqueue(enqueue, reply)).await.ok()?;
--- a/crates/gullcart/src/resp.rs
+++ b/crates/gullcart/src/resp.rs
@@ -1,22 +1,22 @@
-//! RESP2 as clients speak it: requests out of bytes, what an `ENQUEUE` asks, and answers as bytes. No socket.
+//! RESP2 as clients speak it: parsing of requests, the arguments of `ENQUEUE`, and encoding of replies. Without sockets.
 
 use bytes::{Buf, Bytes, BytesMut};
 use gullcart_engine::{Answer, Enqueue};
 use std::time::Duration;
 use thiserror::Error;
 
-/// Words of a request, at most.
+/// Maximum number of words in a request.
 const MAX_WORDS: usize = 16;
-/// The body of a message, in bytes.
+/// Maximum length of a message's body.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// All of a request but its body: a key, an id, fields and their lengths.
+/// Maximum length of a request without its longest word, the body: the key, the id, the fields and all length lines.
 const MAX_OVERHEAD_BYTES: usize = 4 << 10;
-/// A line that announces a count or a length.
+/// Maximum length of a line with a count or a length.
 const MAX_LENGTH_LINE_BYTES: usize = 32;
-/// An id or an idempotency key, in bytes.
+/// Maximum length of an id or an idempotency key.
 const MAX_TOKEN_BYTES: usize = 128;
 
-/// An answer as it goes out.
+/// Encodes a reply.
 pub fn encode(answer: &Answer) -> String {
     match answer {
         Answer::Taken(_) | Answer::Held => "+OK\r\n".to_owned(),
@@ -26,18 +26,19 @@
     }
 }
 
-/// Why bytes are no request; what follows them cannot be told apart any more.
+/// Why bytes are not a valid request. The boundaries of later requests are unknown after such an error.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum RespError {
+    /// The bytes are not an array of bulk strings.
     #[error("Protocol error: expected an array of bulk strings")]
     InvalidFormat,
+    /// A limit on the size is exceeded.
     #[error("Protocol error: too long")]
     TooLong,
 }
 
-/// Takes the first whole request out of the buffer; none while it is not whole. Requests are arrays of bulk
-/// strings and nothing else, so that depth and size are bounded before anything is stored; the general
-/// decoders recurse as deep as their input says.
+/// Takes the first complete request out of the buffer; none while it is incomplete. Only arrays of bulk strings are accepted, so
+/// that depth and size are limited before anything is allocated: general RESP decoders recurse as deep as the input says.
 pub fn decode(buffer: &mut BytesMut) -> Result<Option<Vec<Bytes>>, RespError> {
     let Some((count, mut at)) = parse_length_line(buffer, 0, b'*')? else { return Ok(None) };
     if count > MAX_WORDS {
@@ -67,7 +68,7 @@
     Ok(Some(spans.into_iter().map(|span| frame.slice(span)).collect()))
 }
 
-/// A line of a sign and a parse_length_line at a place in the buffer: the parse_length_line and where the line ends.
+/// Parses a line of a type character and a number at a position of the buffer: the number, and the position behind the line.
 fn parse_length_line(buffer: &BytesMut, at: usize, sign: u8) -> Result<Option<(usize, usize)>, RespError> {
     let mut line = &buffer[at..];
     match line.first() {
@@ -84,7 +85,7 @@
     Ok(Some((text.parse().map_err(|_| RespError::TooLong)?, at + end + 2)))
 }
 
-/// `ENQUEUE key id names-and-values body`.
+/// Parses `ENQUEUE key id fields body`, with the fields written as `name=value,...`.
 pub fn parse_enqueue(words: &[Bytes]) -> Result<Enqueue, &'static str> {
     let [_, key, id, fields, body] = words else {
         return Err("ENQUEUE takes a key, an id, fields and a body");
@@ -109,21 +110,19 @@
         id,
         key,
         class: field("c").ok_or("c is missing")?.to_owned(),
-        destination: field("dest")
-            .and_then(|v| v.parse().ok())
-            .ok_or("dest is missing or no number")?,
+        destination: field("dest").and_then(|v| v.parse().ok()).ok_or("dest is missing or no number")?,
         left: field("d")
             .and_then(|v| v.parse().ok())
             .map(Duration::from_millis)
             .ok_or("d is missing or no number")?,
         idempotency_key,
         again: field("again") == Some("1"),
-        // A copy of its own: a slice would keep all that was read with it.
+        // Copied: a slice would keep the whole request in memory.
         body: Bytes::copy_from_slice(body),
     })
 }
 
-/// Whether a text may go on in a header and in a notice.
+/// Whether a text may be passed on in a header and in a notice.
 fn is_token(text: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(&byte);
     (1..=MAX_TOKEN_BYTES).contains(&text.len()) && text.bytes().all(is_allowed)
--- a/crates/gullcart/src/service.rs
+++ b/crates/gullcart/src/service.rs
@@ -1,4 +1,4 @@
-//! The courier's parts put together, in a process that begins with it or that goes on with that of another.
+//! Assembles the courier's parts, either with a fresh courier or with one that was handed over by another process.
 
 use cloverstile::{parse_settings_json, MessageId, Time};
 use gullcart_engine::{CallsForLists, ConnectionAnswers, Engine, Input, Reading, Start, TrialDuties};
@@ -27,71 +27,85 @@
 use crate::update_stream::MaxListBytes;
 use crate::upgrade::{self, ArrivedCourier, RequestOutcome};
 
-/// Clients hold a third of the descriptors at most: half of that may be idle.
+/// Divisor of the descriptor limit for idle clients' connections: clients open at most a third of the limit themselves, and half
+/// of that may be idle.
 const IDLE_CLIENTS_DIVISOR: usize = 6;
-/// Requests of more than a few KiB, of 68 KiB at most, that are read at a time: an eighth of the memory.
+/// Long requests that are read at the same time for each MB of memory. With at most 68 KiB each they take an eighth of it.
 const LONG_REQUESTS_PER_MB: f64 = 2.0;
-/// Notices that wait to be told at most; more of them wait with the loop.
+/// Capacity of the queue of notices to be sent; further ones stay with the driver.
 const MAX_QUEUED_NOTICES: usize = 1024;
-/// Sets the chance of calls for lists, and of what is kept, apart from that of decisions.
+/// Mixed into the seed, so that each of these random sequences is independent of the engine's. This one decides which connections
+/// are kept idle.
 const IDLE_SEED_MASK: u64 = 0x6964_6c65;
+/// For the times of calls to discovery.
 const LIST_SEED_MASK: u64 = 0x6c69_7374;
+/// For trial duties.
 const DUTY_SEED_MASK: u64 = 0x6475_7479;
+/// For the backoff between attempts to send notices.
 const NOTICE_SEED_MASK: u64 = 0x6e6f_7465;
-/// Connections that wait to be accepted.
+/// Length of the queue of connections to be accepted.
 const LISTEN_BACKLOG: u32 = 1024;
-/// How long a process waits for the folder that another one holds, where it may: SIGTERM reaches that one 6 s after this one
-/// was started at the latest, and SIGKILL 3.7 s later.
+/// How long a process with a console waits for a folder that another process holds: the other one gets SIGTERM at most 6 s after
+/// this process was started, and SIGKILL 3.7 s later.
 const FOLDER_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time between two attempts to open the folder.
 const FOLDER_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// Between two times that the running process is asked for its courier.
+/// Time between two requests to the running process for its courier.
 const HANDOVER_REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What does not change while the process lives.
+/// The parts of the daemon that last as long as the process.
 pub struct Service {
+    /// The configuration as read at the start.
     pub config: Config,
+    /// The folder of the journal and of the group's state.
     pub state_folder: PathBuf,
-    /// Bytes of the folder, and descriptors, that are the group's.
+    /// What the group takes from the limits of the configuration.
     pub group_resources: GroupResources,
+    /// Options of the journal.
     pub journal_options: Options,
-    /// Where discovery is, and whether the process was told to end.
+    /// The current address of discovery's agent.
     pub discovery_address: watch::Receiver<String>,
+    /// True once the process was told to end.
     pub terminated: watch::Receiver<bool>,
+    /// Whether the process has a console. Hand-overs are possible only with one.
     pub has_console: bool,
-    /// The courier's place in a group, where it has one.
+    /// The courier's membership in a group, if it has one.
     pub group: Option<GroupMembership>,
+    /// The injected fault, for tests.
     #[cfg(feature = "broken")]
     pub broken: gullcart_engine::broken::Broken,
 }
 
-/// A courier that came from another process, or that stays in this one after all.
+/// A courier that was handed over by another process, or that stays after a failed hand-over.
 pub struct CarriedCourier {
+    /// Its state.
     pub state: Baggage,
+    /// Its descriptors: the listener if there is one, then those of clients, then those of calls.
     pub descriptors: Vec<OwnedFd>,
 }
 
-/// A courier at work.
+/// A courier in service.
 pub struct RunningCourier {
     driver: Driver,
     events: mpsc::Receiver<DriverEvent>,
     clients: Clients,
-    /// The same listener, for a process that comes after.
+    /// A duplicate of the listener, for a hand-over.
     listener_copy: Option<OwnedFd>,
-    /// Tasks that end with this courier.
+    /// Tasks that are aborted when this courier is handed over.
     tasks: Vec<AbortHandle>,
 }
 
-/// What became of a courier that was asked for.
+/// The result of a hand-over.
 pub enum HandoverResult {
-    /// It is in the other process; what this one counted.
+    /// The courier runs in the other process; the metrics are those that this process counted.
     HandedOver(Box<Reading>),
-    /// It is still here.
+    /// The hand-over failed, and the courier runs in this process.
     Kept(Box<RunningCourier>),
 }
 
 impl Service {
-    /// The folder's journal, and the courier of the process that runs on it where one comes over. While another process has
-    /// the folder and gives nothing, it is asked again: it may be giving its courier to a third one, and go on after all.
+    /// Opens the journal, and first takes the courier over from a running process if that is possible. While another process holds
+    /// the folder and hands nothing over, it is asked repeatedly: it may be in a hand-over to a third process, which can fail.
     pub async fn open_journal(&self) -> Result<(Option<Box<ArrivedCourier>>, Journal<Folder>), StartError> {
         let deadline = Instant::now() + FOLDER_TIMEOUT;
         let mut arrived = None;
@@ -104,7 +118,7 @@
                     Ok(RequestOutcome::Unavailable) => {}
                     Ok(RequestOutcome::Arrived(courier)) => (arrived, next_request) = (Some(courier), None),
                     Err(error) => {
-                        warn!(%error, "the courier of the running process does not come over; waiting for its end");
+                        warn!(%error, "cannot take over from the running process; waiting for it to end");
                         next_request = None;
                     }
                 }
@@ -116,7 +130,7 @@
                         && Instant::now() < deadline =>
                 {
                     if !is_waiting_logged && arrived.is_none() {
-                        info!("another process holds the folder; waiting for its courier or its end");
+                        info!("another process holds the folder; waiting for a hand-over or its end");
                         is_waiting_logged = true;
                     }
                     sleep(FOLDER_RETRY_INTERVAL).await;
@@ -126,12 +140,12 @@
         }
     }
 
-    /// Bytes that the journal may have.
+    /// Limit on the size of the journal.
     fn journal_disk_bytes(&self) -> u64 {
         self.config.disk_bytes().saturating_sub(self.group_resources.disk_bytes)
     }
 
-    /// Begins a courier, or goes on with one that was carried over.
+    /// Starts a courier, or resumes one that was handed over.
     pub async fn start(
         &self,
         journal: Journal<Folder>,
@@ -174,7 +188,7 @@
             true => match Engine::resume(start, journal, &state.books) {
                 (engine, Ok(())) => (engine, true),
                 (engine, Err(error)) => {
-                    warn!(%error, "the books of the process before are left; the courier starts from its journal");
+                    warn!(%error, "cannot use the state of the previous process; the courier starts from its journal");
                     (engine, false)
                 }
             },
@@ -225,11 +239,11 @@
             let CarriedClient { is_fresh, unread } = carried;
             let moved = MovedClient { stream: connection.into(), is_new: is_fresh, unread_bytes: unread };
             if let Err(error) = moved.stream.set_nonblocking(true).and_then(|()| clients.adopt(moved)) {
-                warn!(%error, "a client's connection did not come over");
+                warn!(%error, "cannot take over a client's connection");
             }
         }
 
-        // Clients may come once all that was taken on before has been taken up again.
+        // Listens only now that all messages accepted before are held again.
         let (listener, address) = self
             .listen(carried_listener)
             .map_err(|error| StartError::Listen(config.listen.clone(), error))?;
@@ -262,7 +276,7 @@
         Ok(RunningCourier { driver, events, clients, listener_copy, tasks })
     }
 
-    /// The listener that came over, where it is that of the configuration; else one of its own.
+    /// Uses the listener that was handed over, if it has the configured address; otherwise opens one.
     fn listen(&self, carried: Option<OwnedFd>) -> std::io::Result<(TcpListener, SocketAddr)> {
         let named = self.config.listen.parse::<SocketAddr>().ok();
         if let Some(carried) = carried {
@@ -277,7 +291,7 @@
             Some(address) => {
                 let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
                 socket.set_reuseaddr(true)?;
-                // A version that comes after may be unable to take the listener over.
+                // A later release may be unable to use this listener, and then binds the address beside it.
                 if self.has_console {
                     socket.set_reuseport(true)?;
                 }
@@ -294,7 +308,7 @@
         Ok((listener, address))
     }
 
-    /// Stops the courier and gives it to a process that asks; where that fails it goes on here.
+    /// Stops the courier and hands it over to the process that asks for it. If that fails, the courier is resumed here.
     pub async fn hand_over(
         &self,
         running: RunningCourier,
@@ -320,31 +334,31 @@
         let act = upgrade::hand_over(stream, &state, &descriptors, || drop(engine.take()));
         let took = started_at.elapsed();
         if act == Act::Finish {
-            info!(?took, of_clients, of_calls, "the courier has moved to another process");
+            info!(?took, of_clients, of_calls, "the courier was handed over to another process");
             return Ok(HandoverResult::HandedOver(Box::new(last_reading)));
         }
-        // Its lock goes with it, and is taken again: whoever has it meanwhile is the owner.
+        // Releases the lock and takes it again: a process that has it by then is the owner.
         drop(engine);
         match Journal::open(&self.state_folder, self.journal_disk_bytes(), self.journal_options) {
             Ok(journal) => {
                 if let Some(group) = &self.group {
-                    // In the same life, unless the other process began to live it.
+                    // In the same incarnation, unless the other process has started a new one.
                     group.join(&std::mem::take(&mut state.group));
                 }
                 let carried = CarriedCourier { state, descriptors };
                 Ok(HandoverResult::Kept(Box::new(self.start(journal, Some(carried)).await?)))
             }
             Err(error) => {
-                error!(%error, "the folder belongs to another process by now");
+                error!(%error, "cannot reopen the journal after the failed hand-over; another process may own the folder");
                 Ok(HandoverResult::HandedOver(Box::new(last_reading)))
             }
         }
     }
 
-    /// Asks the process that runs on the same folder for its courier, and accepts it.
+    /// Asks the process that holds the folder for its courier, and accepts it.
     async fn request_courier(&self) -> Result<RequestOutcome, upgrade::HandoverError> {
         let state_folder = self.state_folder.clone();
-        // On a thread of its own: the console answers meanwhile.
+        // Blocking, so on a thread of its own: the console answers meanwhile.
         let task = tokio::task::spawn_blocking(move || {
             let mut outcome = ArrivedCourier::request(&state_folder)?;
             if let RequestOutcome::Arrived(arrived) = &mut outcome {
@@ -357,7 +371,7 @@
 }
 
 impl RunningCourier {
-    /// Works until the process is to end, or another one asks for the courier.
+    /// Runs until the courier has shut down or another process asks for it.
     pub async fn run(
         &mut self,
         questions: &mut mpsc::Receiver<ControlRequest>,
--- a/crates/gullcart/src/tracked_connection.rs
+++ b/crates/gullcart/src/tracked_connection.rs
@@ -1,5 +1,5 @@
-//! What is seen of a connection's bytes on their way to and from the HTTP library: whether any of a call was
-//! written, what the first line of its answer says, and whether bytes lie there that belong to no call.
+//! Observes the bytes of an endpoint connection below the HTTP library: how much of a request was written, what the status line
+//! of its response says, and whether there are bytes that belong to no call.
 
 use gullcart_engine::{ConnectionAnswers, CopyFilter};
 use socket2::SockRef;
@@ -18,22 +18,23 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, Instant};
 
-/// What is kept of the bytes of an answer while it is read, so that another process can go on with it; one that is longer
-/// cannot be carried over.
+/// Bytes of a response that are kept while it is read, so that another process can resume the call. A call with a longer
+/// response cannot be handed over.
 const MAX_KEPT_RESPONSE_BYTES: usize = 20 << 10;
 
 use status_line::StatusLine;
 
-/// Bytes that are read at a time where copies of earlier answers are looked for.
+/// Bytes read at a time while copies of earlier responses are filtered out.
 const COPY_SCAN_CHUNK_BYTES: usize = 4 << 10;
 
-/// One of a bounded number of descriptors, free again when dropped.
+/// A permit for one of a bounded number of descriptors, released when dropped.
 pub struct Descriptor {
     open_count: Rc<Cell<usize>>,
     released: Rc<Notify>,
 }
 
 impl Descriptor {
+    /// Counts one more descriptor in `open_count`, until it is dropped; `released` is notified then.
     pub fn new(open_count: &Rc<Cell<usize>>, released: &Rc<Notify>) -> Self {
         open_count.set(open_count.get() + 1);
         Descriptor { open_count: open_count.clone(), released: released.clone() }
@@ -47,16 +48,16 @@
     }
 }
 
-/// How much of a call has been written.
+/// How much of a call's request has been written.
 #[derive(Default)]
 pub struct WriteProgress {
     stage: Cell<Stage>,
     completed: Notify,
-    /// The connection that carries it.
+    /// The connection that carries the call.
     connection: RefCell<Weak<TrackedConnection>>,
 }
 
-/// How much of a call has gone.
+/// The part of a request that has been written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WrittenPart {
     Nothing,
@@ -64,36 +65,37 @@
     All,
 }
 
-/// A call that is out, and how far its answer has come.
+/// A call in flight, prepared for the hand-over to another process.
 pub struct HandoverCall {
-    /// The connection, beside that of the process that made it.
+    /// A duplicate of the connection's descriptor.
     pub connection: OwnedFd,
-    /// What was read of its answer.
+    /// Bytes of the response read so far.
     pub response_bytes: Vec<u8>,
-    /// Fingerprints of the answers that the connection has brought before.
+    /// Fingerprints of the responses that the connection has brought before.
     pub earlier_answers: Vec<u64>,
 }
 
+/// The stages of writing a request.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 enum Stage {
-    /// Nothing was tried, or not a byte was taken.
+    /// No attempt to write was made.
     #[default]
     Unsent,
-    /// It is about to be written, or partly is.
+    /// Writing may have started.
     Started,
-    /// Its last byte is written; nobody was told.
+    /// The last byte is written, which was not reported yet.
     Complete,
-    /// Its last byte is written, and who waited for it knows.
+    /// The last byte is written, which was reported.
     Reported,
 }
 
 impl WriteProgress {
-    /// Something of it may be on its way.
+    /// Some of the request may have been written.
     pub fn is_started(&self) -> bool {
         self.stage.get() != Stage::Unsent
     }
 
-    /// How much of it has gone.
+    /// The part of the request that has been written.
     pub fn written_part(&self) -> WrittenPart {
         let connection = self.connection.borrow().upgrade();
         match self.stage.get() {
@@ -106,13 +108,12 @@
         }
     }
 
-    /// One whose last byte another process has written, and told of.
+    /// The progress of a call that another process has written and reported.
     pub fn handed_over() -> Self {
         WriteProgress { stage: Cell::new(Stage::Reported), ..WriteProgress::default() }
     }
 
-    /// The call with its connection, for another process; none where not all of it is written, or where too much of its
-    /// answer has come.
+    /// Prepares the call for a hand-over; none if it is not completely written, or if too much of its response has been read.
     pub fn to_handover(&self) -> Option<HandoverCall> {
         let connection = self.connection.borrow().upgrade()?;
         if !matches!(self.stage.get(), Stage::Complete | Stage::Reported)
@@ -128,7 +129,7 @@
         Some(HandoverCall { connection: descriptor, response_bytes, earlier_answers })
     }
 
-    /// Waits until its last byte is written. To be waited for once.
+    /// Waits until the last byte is written, and marks this as reported. To be called once.
     pub async fn wait_until_written(&self) {
         while self.stage.get() != Stage::Complete {
             self.completed.notified().await;
@@ -136,22 +137,22 @@
         self.stage.set(Stage::Reported);
     }
 
-    /// Its last byte is written, and nobody was told.
+    /// Whether the last byte is written and this was not reported yet.
     pub fn is_unreported(&self) -> bool {
         self.stage.get() == Stage::Complete
     }
 }
 
-/// Where a request ends, from its bytes as they go: behind its head and a body of known length.
+/// Finds the end of a request in its outgoing bytes: a head, and a body of known length.
 struct OutgoingRequest {
     progress: Rc<WriteProgress>,
-    /// Bytes of the head's end that have gone.
+    /// Bytes of [`HEAD_TERMINATOR`] matched so far.
     matched_terminator_bytes: usize,
-    /// Bytes of the body that have not.
+    /// Bytes of the body still to be written.
     remaining_body_bytes: usize,
 }
 
-/// What ends a head.
+/// The bytes that end a head.
 const HEAD_TERMINATOR: &[u8] = b"\r\n\r\n";
 
 impl OutgoingRequest {
@@ -159,6 +160,7 @@
         self.matched_terminator_bytes == HEAD_TERMINATOR.len() && self.remaining_body_bytes == 0
     }
 
+    /// Takes bytes that were written.
     fn feed(&mut self, mut bytes: &[u8]) {
         while let (Some((byte, rest)), true) =
             (bytes.split_first(), self.matched_terminator_bytes < HEAD_TERMINATOR.len())
@@ -177,41 +179,42 @@
     }
 }
 
-/// A connection as its owner sees it, beside the library that speaks HTTP on it.
+/// A connection to an endpoint with the records of its bytes, used beside the HTTP library that owns the [`TrackedStream`].
 pub struct TrackedConnection {
     stream: TcpStream,
-    /// This side's port.
+    /// The local port, which identifies the connection in the logs of both sides.
     local_port: Option<u16>,
-    /// Calls that were begun on it.
+    /// Number of calls started on it.
     call_count: Cell<u32>,
-    /// What it has brought before the answer that is due.
+    /// The responses to earlier calls on it.
     pub earlier_answers: RefCell<ConnectionAnswers>,
-    /// Bytes written since the call began.
+    /// Bytes written since the call started.
     bytes_written: Cell<u64>,
-    /// Bytes read since then.
+    /// Bytes read since the call started.
     bytes_read: Cell<u64>,
     status_line: RefCell<StatusLine>,
-    /// When the status was read.
+    /// When the status line was read.
     status_read_at: Cell<Option<Instant>>,
     outgoing_request: RefCell<Option<OutgoingRequest>>,
-    /// After this nothing more of the call may be written.
+    /// Nothing more of the call may be written after this.
     send_by: Cell<Option<Instant>>,
-    /// The request that is written was written by the process before, and goes nowhere; nothing is read meanwhile.
+    /// The previous process has written the request, so what the HTTP library writes of it is discarded. Nothing is read meanwhile.
     is_discarding_request: Cell<bool>,
     read_waker: RefCell<Option<Waker>>,
-    /// What the process before has read of the answer, and where this one stands in it.
+    /// What the previous process has read of the response, and the position up to which it was read here.
     carried_response: RefCell<(Vec<u8>, usize)>,
     copy_filter: RefCell<CopyFilter>,
-    /// What is no copy, and the library has not read yet.
+    /// Bytes that are not part of a copy, for the HTTP library to read.
     filtered_bytes: RefCell<VecDeque<u8>>,
-    /// What was read of the answer, for the process after and to find copies of it; none where it is too long.
+    /// The response as read so far, for a hand-over and to detect copies of it; none if it is too long.
     response_bytes: RefCell<Option<Vec<u8>>>,
     response_started: Notify,
-    /// After the stream: the descriptor is closed by then.
+    // After `stream`, so that the socket is closed before its permit is released.
     _descriptor: Descriptor,
 }
 
 impl TrackedConnection {
+    /// Tracks a connected stream.
     pub fn new(stream: TcpStream, descriptor: Descriptor) -> Self {
         TrackedConnection {
             local_port: stream.local_addr().ok().map(|address| address.port()),
@@ -235,7 +238,7 @@
         }
     }
 
-    /// A call with a body of that length is about to be written, by that moment at the latest.
+    /// Prepares for a call with a body of `body_length` bytes, to be written by `send_by`.
     pub fn begin_call(
         self: &Rc<Self>,
         body_length: usize,
@@ -262,13 +265,13 @@
         self.filtered_bytes.take();
     }
 
-    /// The answer to the call was whole, and was the last that was read: a copy of it is none to the next call.
+    /// Remembers the response to the call, which was complete, so that a copy of it is not taken for the response to a later call.
     pub fn remember_response(&self) {
         let answer = self.response_bytes.borrow().clone();
         self.earlier_answers.borrow_mut().remember(answer);
     }
 
-    /// The call that was begun is written already, by the process before, which has read so much of its answer.
+    /// Resumes the call that was prepared last: the previous process has written it, and has read `response_bytes` of its response.
     pub fn resume_call(&self, response_bytes: Vec<u8>, earlier_answers: ConnectionAnswers) {
         self.earlier_answers.replace(earlier_answers);
         self.is_discarding_request.set(true);
@@ -276,7 +279,7 @@
         self.carried_response.replace((response_bytes, 0));
     }
 
-    /// What has come: what the process before has read, then what there is to read.
+    /// Reads the bytes that the previous process has read, then those of the socket.
     fn poll_read_raw(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<usize>> {
         if self.is_discarding_request.get() {
             self.read_waker.replace(Some(cx.waker().clone()));
@@ -298,7 +301,7 @@
         }
     }
 
-    /// What has come behind the call, but for copies of earlier answers.
+    /// Reads without the copies of earlier responses.
     fn poll_read_without_copies(
         &self,
         cx: &mut Context<'_>,
@@ -327,13 +330,14 @@
         Poll::Ready(Ok(count))
     }
 
-    /// Bytes have come. The first of them, a copy's too, begin the time within which the head of the answer has to come.
+    /// Counts bytes read. The first of them, also those of a copy, start the timeout for the response's head.
     fn count_read(&self, count: usize) {
         if self.bytes_read.replace(self.bytes_read.get() + count as u64) == 0 && count > 0 {
             self.response_started.notify_one();
         }
     }
 
+    /// Keeps bytes of the response as long as it is short enough.
     fn keep_response_bytes(&self, received: &[u8]) {
         let mut kept = self.response_bytes.borrow_mut();
         match kept.as_mut() {
@@ -344,59 +348,59 @@
         }
     }
 
-    /// Calls that were begun on this connection, the one that is out among them.
+    /// Number of calls started on this connection, including the one in flight.
     pub fn call_count(&self) -> u32 {
         self.call_count.get()
     }
 
-    /// This side's port, which tells the connection apart in the logs of both sides.
+    /// The local port, which identifies the connection in the logs of both sides.
     pub fn local_port(&self) -> Option<u16> {
         self.local_port
     }
 
-    /// Nothing of the call was written.
+    /// Whether nothing of the call was written.
     pub fn is_unwritten(&self) -> bool {
         self.bytes_written.get() == 0
     }
 
-    /// Bytes of the call that were written, and bytes read since it began.
+    /// Bytes of the call written, and bytes read since it started.
     pub fn byte_counts(&self) -> (u64, u64) {
         (self.bytes_written.get(), self.bytes_read.get())
     }
 
-    /// Copies of earlier answers that have come behind the call.
+    /// Number of copies of earlier responses read since the call started.
     pub fn copy_count(&self) -> u32 {
         self.copy_filter.borrow().left_out()
     }
 
-    /// The call may not be written any more.
+    /// Whether the call may not be written any more.
     pub fn is_past_send_by(&self) -> bool {
         self.send_by.get().is_some_and(|by| Instant::now() > by)
     }
 
-    /// Something of an answer has come.
+    /// Whether anything was read since the call started.
     pub fn has_response_bytes(&self) -> bool {
         self.bytes_read.get() > 0
     }
 
-    /// The status of the answer, as far as its first line has come.
+    /// The response's status, once its status line was read.
     pub fn status(&self) -> Option<u16> {
         self.status_line.borrow().status
     }
 
-    /// Whether the first line says that it is delivered, and was read by then.
+    /// Whether a status line with 200 was read by `end`.
     pub fn is_delivered_by(&self, end: Instant) -> bool {
         self.status() == Some(200) && self.status_read_at.get().is_some_and(|at| at <= end)
     }
 
-    /// The connection is open and nothing lies there unread.
+    /// Whether the connection is open and has nothing to read.
     pub fn is_open_and_empty(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let peeked = SockRef::from(&self.stream).peek(&mut byte);
         matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// DriverChannels some time after the first byte of an answer.
+    /// Completes `after` the first byte of a response.
     pub async fn head_timeout(&self, after: Duration) {
         while !self.has_response_bytes() {
             self.response_started.notified().await;
@@ -404,6 +408,7 @@
         sleep(after).await;
     }
 
+    /// Passes `count` bytes of `bufs`, which were written, to the request's tracker.
     fn record_written(&self, bufs: &[io::IoSlice<'_>], mut count: usize) {
         let mut outgoing = self.outgoing_request.borrow_mut();
         let Some(outgoing) = outgoing.as_mut() else { return };
@@ -414,8 +419,8 @@
         }
     }
 
-    /// DriverChannels the sending side and waits until the other side has closed too. The call is over for both sides with that: an
-    /// answer that crosses it counts for nothing there, and must not here, or the message would get no end at all.
+    /// Shuts the sending side down and waits until the other side has closed. That ends the call for both sides: the endpoint
+    /// disregards a response that crosses the shutdown, and counting it here would leave the message without an end.
     pub async fn shutdown_and_drain(&self) -> io::Result<()> {
         SockRef::from(&self.stream).shutdown(Shutdown::Write)?;
         let mut discarded = [0; 1024];
@@ -431,10 +436,11 @@
     }
 }
 
-/// The connection as the library sees it.
+/// The connection as the HTTP library sees it.
 pub struct TrackedStream(pub Rc<TrackedConnection>);
 
 impl TrackedStream {
+    /// Writes `bufs` with the given function, unless the request was written by the previous process or must not be sent.
     fn write(
         &self,
         cx: &mut Context<'_>,
@@ -453,15 +459,18 @@
             }
             return Poll::Ready(Ok(count));
         }
-        // Right before the bytes go: its connection may have come up late, and the process may have stood still.
+        // Checked right before the write: the connection may have opened late, or the process may have been stalled.
         if connection.is_past_send_by() {
-            return Poll::Ready(Err(io::Error::new(io::ErrorKind::TimedOut, "too late to be sent")));
+            return Poll::Ready(Err(io::Error::new(
+                io::ErrorKind::TimedOut,
+                "past the time by which the call may be sent",
+            )));
         }
-        // What lies there before a call is written is no answer to it, and must not be taken for one.
+        // Bytes that are there before a call is written cannot be its response and must not be taken for one.
         if connection.is_unwritten() && !connection.is_open_and_empty() {
             return Poll::Ready(Err(io::Error::new(
                 io::ErrorKind::InvalidData,
-                "closed, or bytes between calls",
+                "connection closed, or unexpected bytes between two calls",
             )));
         }
         loop {
--- a/crates/gullcart/src/tracked_connection/status_line.rs
+++ b/crates/gullcart/src/tracked_connection/status_line.rs
@@ -1,25 +1,26 @@
-//! The status of an answer as its first line comes.
+//! Reads the status of a response incrementally.
 
 use std::io;
 
-/// `HTTP/1.1 200` and what ends the number.
+/// Length of `HTTP/1.1 200` and the character behind the number.
 const STATUS_PREFIX_LENGTH: usize = 13;
-/// More interim_count answers (1xx) than this before the answer itself are no answer.
+/// Limit of interim responses (1xx) before a response.
 const MAX_INTERIM_RESPONSES: u32 = 16;
 
-/// The status of an answer, from its bytes as they come.
+/// Incremental reader of a response's status line.
 #[derive(Default)]
 pub(super) struct StatusLine {
+    /// The status, once it is known; 0 where the first line is no status line.
     pub(super) status: Option<u16>,
-    /// The start of the line that is being read.
+    /// The start of the current line.
     line: Vec<u8>,
-    /// In the rest of a head of which the status is known; an empty line ends it.
+    /// Within the head of an interim response, which an empty line ends.
     in_head: bool,
     interim_count: u32,
 }
 
 impl StatusLine {
-    /// Reads on.
+    /// Takes the next bytes of the response.
     pub(super) fn feed(&mut self, bytes: &[u8]) -> io::Result<()> {
         for &byte in bytes {
             if self.status.is_some() {
@@ -29,7 +30,7 @@
                 if self.in_head && self.line.is_empty() {
                     self.in_head = false;
                 } else if !self.in_head {
-                    // A line that ends before its number does says nothing.
+                    // The line is too short to have a status.
                     self.parse_status(b' ')?;
                 }
                 self.line.clear();
@@ -43,7 +44,7 @@
         Ok(())
     }
 
-    /// Reads the number of a first line; that of an interim_count answer is passed over.
+    /// Parses the status in the current line; the status of an interim response is skipped.
     fn parse_status(&mut self, terminator: u8) -> io::Result<()> {
         let text = std::str::from_utf8(&self.line).ok();
         let number = text.and_then(|text| text.strip_prefix("HTTP/1.0 ").or(text.strip_prefix("HTTP/1.1 ")));
@@ -53,14 +54,11 @@
                 self.in_head = true;
                 self.interim_count += 1;
                 if self.interim_count > MAX_INTERIM_RESPONSES {
-                    return Err(io::Error::new(
-                        io::ErrorKind::InvalidData,
-                        "interim answers without end",
-                    ));
+                    return Err(io::Error::new(io::ErrorKind::InvalidData, "too many interim responses"));
                 }
             }
             Some(status) => self.status = Some(status),
-            // No first line at all: nothing that comes later can be one.
+            // Not a status line, and no later line can be one.
             None => self.status = Some(0),
         }
         Ok(())
--- a/crates/gullcart/src/update_stream.rs
+++ b/crates/gullcart/src/update_stream.rs
@@ -1,61 +1,62 @@
-//! The stream of changes of a watch, discard_scanned into its objects as its bytes come. No socket: whoever reads hands bytes in.
+//! Splits the byte stream of a watch into JSON objects as the bytes arrive. Without sockets: the caller feeds in the bytes.
 
 use gullcart_message::Update;
 use thiserror::Error;
 
-/// Bytes that a list may have at any limit of memory.
+/// Bytes that a list may have, however small the memory limit is.
 const MIN_LIST_LIMIT_BYTES: usize = 4 << 20;
-/// Part of the memory that a list's text may take. An endpoint that is held takes more than this many times the 150 bytes
-/// or so that tell of it, so that all endpoints that fit into the memory can be told of.
+/// Bytes of memory for each byte that a list may have. An endpoint takes more than this many times the roughly 150 bytes of its
+/// entry in a list, so the list of as many endpoints as fit into the memory is within the limit.
 const MEMORY_TO_LIST_RATIO: f64 = 16.0;
 const BYTES_PER_MB: f64 = 1e6;
 
-/// How many bytes a list, or a change of it, may have. One that is longer is damage: an agent that never ends one must
-/// not take all memory.
+/// Limit on the size of a list, or of a change, in bytes. A longer one is invalid: an agent that sends one without end must not
+/// use up all memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MaxListBytes(pub usize);
 
 impl MaxListBytes {
-    /// The bound for a courier with so much memory.
+    /// The limit for a courier with this much memory.
     pub fn for_memory(memory_mb: f64) -> Self {
         MaxListBytes(MIN_LIST_LIMIT_BYTES.max((memory_mb * BYTES_PER_MB / MEMORY_TO_LIST_RATIO) as usize))
     }
 }
 
+/// Why a stream is invalid.
 #[derive(Debug, Error)]
 pub enum StreamError {
     #[error("a change cannot be read: {0}")]
     Json(#[from] serde_json::Error),
-    #[error("something else than a change stands between two of them")]
+    #[error("unexpected byte between two changes")]
     UnexpectedByte,
     #[error("longer than {0} bytes")]
     TooLong(usize),
 }
 
-/// What came whole.
+/// A complete item of the stream.
 #[derive(Debug, PartialEq)]
 pub enum StreamItem {
-    /// The end of a line outside of a change: the watch lasts.
+    /// The end of a line outside of a change: the agent sends them to show that the watch is alive.
     KeepAlive,
-    /// A change. It ends with its last brace, so that it may be indented, over several lines.
+    /// A change. It ends with its last brace, so that it may span several lines.
     Change(Update),
 }
 
-/// Cuts a stream into pieces. Each byte is looked at once, in whatever parts they come.
+/// Splits a stream into its items. Each byte is scanned once, however the stream is cut into parts.
 pub struct UpdateStream {
     max_bytes: MaxListBytes,
-    /// What came of the change that is not whole yet, or was not looked at.
+    /// The bytes that do not make up an item yet.
     buffer: Vec<u8>,
-    /// How much of it was looked at.
+    /// Number of bytes of the buffer that were scanned.
     scanned: usize,
-    /// Braces that are open; none between two changes.
+    /// Open braces; 0 between two changes.
     depth: usize,
     in_string: bool,
     is_escaped: bool,
 }
 
 impl UpdateStream {
-    /// A stream of which nothing has come.
+    /// An empty stream.
     pub fn new(max_bytes: MaxListBytes) -> Self {
         UpdateStream {
             max_bytes,
@@ -67,12 +68,12 @@
         }
     }
 
-    /// More bytes have come. What is too long for a change is an error once it is asked for.
+    /// Adds bytes. A change that is too long is reported by [`UpdateStream::next`].
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next piece that is whole; none until more has come.
+    /// The next complete item; none until more bytes are fed in.
     pub fn next(&mut self) -> Result<Option<StreamItem>, StreamError> {
         while let Some(&byte) = self.buffer.get(self.scanned) {
             self.scanned += 1;
@@ -114,7 +115,7 @@
         self.buffer.drain(..self.scanned);
         self.scanned = 0;
         if self.buffer.is_empty() {
-            // A long list's room is given back.
+            // Frees the memory of a long list.
             self.buffer = Vec::new();
         }
     }
--- a/crates/gullcart/src/upgrade.rs
+++ b/crates/gullcart/src/upgrade.rs
@@ -1,6 +1,6 @@
-//! The socket over which a running courier moves to a process that was started beside it. What is said, and what each side
-//! does at each step, is in `gullcart-handover`; here bytes and descriptors move. The world stands still meanwhile, so that this
-//! blocks, for a bounded time.
+//! The socket over which a running courier is handed over to a process that was started beside it. The protocol's words and steps
+//! are defined in `gullcart-handover`; this module transfers the bytes and descriptors. The courier is stopped meanwhile, so the
+//! transfer uses blocking calls with timeouts.
 
 use gullcart_handover::{
     read_baggage, read_head, words, write, Act, Baggage, Event, FrameError, Giver, HEAD, MOST_DESCRIPTORS,
@@ -24,46 +24,49 @@
 
 use crate::console::ControlRequest;
 
-/// Descriptors in one message.
+/// Descriptors in one message of the socket.
 const DESCRIPTORS_PER_MESSAGE: usize = 64;
-/// How long one side waits for the next word of the other: it may have to replay its journal.
+/// How long each side waits for the other one's next word, which may have to replay its journal first.
 const PEER_TIMEOUT: Duration = Duration::from_secs(3);
-/// ... for a new process to have read what was sent: nothing is served meanwhile, ...
+/// How long the running process waits until a new one has read the state: no client is served meanwhile.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(1);
-/// ... and the running process for the first word of one that has come.
+/// How long the running process waits for the first word of a new one.
 const HELLO_TIMEOUT: Duration = Duration::from_millis(200);
-/// Between tries to have the name, which the process before may still hold.
+/// Time between attempts to bind the socket's name, which a previous process may still hold.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Why a courier did not move.
+/// Why a hand-over failed.
 #[derive(Debug, Error)]
 pub enum HandoverError {
     #[error("{0}")]
     Io(#[from] io::Error),
-    #[error("what came is no hand-over: {0}")]
+    #[error("the message received is not a valid hand-over: {0}")]
     Frame(#[from] FrameError),
     #[error("the other process belongs to another user")]
     ForeignUser,
-    #[error("the other process said something out of turn")]
+    #[error("the other process sent an unexpected word")]
     UnexpectedWord,
-    #[error("{0} descriptors came, and {1} were announced")]
+    #[error("{0} descriptors received, but {1} announced")]
     Descriptors(usize, usize),
 }
 
-/// A name for the couriers of a folder, in the abstract namespace: it goes with its process.
+/// The address of the couriers of a folder, in the abstract namespace: it disappears with its process.
 fn socket_address(state_folder: &Path) -> io::Result<SocketAddr> {
     let folder = std::fs::metadata(state_folder)?;
     SocketAddr::from_abstract_name(format!("gullcart-move-{}-{}", folder.dev(), folder.ino()))
 }
 
+/// Whether the other process runs as the same user.
 fn is_same_user(stream: &UnixStream) -> io::Result<bool> {
     Ok(rustix::net::sockopt::socket_peercred(stream)?.uid == rustix::process::geteuid())
 }
 
+/// Sends a word of the protocol.
 fn send_word(stream: &mut UnixStream, word: u8) -> io::Result<()> {
     stream.write_all(&[word])
 }
 
+/// Receives a word of the protocol; any other word is an error.
 fn expect_word(stream: &mut UnixStream, word: u8) -> Result<(), HandoverError> {
     let mut received = [0];
     stream.read_exact(&mut received)?;
@@ -74,25 +77,29 @@
     }
 }
 
-/// Lets new processes ask the loop to move, one at a time, until the task is dropped: for as long as this process has the
-/// courier, also while it is being given to one that may fail. Who comes meanwhile waits its turn.
+/// Accepts new processes and passes their connections to the driver, one at a time, until the task is dropped. Runs as long as
+/// this process owns the courier, also during a hand-over that may fail; further processes wait in the queue.
 pub async fn listen(state_folder: &Path, requests: mpsc::Sender<ControlRequest>) {
     let listener = loop {
         match socket_address(state_folder).and_then(|address| UnixListener::bind_addr(&address)) {
             Ok(listener) => break listener,
             Err(error) if error.kind() == io::ErrorKind::AddrInUse => sleep(BIND_RETRY_INTERVAL).await,
-            Err(error) => return warn!(%error, "a later version cannot take over while this one runs"),
+            Err(error) => {
+                return warn!(%error, "cannot accept hand-overs: a later version cannot take over while this process runs")
+            }
         }
     };
     let listener = listener.set_nonblocking(true).and_then(|()| tokio::net::UnixListener::from_std(listener));
-    let Ok(listener) = listener else { return warn!("a later version cannot take over while this one runs") };
+    let Ok(listener) = listener else {
+        return warn!("cannot accept hand-overs: a later version cannot take over while this process runs");
+    };
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let Ok(stream) = stream.into_std() else { continue };
-                // Unavailable else may have it, nor hold the loop up: its first word must have been said.
+                // Processes of other users are refused before they can delay the driver, which waits for the first word.
                 if !is_same_user(&stream).unwrap_or(false) {
-                    warn!("a process of another user asked for the courier");
+                    warn!("a process of another user asked for a hand-over");
                 } else if requests.send(ControlRequest::HandOver(stream)).await.is_err() {
                     return;
                 }
@@ -102,7 +109,7 @@
     }
 }
 
-/// Whether the process that asks speaks our language. It has said so at once, or not at all.
+/// Waits briefly for the first word of a process that asks for the courier; false if it is missing or wrong.
 pub fn receive_hello(stream: &mut UnixStream) -> bool {
     let configured = stream
         .set_nonblocking(false)
@@ -113,7 +120,7 @@
         && stream.set_read_timeout(Some(TRANSFER_TIMEOUT)).is_ok()
 }
 
-/// Gives the courier to the process that asks. `release` gives up the lock of the folder. What is to be done then.
+/// Hands the courier over to the process that asks for it. `release` releases the lock of the folder. Returns what to do next.
 pub fn hand_over(
     mut stream: UnixStream,
     state: &Baggage,
@@ -139,12 +146,13 @@
     match served {
         Ok(()) => sender.on(Event::Serving),
         Err(error) => {
-            warn!(%error, "the new process does not serve; the courier comes back to this one");
+            warn!(%error, "the new process does not serve; the courier is resumed in this one");
             sender.on(Event::Gone)
         }
     }
 }
 
+/// Sends the state and then the descriptors.
 fn send_state(
     stream: &mut UnixStream,
     state: &Baggage,
@@ -162,24 +170,25 @@
     Ok(())
 }
 
-/// What came of asking for the courier.
+/// The result of asking for a courier.
 pub enum RequestOutcome {
-    /// It has come.
+    /// The courier has been received.
     Arrived(Box<ArrivedCourier>),
-    /// Unavailable gave anything: none runs, or it ends, or it is just being given to somebody else. It may be asked for again.
+    /// No process handed its courier over: none runs, it is shutting down, or it is in another hand-over. It may be asked again.
     Unavailable,
 }
 
-/// A courier that has come, and is still that of the process before until [`ArrivedCourier::own`].
+/// A courier that was received and still belongs to the previous process until [`ArrivedCourier::accept`].
 pub struct ArrivedCourier {
     stream: UnixStream,
+    /// The courier's state.
     pub state: Baggage,
-    /// In the order in which the baggage names them.
+    /// Its descriptors, in the order in which the state lists them.
     pub descriptors: Vec<OwnedFd>,
 }
 
 impl ArrivedCourier {
-    /// Asks the process that runs on the same folder for its courier. An error is for what had begun to come.
+    /// Asks the process that holds the folder for its courier. An error means that the transfer had started.
     pub fn request(state_folder: &Path) -> Result<RequestOutcome, HandoverError> {
         let mut stream = match UnixStream::connect_addr(&socket_address(state_folder)?) {
             Ok(stream) => stream,
@@ -213,20 +222,21 @@
         Ok(RequestOutcome::Arrived(Box::new(ArrivedCourier { stream, state, descriptors })))
     }
 
-    /// Accepts it: once this is done the folder's lock is free.
+    /// Accepts the courier; afterwards the lock of the folder is free.
     pub fn accept(&mut self) -> Result<(), HandoverError> {
         send_word(&mut self.stream, words::ACCEPTED)?;
         expect_word(&mut self.stream, words::YOURS)
     }
 
-    /// Tells the process before that this one serves. From then on that one holds nothing any more.
+    /// Confirms to the previous process that this one serves, so that it drops its copy of the courier.
     pub fn confirm_serving(mut self) -> Result<(), HandoverError> {
         send_word(&mut self.stream, words::SERVING)?;
-        info!("the process before holds nothing any more");
+        info!("the previous process has given the courier up");
         Ok(())
     }
 }
 
+/// Receives the descriptors of one message.
 fn receive_descriptors(stream: &UnixStream, descriptors: &mut Vec<OwnedFd>) -> io::Result<()> {
     let mut byte = [0];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(DESCRIPTORS_PER_MESSAGE))];
--- a/crates/gullcart/tests/endings.rs
+++ b/crates/gullcart/tests/endings.rs
@@ -272,7 +272,7 @@
         }
     });
     let courier = world.start_at(&agent);
-    courier.log_until("an older list is left");
+    courier.log_until("an older list is ignored");
     for id in ["o1", "o2", "o3"] {
         assert_eq!(courier.client().enqueue(id, "0", "salary", 1, b"x"), "+OK");
         let call = world.call();
