--- a/crates/gullcart/src/calls.rs
+++ b/crates/gullcart/src/calls.rs
@@ -22,9 +22,10 @@
 
 use response::{parse_response_head, read_body, BODY_TIMEOUT};
 
-use crate::tracked_connection::{Descriptor, TrackedConnection, TrackedStream, WriteProgress};
+use crate::tracked_connection::{DescriptorPermit, TrackedConnection, TrackedStream, WriteProgress};
 
-/// Part of the endpoints' own idle timeout after which idle connections are closed here, so that no call meets the other side's close.
+/// Part of the endpoints' own idle timeout after which idle connections are closed here, so that no call meets the other side's
+/// close.
 const IDLE_TIME_FRACTION: f64 = 0.7;
 /// How long a connection stays unused after a response, so that surplus bytes behind the response are noticed before they could
 /// pass for the next response. Opening a new connection takes longer.
@@ -41,8 +42,8 @@
 /// An open connection to an endpoint, closed when dropped.
 struct Connection {
     address: SocketAddr,
-    /// The connection below the HTTP library.
     sender: RequestSender,
+    /// The connection below the HTTP library.
     stream: Rc<TrackedConnection>,
     /// Keeps the HTTP library's task running; the task ends when this is dropped.
     http_task_guard: oneshot::Sender<()>,
@@ -50,8 +51,8 @@
 }
 
 impl Connection {
-    /// Abandons the call in flight: shuts the sending side down and waits briefly until the endpoint has closed too. Only then has
-    /// the endpoint let go of the call, so that the slot is free and the next attempt is not a second copy at the endpoint.
+    /// Abandons the call in flight: shuts the sending side down and waits briefly until the endpoint has closed too. Only then
+    /// has the endpoint let go of the call, so that the slot is free and the next attempt is not a second copy at the endpoint.
     async fn abandon(self) {
         let Connection { stream, http_task_guard, .. } = self;
         // From here on the HTTP library neither reads nor writes.
@@ -61,7 +62,7 @@
 }
 
 /// A call that the previous process has written.
-pub struct CarriedCall {
+pub struct ResumedCall {
     /// The connection, in non-blocking mode; taken when the call is resumed.
     pub stream: Option<std::net::TcpStream>,
     /// Bytes of the response read so far.
@@ -72,8 +73,8 @@
     pub elapsed: Duration,
 }
 
-/// The connections to endpoints. Idle ones are kept by endpoint, the newest last, and not by address: an address may belong to
-/// another endpoint by now, which must not get the connections of its predecessor.
+/// The pool of connections to endpoints. Idle ones are kept by endpoint, the newest last, and not by address: an address may
+/// belong to another endpoint by now, which must not get the connections of its predecessor.
 pub struct ConnectionPool {
     idle: RefCell<HashMap<EndpointId, Vec<Connection>>>,
     /// Response statistics of each endpoint in use, which tell whether its responses can be told apart.
@@ -194,7 +195,7 @@
                     port,
                     calls,
                     ?doubt,
-                    "a delivery may be a copy of an earlier answer"
+                    "a response may be a copy of an earlier one"
                 );
             }
         }
@@ -236,12 +237,12 @@
     }
 
     /// Waits for a free descriptor, closing idle connections for it.
-    async fn acquire_descriptor(&self) -> Descriptor {
+    async fn acquire_descriptor(&self) -> DescriptorPermit {
         while self.open_descriptors.get() >= self.max_open {
             self.close_oldest_idle();
             self.descriptor_released.notified().await;
         }
-        Descriptor::new(&self.open_descriptors, &self.descriptor_released)
+        DescriptorPermit::new(&self.open_descriptors, &self.descriptor_released)
     }
 
     /// A connection for a call, and whether it is new.
@@ -249,10 +250,10 @@
         &self,
         call: &Call,
         limit: ConnectLimit,
-        carried: Option<&mut CarriedCall>,
+        resumed: Option<&mut ResumedCall>,
     ) -> Result<(Connection, bool), Outcome> {
-        if let Some(stream) = carried.and_then(|carried| carried.stream.take()) {
-            let descriptor = Descriptor::new(&self.open_descriptors, &self.descriptor_released);
+        if let Some(stream) = resumed.and_then(|resumed| resumed.stream.take()) {
+            let descriptor = DescriptorPermit::new(&self.open_descriptors, &self.descriptor_released);
             let connected = async { handshake(call.address, TcpStream::from_std(stream)?, descriptor).await };
             // The request was written, so the call may have run.
             return connected.await.map(|connection| (connection, true)).map_err(|_| Outcome::Reset);
@@ -278,17 +279,17 @@
         }
     }
 
-    /// Makes one call and returns how it ended; `progress` shows how much of the request has been written. A call that was handed
-    /// over resumes where the previous process left it. Nothing is written after `send_by`.
+    /// Makes one call and returns how it ended; `progress` shows how much of the request has been written. A call that was
+    /// handed over resumes where the previous process left it. Nothing is written after `send_by`.
     pub async fn call(
         self: &Rc<Self>,
         call: Call,
         send_by: Option<Instant>,
         mut stop: oneshot::Receiver<Stop>,
         progress: Rc<WriteProgress>,
-        mut carried: Option<CarriedCall>,
+        mut resumed: Option<ResumedCall>,
     ) -> Ended {
-        let elapsed = carried.as_ref().map_or(Duration::ZERO, |carried| carried.elapsed);
+        let elapsed = resumed.as_ref().map_or(Duration::ZERO, |resumed| resumed.elapsed);
         let started_at = Instant::now().checked_sub(elapsed).unwrap_or_else(Instant::now);
         let end = started_at + call.try_for;
         let ended =
@@ -296,11 +297,11 @@
         loop {
             let limit = ConnectLimit::new(end.min(started_at + self.connect_timeout), send_by);
             // A call that was handed over has been sent, so it may have run even when it is stopped at once.
-            let is_unsent = carried.is_none();
+            let is_unsent = resumed.is_none();
             let (mut connection, is_new) = tokio::select! {
                 biased;
                 reason = &mut stop, if is_unsent => return ended(outcome_if_unsent(reason.ok())),
-                ready = self.connection_for(&call, limit, carried.as_mut()) => match ready {
+                ready = self.connection_for(&call, limit, resumed.as_mut()) => match ready {
                     Ok(ready) => ready,
                     Err(outcome) => return ended(outcome),
                 },
@@ -310,14 +311,15 @@
             let Ok(request) = build_request(&call) else { return ended(Outcome::Moot) };
             let stream = connection.stream.clone();
             stream.begin_call(call.body.len(), progress.clone(), send_by);
-            if let Some(carried) = carried.take() {
-                stream.resume_call(carried.response_bytes, carried.earlier_answers);
+            if let Some(resumed) = resumed.take() {
+                stream.resume_call(resumed.response_bytes, resumed.earlier_answers);
             }
             let end_of_call = tokio::select! {
                 biased;
                 result = send_request(&mut connection.sender, request) => match result {
-                    // After a stalled process the response and the timeout may both be due. A response that was not read in time may not
-                    // have been written in time either; taking it for a delivery could lose the message, while a surplus notice is harmless.
+                    // After a stalled process the response and the timeout may both be due. A response that was not read in
+                    // time may not have been written in time either; taking it for a delivery could lose the message, while a
+                    // surplus notice is harmless.
                     Ok(_) if stream.status() == Some(200) && !stream.is_delivered_by(end) => CallEnd::TimedOut,
                     Ok(response) => {
                         let (status, after) = (response.status().as_u16(), started_at.elapsed());
@@ -340,8 +342,8 @@
                     Outcome::Moot
                 }
                 CallEnd::Broken if stream.is_unwritten() && !is_new => {
-                    // An idle connection that turned out to be closed, or to hold bytes that belong to no call: the call is sent on
-                    // another connection.
+                    // An idle connection that turned out to be closed, or to hold bytes that belong to no call: the call is
+                    // sent on another connection.
                     log_stray_bytes(call.endpoint, &stream, "between two calls");
                     debug!(target: TRAIL, id = call.id, "call retried on another connection");
                     continue;
@@ -362,9 +364,9 @@
         }
     }
 
-    /// Handles a response after its head. A 200 is trusted at once on the connection's first response. Everything else is trusted
-    /// only once the response is complete: by then the endpoint has let go of the call, and a copy of an earlier response can be
-    /// told from a delivery.
+    /// Handles a response after its head. A 200 is trusted at once on the connection's first response. Everything else is
+    /// trusted only once the response is complete: by then the endpoint has let go of the call, and a copy of an earlier
+    /// response can be told from a delivery.
     async fn read_response(
         self: &Rc<Self>,
         endpoint: EndpointId,
@@ -407,8 +409,8 @@
 }
 
 impl ConnectLimit {
-    /// An endpoint that does not accept within the usual timeout is unreachable. If `send_by` cuts the timeout short, nothing is
-    /// known about the endpoint.
+    /// An endpoint that does not accept within the usual timeout is unreachable. If `send_by` cuts the timeout short, nothing
+    /// is known about the endpoint.
     fn new(usual: Instant, send_by: Option<Instant>) -> Self {
         match send_by {
             Some(at) if at < usual => ConnectLimit { deadline: at, timeout_outcome: Outcome::Moot },
@@ -483,8 +485,8 @@
     // Only 200 responses have a body that tells copies apart, so a connection is not reused after any other response.
     if is_delivery && !has_conflicting_lengths && pool.may_reuse(endpoint, &connection.stream) {
         tokio::task::spawn_local(async move {
-            // The sender is ready once the whole response is read, and closed if bytes followed it; the connection's own task has
-            // checked for them by then.
+            // The sender is ready once the whole response is read, and closed if bytes followed it; the connection's own task
+            // has checked for them by then.
             if let Ok(Ok(())) = timeout(BODY_TIMEOUT, connection.sender.ready()).await {
                 yield_now().await;
                 connection.stream.remember_response();
@@ -500,14 +502,18 @@
 }
 
 /// Opens a connection to an endpoint.
-async fn connect(address: SocketAddr, descriptor: Descriptor) -> io::Result<Connection> {
+async fn connect(address: SocketAddr, descriptor: DescriptorPermit) -> io::Result<Connection> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     handshake(address, stream, descriptor).await
 }
 
 /// Starts the HTTP library on a connected stream.
-async fn handshake(address: SocketAddr, stream: TcpStream, descriptor: Descriptor) -> io::Result<Connection> {
+async fn handshake(
+    address: SocketAddr,
+    stream: TcpStream,
+    descriptor: DescriptorPermit,
+) -> io::Result<Connection> {
     let stream = Rc::new(TrackedConnection::new(stream, descriptor));
     let io = TokioIo::new(TrackedStream(stream.clone()));
     let handshake = http1::Builder::new().title_case_headers(true).max_buf_size(MAX_HEAD_BYTES).handshake(io);
--- a/crates/gullcart/src/calls/response.rs
+++ b/crates/gullcart/src/calls/response.rs
@@ -13,8 +13,9 @@
 const MAX_BODY_BYTES: u64 = 64 << 10;
 /// How long the rest of a response may take before its connection is closed.
 pub(super) const BODY_TIMEOUT: Duration = Duration::from_millis(500);
-/// Largest values of a load report that are plausible; a report beyond them is ignored.
+/// Largest plausible remaining share in a load report; a report beyond it is ignored.
 const MAX_REMAINING_SHARE: f64 = 2.0;
+/// Largest plausible limit in a load report; a report beyond it is ignored.
 const MAX_CALL_LIMIT: f64 = 1e6;
 /// Upper bound on the retry-after interval that an endpoint can ask for.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(600);
@@ -39,6 +40,7 @@
     };
     Ended { outcome, latency, complete, allowance: header("X-Load-Report").and_then(parse_load_report) }
 }
+
 /// Parses the load report header; none where a value is missing or implausible.
 pub(super) fn parse_load_report(text: &str) -> Option<Allowance> {
     let value = |name: &str| -> Option<f64> {
--- a/crates/gullcart/src/calls/tests.rs
+++ b/crates/gullcart/src/calls/tests.rs
@@ -128,7 +128,7 @@
     let ended = run(async {
         let (stop, stopped) = oneshot::channel();
         stop.send(Stop::CalledOff).unwrap();
-        let carried = CarriedCall {
+        let carried = ResumedCall {
             stream: Some(stream),
             response_bytes: Vec::new(),
             earlier_answers: ConnectionAnswers::default(),
@@ -149,7 +149,8 @@
         let (_stop, stopped) = oneshot::channel();
         let progress: Rc<WriteProgress> = Rc::default();
         let past = Instant::now().checked_sub(Duration::from_millis(1));
-        let connection = connect(address, Descriptor::new(&Rc::default(), &Rc::default())).await.unwrap();
+        let connection =
+            connect(address, DescriptorPermit::new(&Rc::default(), &Rc::default())).await.unwrap();
         let pool = pool();
         let rested = Instant::now().checked_sub(REUSE_DELAY).unwrap();
         pool.idle.borrow_mut().insert(EndpointId(1), vec![Connection { idle_since: rested, ..connection }]);
@@ -180,7 +181,7 @@
         std::io::Write::write_all(&mut accepted, b"HTTP/1.1 503 Busy\r\n").unwrap();
         stream.readable().await.unwrap();
         let connection =
-            Rc::new(TrackedConnection::new(stream, Descriptor::new(&Rc::default(), &Rc::default())));
+            Rc::new(TrackedConnection::new(stream, DescriptorPermit::new(&Rc::default(), &Rc::default())));
         connection.begin_call(0, Rc::default(), None);
         let written = tokio::io::AsyncWriteExt::write(&mut TrackedStream(connection.clone()), b"POST").await;
         assert!(written.is_err() && connection.is_unwritten(), "{written:?}");
@@ -250,8 +251,8 @@
     })
 }
 
-/// Order of keys, incident 64b87a: a call that the courier breaks off was over before its connection was let go, and the rest of
-/// its key began too early.
+/// Order of keys, incident 64b87a: a call that the courier breaks off was over before its connection was let go, and the rest
+/// of its key began too early.
 #[test]
 fn a_call_is_over_only_once_its_connection_is_let_go() {
     let answers: [&[u8]; 5] = [
@@ -281,8 +282,8 @@
     }
 }
 
-/// Rule on lost requests: an answer that stopped short was waited for behind the end of its call, and the message's end was told
-/// half a second after its time.
+/// Rule on lost requests: an answer that stopped short was waited for behind the end of its call, and the message's end was
+/// told half a second after its time.
 #[test]
 fn an_answer_that_stops_short_ends_with_its_call() {
     const TRY_FOR: Duration = Duration::from_millis(150);
--- a/crates/gullcart/src/clients.rs
+++ b/crates/gullcart/src/clients.rs
@@ -59,7 +59,7 @@
 }
 
 /// A client's connection on its way to another process.
-pub struct MovedClient {
+pub struct HandedOverClient {
     /// The connection.
     pub stream: std::net::TcpStream,
     /// No request has arrived on it yet.
@@ -75,7 +75,7 @@
     events: EventSender,
     phase: watch::Receiver<Phase>,
     /// Connections released for a hand-over; no more than there are slots.
-    handed_over: Rc<RefCell<Vec<MovedClient>>>,
+    handed_over: Rc<RefCell<Vec<HandedOverClient>>>,
 }
 
 impl Clients {
@@ -95,12 +95,12 @@
     }
 
     /// Takes the connections that were released for a hand-over.
-    pub fn take_handed_over(&self) -> Vec<MovedClient> {
+    pub fn take_handed_over(&self) -> Vec<HandedOverClient> {
         self.handed_over.take()
     }
 
     /// Serves a connection of the previous process.
-    pub fn adopt(&self, moved: MovedClient) -> io::Result<()> {
+    pub fn adopt(&self, moved: HandedOverClient) -> io::Result<()> {
         let stream = TcpStream::from_std(moved.stream)?;
         self.spawn_connection(stream, BytesMut::from(&moved.unread_bytes[..]), moved.is_new);
         Ok(())
@@ -159,7 +159,7 @@
     phase: watch::Receiver<Phase>,
     input: BytesMut,
     output: Vec<u8>,
-    handed_over: Rc<RefCell<Vec<MovedClient>>>,
+    handed_over: Rc<RefCell<Vec<HandedOverClient>>>,
     slot: ConnectionSlot,
 }
 
@@ -245,7 +245,7 @@
                 outcome @ (ReadOutcome::End | ReadOutcome::GiveWay) => {
                     debug!(
                         target: TRAIL, peer = ?self.stream.peer_addr().ok(), phase = ?*self.phase.borrow(), come = ?outcome, served,
-                        "a client's connection is shut"
+                        "client connection shut down"
                     );
                     return self.close_gracefully().await;
                 }
@@ -255,8 +255,8 @@
         }
     }
 
-    /// Reads more of a request. During a shutdown, a connection is closed between two requests, but not with a request partly read,
-    /// and a new one only after its first request had time to arrive.
+    /// Reads more of a request. During a shutdown, a connection is closed between two requests, but not with a request partly
+    /// read, and a new one only after its first request had time to arrive.
     async fn read(&mut self, is_new: bool, deadline: Instant) -> io::Result<ReadOutcome> {
         let is_between_requests = self.input.is_empty();
         let close_request = self.slot.close_request.clone();
@@ -275,8 +275,8 @@
             };
             tokio::select! {
                 biased;
-                // Memory is reserved only when there is something to read, so that idle connections hold none. A new connection may
-                // seem readable until a read has returned `WouldBlock`.
+                // Memory is reserved only when there is something to read, so that idle connections hold none. A new connection
+                // may seem readable until a read has returned `WouldBlock`.
                 ready = self.stream.readable() => ready?,
                 () = close_request.notified() => {
                     return match is_between_requests {
@@ -302,12 +302,16 @@
         }
     }
 
-    /// Releases the connection in its current state, with all replies written. The connection of a client that does not read its
-    /// replies ends here.
+    /// Releases the connection in its current state, with all replies written. The connection of a client that does not read
+    /// its replies ends here.
     async fn hand_over(mut self, is_new: bool) -> io::Result<()> {
         self.flush().await?;
         let stream = self.stream.into_std()?;
-        self.handed_over.borrow_mut().push(MovedClient { stream, is_new, unread_bytes: self.input.to_vec() });
+        self.handed_over.borrow_mut().push(HandedOverClient {
+            stream,
+            is_new,
+            unread_bytes: self.input.to_vec(),
+        });
         Ok(())
     }
 
@@ -326,8 +330,8 @@
         }
     }
 
-    /// Whether the client has closed its side. A client that did so before its reply has stopped waiting, and may be enqueueing the
-    /// message elsewhere already. One with more requests on the way has not closed.
+    /// Whether the client has closed its side. A client that did so before its reply has stopped waiting, and may be enqueueing
+    /// the message elsewhere already. One with more requests on the way has not closed.
     fn is_client_gone(&mut self) -> bool {
         self.input.is_empty()
             && match self.stream.try_read_buf(&mut self.input) {
@@ -402,9 +406,9 @@
         self.close_gracefully().await
     }
 
-    /// Closes without a reset: shuts the sending side down and discards what still arrives until the client closes too. A request
-    /// that crosses the shutdown is discarded, and its client enqueues the message again; closing at once would reset the
-    /// connection, and replies on their way might be lost.
+    /// Closes without a reset: shuts the sending side down and discards what still arrives until the client closes too. A
+    /// request that crosses the shutdown is discarded, and its client enqueues the message again; closing at once would reset
+    /// the connection, and replies on their way might be lost.
     async fn close_gracefully(mut self) -> io::Result<()> {
         self.slot.set_state(ConnectionState::Draining);
         self.input = BytesMut::new();
--- a/crates/gullcart/src/connection_slots.rs
+++ b/crates/gullcart/src/connection_slots.rs
@@ -1,5 +1,5 @@
-//! Slots for clients' connections, and which connection is closed when slots run short. Without sockets: each connection reports its
-//! own state.
+//! Slots for clients' connections, and which connection is closed when slots run short. Without sockets: each connection
+//! reports its own state.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,11 +8,11 @@
 use tokio::sync::{Notify, Semaphore};
 use tokio::time::{timeout, Instant};
 
-/// While slots are short, a connection with an incomplete request may be closed once nothing of the request has arrived for this
-/// long: clients wait no longer for a reply.
+/// While slots are short, a connection with an incomplete request may be closed once nothing of the request has arrived for
+/// this long: clients wait no longer for a reply.
 const STALLED_REQUEST_MIN_AGE: Duration = Duration::from_millis(400);
-/// While slots are short, a connection without a request is closed before idle ones once it is this old: its first request is not
-/// expected any more.
+/// While slots are short, a connection without a request is closed before idle ones once it is this old: its first request is
+/// not expected any more.
 const NEW_CONNECTION_MIN_AGE: Duration = Duration::from_millis(250);
 /// While slots are short, a connection whose request arrives slowly may be closed, as the last, once it has taken this long.
 const SLOW_REQUEST_MIN_AGE: Duration = Duration::from_millis(2500);
@@ -26,8 +26,8 @@
 pub struct ClientLimits {
     /// Open connections.
     pub max_connections: usize,
-    /// Connections between two requests. Clients only open a limited number themselves: connections that ask once and stay open
-    /// would leave them none to ask on.
+    /// Connections between two requests. Clients limit how many connections they open, so connections that stay open after one
+    /// request would leave them none for further requests.
     pub max_idle: usize,
     /// Requests longer than a few KiB that are read at the same time.
     pub max_long_requests: usize,
@@ -78,9 +78,9 @@
 }
 
 /// The rank in the order of closing, the lowest first; none if the connection may not be closed. `state_age` is the time since
-/// the state was entered, `since_progress` the time since a part of the request arrived. Draining connections are of no further use;
-/// a new connection whose first request is overdue goes before idle ones, which are used now and then; one whose request is still
-/// arriving goes last, and not while its client may be waiting.
+/// the state was entered, `since_progress` the time since a part of the request arrived. Draining connections are of no further
+/// use; a new connection whose first request is overdue goes before idle ones, which are used now and then; one whose request
+/// is still arriving goes last, and not while its client may be waiting.
 fn eviction_rank(state: ConnectionState, state_age: Duration, since_progress: Duration) -> Option<u8> {
     match state {
         ConnectionState::Draining if state_age >= DRAINING_MIN_AGE => Some(0),
@@ -99,7 +99,7 @@
 impl ConnectionEntry {
     fn eviction_rank(&self, now: Instant) -> Option<(u8, Instant)> {
         eviction_rank(self.state, now - self.state_since, now - self.last_progress)
-            .map(|eviction_rank| (eviction_rank, self.state_since))
+            .map(|rank| (rank, self.state_since))
     }
 
     /// Asks the connection to close.
@@ -161,8 +161,8 @@
         ConnectionSlot { id, close_request, slots: self }
     }
 
-    /// Waits until a slot is free. Keeps some spare slots besides by asking the connections ranked first to close; it asks no more
-    /// of them, however long they take.
+    /// Waits until a slot is free. Keeps some spare slots besides by asking the connections ranked first to close; it asks no
+    /// more of them, however long they take.
     pub async fn wait_for_slot(&self) {
         let spare_slots = (self.max_connections / SPARE_SLOTS_DIVISOR).max(1);
         loop {
@@ -202,7 +202,7 @@
         let candidates =
             table.connections.values_mut().filter(|entry| entry.state != ConnectionState::Draining);
         let ranked = candidates.filter_map(|entry| Some((entry.eviction_rank(now)?, entry)));
-        let first = ranked.min_by_key(|(eviction_rank, _)| *eviction_rank);
+        let first = ranked.min_by_key(|(rank, _)| *rank);
         first.map(|(_, entry)| entry.request_close()).is_some()
     }
 
--- a/crates/gullcart/src/discovery.rs
+++ b/crates/gullcart/src/discovery.rs
@@ -67,8 +67,8 @@
 /// The current address of discovery's agent; a change is followed at once.
 pub type AgentAddress = watch::Receiver<String>;
 
-/// Watches the list, starting after revision `rev`, and never ends. A watch that fails is opened again at the time that `pacing`
-/// determines.
+/// Watches the list, starting after revision `rev`, and never ends. A watch that fails is opened again at the time that
+/// `pacing` determines.
 pub async fn watch(
     mut agent: AgentAddress,
     mut rev: u64,
@@ -157,13 +157,13 @@
     while let Some(part) = timeout_at(last_item_at + SILENCE, body.frame()).await? {
         let Ok(data) = part?.into_data() else { continue };
         stream.feed(&data);
-        while let Some(piece) = stream.next()? {
+        while let Some(item) = stream.next()? {
             *was_established = true;
             if *is_broken {
                 info!(rev, "the watch on the list is back");
                 *is_broken = false;
             }
-            match piece {
+            match item {
                 StreamItem::KeepAlive => {}
                 // An older change that was still on its way must not revert a newer list that came by another call.
                 StreamItem::Change(update) if update.rev < *rev => {
--- a/crates/gullcart/src/driver.rs
+++ b/crates/gullcart/src/driver.rs
@@ -34,13 +34,13 @@
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// The load is logged once in this many sweeps.
 const SWEEPS_PER_REPORT: u32 = 10;
-/// A timer or a step of the loop that is later than this is logged.
+/// A timer or a step of the loop that is delayed by more than this is logged.
 const LATENESS_WARNING: Duration = Duration::from_millis(25);
 /// Idle connections kept for each call slot. Most endpoints have few calls in flight at a time, so keeping one connection ready
 /// at each takes far more connections than slots.
 pub const IDLE_CONNECTIONS_PER_SLOT: usize = 4;
-/// On shutdown, the longest time to wait, after the last call, for clients to read their replies and close: SIGKILL follows half
-/// a second after the last call.
+/// On shutdown, the longest time to wait, after the last call, for clients to read their replies and close: SIGKILL follows
+/// half a second after the last call.
 const MAX_SHUTDOWN_WAIT: Duration = Duration::from_millis(250);
 /// How often a shutdown checks whether all clients have closed.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -163,8 +163,8 @@
     waiting_operators: HashMap<Ticket, oneshot::Sender<Result<(), Denied>>>,
     last_ticket: u64,
     /// Notices for which the sender's queue has no room; bounded by the number of messages held.
-    /// The longest delay of a timer or step since the last report.
     unsent_notices: VecDeque<Notice>,
+    /// The longest delay of a timer or step since the last report.
     max_lateness: Duration,
     lateness_log: Seldom,
     denied_log: Seldom,
@@ -247,14 +247,14 @@
     }
 
     /// Resumes the calls that were in flight in the previous process.
-    pub fn resume_calls(&mut self, calls: Vec<(Call, calls::CarriedCall)>) {
-        for (call, carried) in calls {
-            self.start_call(call, Some(carried));
+    pub fn resume_calls(&mut self, calls: Vec<(Call, calls::ResumedCall)>) {
+        for (call, resumed) in calls {
+            self.start_call(call, Some(resumed));
         }
     }
 
-    /// Stops between two turns for a hand-over: requests that were read get their reply, the clients' connections are released, and
-    /// calls of which nothing was written count as not sent.
+    /// Stops between two turns for a hand-over: requests that were read get their reply, the clients' connections are released,
+    /// and calls of which nothing was written count as not sent.
     pub async fn stop(
         mut self,
         events: &mut Receiver<DriverEvent>,
@@ -290,14 +290,14 @@
                 (_, false) => Outcome::Cancelled,
                 (WrittenPart::Part, true) => Outcome::Reset,
                 (WrittenPart::All, true) => match call.progress.to_handover() {
-                    Some(carried) => {
-                        call_connections.push(carried.connection);
+                    Some(call_state) => {
+                        call_connections.push(call_state.connection);
                         state.calls.push(CarriedCall {
                             message: message.0,
                             try_for_us: call.timeout.as_micros() as u64,
                             elapsed_us: elapsed.as_micros() as u64,
-                            answer: carried.response_bytes,
-                            earlier_answers: carried.earlier_answers,
+                            answer: call_state.response_bytes,
+                            earlier_answers: call_state.earlier_answers,
                         });
                         continue;
                     }
@@ -320,9 +320,9 @@
         Ok(StoppedCourier { engine: self.engine, state, call_connections, last_reading })
     }
 
-    /// Ends the service: answers the requests that have arrived, since closing a connection before would lose their messages, which
-    /// the next process finds in the journal. Then shuts the connections down for writing and gives clients time to close: closing
-    /// while a client still sends would reset the connection and destroy the replies on their way.
+    /// Ends the service: answers the requests that have arrived, since closing a connection before would lose their messages,
+    /// which the next process finds in the journal. Then shuts the connections down for writing and gives clients time to
+    /// close: closing while a client still sends would reset the connection and destroy the replies on their way.
     async fn finish(
         &mut self,
         events: &mut Receiver<DriverEvent>,
@@ -414,11 +414,12 @@
         self.engine.handle(self.clock.now(), input);
     }
 
-    /// Ends a turn and carries out its effects. No other task runs in between, so nothing leaves the process before the journal has
-    /// recorded what it depends on.
+    /// Ends a turn and carries out its effects. No other task runs in between, so nothing leaves the process before the journal
+    /// has recorded what it depends on.
     fn run_turn(&mut self) -> Result<(), JournalError> {
         if let Some(group) = &self.channels.group {
-            // The engine decides on duties right after this, and starts the calls in the same turn, so that the view is current.
+            // The engine decides on duties right after this, and starts the calls in the same turn, so that the view is
+            // current.
             let now = self.clock.now();
             let view = |destination| group.duty_view(now, destination);
             let requests =
@@ -493,20 +494,20 @@
     }
 
     /// Starts a call, or resumes one that was handed over, in a task of its own.
-    fn start_call(&mut self, call: Call, carried: Option<calls::CarriedCall>) {
+    fn start_call(&mut self, call: Call, resumed: Option<calls::ResumedCall>) {
         let (stop, stopped) = oneshot::channel();
-        let progress = Rc::new(match &carried {
+        let progress = Rc::new(match &resumed {
             Some(_) => WriteProgress::handed_over(),
             None => WriteProgress::default(),
         });
-        let elapsed = carried.as_ref().map_or(Duration::ZERO, |carried| carried.elapsed);
+        let elapsed = resumed.as_ref().map_or(Duration::ZERO, |resumed| resumed.elapsed);
         let started_at = Instant::now().checked_sub(elapsed).unwrap_or_else(Instant::now);
         let (message, endpoint, timeout) = (call.message, call.endpoint, call.try_for);
         let send_by = call.send_by.map(|at| self.clock.instant(at));
         let (pool, events, task_progress) =
             (self.pool.clone(), self.channels.events.clone(), progress.clone());
         let task = tokio::task::spawn_local(async move {
-            let call = pin!(pool.call(call, send_by, stopped, task_progress.clone(), carried));
+            let call = pin!(pool.call(call, send_by, stopped, task_progress.clone(), resumed));
             let written = async {
                 task_progress.wait_until_written().await;
                 events.send(Input::Written(message)).await;
--- a/crates/gullcart/src/group.rs
+++ b/crates/gullcart/src/group.rs
@@ -1,5 +1,5 @@
-//! The courier's membership in a group, if `GULLCART_GROUP` names a settings file. Without one there is no thread, socket or file
-//! for it. A failure of the group never keeps the courier from delivering messages.
+//! The courier's membership in a group, if `GULLCART_GROUP` names a settings file. Without one there is no thread, socket or
+//! file for it. A failure of the group never keeps the courier from delivering messages.
 
 use cloverstile::{DestinationId, Time};
 use gullcart_engine::{DutyView, Holder, Told, TrialWish};
@@ -28,7 +28,7 @@
 /// How long to wait for the group's state in a hand-over.
 const HANDOVER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What belonging to a group costs a courier at most.
+/// Upper bounds on the resources that belonging to a group takes from a courier.
 #[derive(Clone, Copy, Default)]
 pub struct GroupResources {
     /// Bytes of the state folder.
@@ -37,15 +37,16 @@
     pub descriptors: usize,
 }
 
-/// A courier's membership in its group, which may be suspended or over.
+/// A courier's membership in its group.
 #[derive(Clone)]
 pub struct GroupMembership {
     settings: Rc<RefCell<Settings>>,
     /// Number of members for which descriptors are reserved.
     max_members: usize,
     folder: PathBuf,
-    /// The task that joins again after the group's thread has ended.
+    /// The handle of the group's thread; none while the courier is not in the group.
     handle: Rc<RefCell<Option<Handle>>>,
+    /// The task that joins again after the group's thread has ended.
     rejoin_task: Rc<RefCell<Option<AbortHandle>>>,
     /// Set to true once the courier has left the group for good.
     is_left: Rc<watch::Sender<bool>>,
@@ -129,7 +130,8 @@
         let handle = self.handle.borrow();
         let (handle, duty) = (handle.as_ref()?, trial_duty(destination)?);
         let Look { other_until, told: agreed } = handle.look(&duty)?;
-        // The group's clock runs on while the machine sleeps, unlike the courier's, so the remaining time is computed anew each time.
+        // The group's clock runs on while the machine sleeps, unlike the courier's, so the remaining time is computed anew each
+        // time.
         let boot_time = boot_now();
         let holder = match (handle.holds(&duty), other_until) {
             (Some((epoch, left)), _) => Holder::Me { epoch: epoch.0, until: now + left },
--- a/crates/gullcart/src/lib.rs
+++ b/crates/gullcart/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! The decisions are made by the package `gullcart-engine`; this package connects the engine to real sockets. The modules, from
 //! the bottom up: `messages` and `resp` depend on no other module; `update_stream`, `tracked_connection`, `calls`, `discovery`
-//! and `clients` handle connections and do not know the event loop; `driver` is the event loop around the engine; `upgrade` moves
-//! a running courier to another process; `service` assembles the parts; this file starts and ends the process.
+//! and `clients` handle connections and do not know the event loop; `driver` is the event loop around the engine; `upgrade`
+//! moves a running courier to another process; `service` assembles the parts; this file starts and ends the process.
 #![forbid(unsafe_code)]
 
 mod calls;
@@ -37,9 +37,10 @@
 use crate::console::ControlRequest;
 use crate::driver::LoopExit;
 use crate::group::GroupMembership;
-use crate::service::{CarriedCourier, HandoverResult, Service};
+use crate::service::{HandedOverCourier, HandoverResult, Service};
 
-/// Environment variable with the console's address. It overrides `console` in the configuration; without both there is no console.
+/// Environment variable with the console's address. It overrides `console` in the configuration; without both there is no
+/// console.
 const CONSOLE_VARIABLE: &str = "BALANCER_CONSOLE";
 /// Environment variable with the path of the journal's options file, which is optional.
 const JOURNAL_FILE_VARIABLE: &str = "GULLCART_JOURNAL";
@@ -169,8 +170,9 @@
         Some(mut arrived) => {
             let mut state = std::mem::take(&mut arrived.state);
             group_state = std::mem::take(&mut state.group);
-            let carried = CarriedCourier { state, descriptors: std::mem::take(&mut arrived.descriptors) };
-            let running = service.start(journal, Some(carried)).await?;
+            let handed_over =
+                HandedOverCourier { state, descriptors: std::mem::take(&mut arrived.descriptors) };
+            let running = service.start(journal, Some(handed_over)).await?;
             if let Err(error) = arrived.confirm_serving() {
                 // That process has released the lock and this one holds it, so there is still only one owner.
                 warn!(%error, "cannot confirm the takeover to the previous process");
--- a/crates/gullcart/src/messages.rs
+++ b/crates/gullcart/src/messages.rs
@@ -1,4 +1,5 @@
-//! The events that the parts of the daemon send to the driver. This module imports none of them, which keeps dependencies acyclic.
+//! The events that the parts of the daemon send to the driver. This module imports none of them, which keeps dependencies
+//! acyclic.
 
 use gullcart_engine::{Answer, Enqueue, Input};
 use tokio::sync::{mpsc, oneshot};
--- a/crates/gullcart/src/resp.rs
+++ b/crates/gullcart/src/resp.rs
@@ -37,23 +37,23 @@
     TooLong,
 }
 
-/// Takes the first complete request out of the buffer; none while it is incomplete. Only arrays of bulk strings are accepted, so
-/// that depth and size are limited before anything is allocated: general RESP decoders recurse as deep as the input says.
+/// Takes the first complete request out of the buffer; none while it is incomplete. Only arrays of bulk strings are accepted,
+/// so that depth and size are limited before anything is allocated: general RESP decoders recurse as deep as the input says.
 pub fn decode(buffer: &mut BytesMut) -> Result<Option<Vec<Bytes>>, RespError> {
     let Some((count, mut at)) = parse_length_line(buffer, 0, b'*')? else { return Ok(None) };
     if count > MAX_WORDS {
         return Err(RespError::TooLong);
     }
     let mut spans = Vec::with_capacity(count);
-    let mut longest = 0;
+    let mut longest_word = 0;
     for _ in 0..count {
         let Some((length, start)) = parse_length_line(buffer, at, b'$')? else { return Ok(None) };
         if length > MAX_BODY_BYTES {
             return Err(RespError::TooLong);
         }
         let end = start + length;
-        longest = longest.max(length);
-        if end - longest > MAX_OVERHEAD_BYTES {
+        longest_word = longest_word.max(length);
+        if end - longest_word > MAX_OVERHEAD_BYTES {
             return Err(RespError::TooLong);
         }
         match buffer.get(end..end + 2) {
@@ -69,19 +69,23 @@
 }
 
 /// Parses a line of a type character and a number at a position of the buffer: the number, and the position behind the line.
-fn parse_length_line(buffer: &BytesMut, at: usize, sign: u8) -> Result<Option<(usize, usize)>, RespError> {
+fn parse_length_line(
+    buffer: &BytesMut,
+    at: usize,
+    type_byte: u8,
+) -> Result<Option<(usize, usize)>, RespError> {
     let mut line = &buffer[at..];
     match line.first() {
         None => return Ok(None),
-        Some(first) if *first != sign => return Err(RespError::InvalidFormat),
+        Some(first) if *first != type_byte => return Err(RespError::InvalidFormat),
         Some(_) => line.advance(1),
     }
     let Some(end) = line.iter().take(MAX_LENGTH_LINE_BYTES).position(|byte| *byte == b'\n') else {
         return if line.len() < MAX_LENGTH_LINE_BYTES { Ok(None) } else { Err(RespError::InvalidFormat) };
     };
     let digits = line[..end].strip_suffix(b"\r").ok_or(RespError::InvalidFormat)?;
-    let valid = !digits.is_empty() && digits.iter().all(u8::is_ascii_digit);
-    let text = std::str::from_utf8(digits).ok().filter(|_| valid).ok_or(RespError::InvalidFormat)?;
+    let is_valid = !digits.is_empty() && digits.iter().all(u8::is_ascii_digit);
+    let text = std::str::from_utf8(digits).ok().filter(|_| is_valid).ok_or(RespError::InvalidFormat)?;
     Ok(Some((text.parse().map_err(|_| RespError::TooLong)?, at + end + 2)))
 }
 
--- a/crates/gullcart/src/service.rs
+++ b/crates/gullcart/src/service.rs
@@ -15,8 +15,8 @@
 use tokio::time::{sleep, Instant};
 use tracing::{error, info, warn};
 
-use crate::calls::CarriedCall;
-use crate::clients::{self, Clients, MovedClient};
+use crate::calls::ResumedCall;
+use crate::clients::{self, Clients, HandedOverClient};
 use crate::config::{Config, DescriptorBudget, StartError};
 use crate::connection_slots::ClientLimits;
 use crate::console::ControlRequest;
@@ -27,15 +27,15 @@
 use crate::update_stream::MaxListBytes;
 use crate::upgrade::{self, ArrivedCourier, RequestOutcome};
 
-/// Divisor of the descriptor limit for idle clients' connections: clients open at most a third of the limit themselves, and half
-/// of that may be idle.
+/// Divisor of the descriptor limit for idle clients' connections: clients open at most a third of the limit themselves, and
+/// half of that may be idle.
 const IDLE_CLIENTS_DIVISOR: usize = 6;
 /// Long requests that are read at the same time for each MB of memory. With at most 68 KiB each they take an eighth of it.
 const LONG_REQUESTS_PER_MB: f64 = 2.0;
 /// Capacity of the queue of notices to be sent; further ones stay with the driver.
 const MAX_QUEUED_NOTICES: usize = 1024;
-/// Mixed into the seed, so that each of these random sequences is independent of the engine's. This one decides which connections
-/// are kept idle.
+/// Mixed into the seed, so that each of these random sequences is independent of the engine's. This one decides which
+/// connections are kept idle.
 const IDLE_SEED_MASK: u64 = 0x6964_6c65;
 /// For the times of calls to discovery.
 const LIST_SEED_MASK: u64 = 0x6c69_7374;
@@ -45,8 +45,8 @@
 const NOTICE_SEED_MASK: u64 = 0x6e6f_7465;
 /// Length of the queue of connections to be accepted.
 const LISTEN_BACKLOG: u32 = 1024;
-/// How long a process with a console waits for a folder that another process holds: the other one gets SIGTERM at most 6 s after
-/// this process was started, and SIGKILL 3.7 s later.
+/// How long a process with a console waits for a folder that another process holds: the other one gets SIGTERM at most 6 s
+/// after this process was started, and SIGKILL 3.7 s later.
 const FOLDER_TIMEOUT: Duration = Duration::from_secs(15);
 /// Time between two attempts to open the folder.
 const FOLDER_RETRY_INTERVAL: Duration = Duration::from_millis(20);
@@ -77,7 +77,7 @@
 }
 
 /// A courier that was handed over by another process, or that stays after a failed hand-over.
-pub struct CarriedCourier {
+pub struct HandedOverCourier {
     /// Its state.
     pub state: Baggage,
     /// Its descriptors: the listener if there is one, then those of clients, then those of calls.
@@ -104,8 +104,9 @@
 }
 
 impl Service {
-    /// Opens the journal, and first takes the courier over from a running process if that is possible. While another process holds
-    /// the folder and hands nothing over, it is asked repeatedly: it may be in a hand-over to a third process, which can fail.
+    /// Opens the journal, and first takes the courier over from a running process if that is possible. While another process
+    /// holds the folder and hands nothing over, it is asked repeatedly: it may be in a hand-over to a third process, which can
+    /// fail.
     pub async fn open_journal(&self) -> Result<(Option<Box<ArrivedCourier>>, Journal<Folder>), StartError> {
         let deadline = Instant::now() + FOLDER_TIMEOUT;
         let mut arrived = None;
@@ -149,7 +150,7 @@
     pub async fn start(
         &self,
         journal: Journal<Folder>,
-        carried: Option<CarriedCourier>,
+        handed_over: Option<HandedOverCourier>,
     ) -> Result<RunningCourier, StartError> {
         let config = &self.config;
         let parsed = parse_settings_json(&config.settings)?;
@@ -167,10 +168,10 @@
         let pool = driver::connection_pool(&parsed.settings, budget.endpoints, seed ^ IDLE_SEED_MASK);
         #[cfg(feature = "broken")]
         pool.accept_copies(self.broken.is(gullcart_engine::broken::Fault::BelievesCopies));
-        let CarriedCourier { state, descriptors } =
-            carried.unwrap_or(CarriedCourier { state: Baggage::default(), descriptors: Vec::new() });
-        let is_carried = !state.books.is_empty();
-        let clock = match is_carried {
+        let HandedOverCourier { state, descriptors } =
+            handed_over.unwrap_or(HandedOverCourier { state: Baggage::default(), descriptors: Vec::new() });
+        let is_handed_over = !state.books.is_empty();
+        let clock = match is_handed_over {
             true => Clock::resumed(state.epoch_ms, Time(state.stopped_ns)),
             false => Clock::new(),
         };
@@ -184,7 +185,7 @@
             #[cfg(feature = "broken")]
             broken: self.broken.clone(),
         };
-        let (engine, are_calls_known) = match is_carried {
+        let (engine, are_calls_known) = match is_handed_over {
             true => match Engine::resume(start, journal, &state.books) {
                 (engine, Ok(())) => (engine, true),
                 (engine, Err(error)) => {
@@ -195,7 +196,7 @@
             false => (Engine::new(start, journal), false),
         };
         let mut descriptors = descriptors.into_iter();
-        let carried_listener = if state.has_listener { descriptors.next() } else { None };
+        let handed_over_listener = if state.has_listener { descriptors.next() } else { None };
         let connections: Vec<OwnedFd> = descriptors.by_ref().take(state.clients.len()).collect();
         let calls: Vec<_> = state
             .calls
@@ -211,7 +212,7 @@
                 let earlier_answers = ConnectionAnswers::carried_over(&carried.earlier_answers);
                 Some((
                     call,
-                    CarriedCall {
+                    ResumedCall {
                         stream: Some(stream),
                         response_bytes: carried.answer,
                         earlier_answers,
@@ -237,7 +238,8 @@
         let clients = Clients::new(event_sender.clone(), phase_receiver, limits);
         for (carried, connection) in state.clients.into_iter().zip(connections) {
             let CarriedClient { is_fresh, unread } = carried;
-            let moved = MovedClient { stream: connection.into(), is_new: is_fresh, unread_bytes: unread };
+            let moved =
+                HandedOverClient { stream: connection.into(), is_new: is_fresh, unread_bytes: unread };
             if let Err(error) = moved.stream.set_nonblocking(true).and_then(|()| clients.adopt(moved)) {
                 warn!(%error, "cannot take over a client's connection");
             }
@@ -245,7 +247,7 @@
 
         // Listens only now that all messages accepted before are held again.
         let (listener, address) = self
-            .listen(carried_listener)
+            .listen(handed_over_listener)
             .map_err(|error| StartError::Listen(config.listen.clone(), error))?;
         let listener_copy =
             std::os::fd::AsFd::as_fd(&listener).try_clone_to_owned().ok().filter(|_| self.has_console);
@@ -277,10 +279,10 @@
     }
 
     /// Uses the listener that was handed over, if it has the configured address; otherwise opens one.
-    fn listen(&self, carried: Option<OwnedFd>) -> std::io::Result<(TcpListener, SocketAddr)> {
+    fn listen(&self, handed_over: Option<OwnedFd>) -> std::io::Result<(TcpListener, SocketAddr)> {
         let named = self.config.listen.parse::<SocketAddr>().ok();
-        if let Some(carried) = carried {
-            let listener = std::net::TcpListener::from(carried);
+        if let Some(handed_over) = handed_over {
+            let listener = std::net::TcpListener::from(handed_over);
             listener.set_nonblocking(true)?;
             let address = listener.local_addr()?;
             if named.is_none_or(|named| named == address || named.port() == 0) {
@@ -324,7 +326,7 @@
         }
         state.has_listener = listener_copy.is_some();
         let mut descriptors: Vec<OwnedFd> = listener_copy.into_iter().collect();
-        for MovedClient { stream, is_new, unread_bytes } in clients.take_handed_over() {
+        for HandedOverClient { stream, is_new, unread_bytes } in clients.take_handed_over() {
             state.clients.push(CarriedClient { is_fresh: is_new, unread: unread_bytes });
             descriptors.push(stream.into());
         }
@@ -345,8 +347,8 @@
                     // In the same incarnation, unless the other process has started a new one.
                     group.join(&std::mem::take(&mut state.group));
                 }
-                let carried = CarriedCourier { state, descriptors };
-                Ok(HandoverResult::Kept(Box::new(self.start(journal, Some(carried)).await?)))
+                let handed_over = HandedOverCourier { state, descriptors };
+                Ok(HandoverResult::Kept(Box::new(self.start(journal, Some(handed_over)).await?)))
             }
             Err(error) => {
                 error!(%error, "cannot reopen the journal after the failed hand-over; another process may own the folder");
--- a/crates/gullcart/src/tracked_connection.rs
+++ b/crates/gullcart/src/tracked_connection.rs
@@ -28,20 +28,20 @@
 const COPY_SCAN_CHUNK_BYTES: usize = 4 << 10;
 
 /// A permit for one of a bounded number of descriptors, released when dropped.
-pub struct Descriptor {
+pub struct DescriptorPermit {
     open_count: Rc<Cell<usize>>,
     released: Rc<Notify>,
 }
 
-impl Descriptor {
+impl DescriptorPermit {
     /// Counts one more descriptor in `open_count`, until it is dropped; `released` is notified then.
     pub fn new(open_count: &Rc<Cell<usize>>, released: &Rc<Notify>) -> Self {
         open_count.set(open_count.get() + 1);
-        Descriptor { open_count: open_count.clone(), released: released.clone() }
+        DescriptorPermit { open_count: open_count.clone(), released: released.clone() }
     }
 }
 
-impl Drop for Descriptor {
+impl Drop for DescriptorPermit {
     fn drop(&mut self) {
         self.open_count.set(self.open_count.get() - 1);
         self.released.notify_one();
@@ -60,8 +60,11 @@
 /// The part of a request that has been written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WrittenPart {
+    /// Not a byte.
     Nothing,
+    /// Some of it.
     Part,
+    /// Up to its last byte.
     All,
 }
 
@@ -90,7 +93,7 @@
 }
 
 impl WriteProgress {
-    /// Some of the request may have been written.
+    /// Whether some of the request may have been written.
     pub fn is_started(&self) -> bool {
         self.stage.get() != Stage::Unsent
     }
@@ -198,11 +201,12 @@
     outgoing_request: RefCell<Option<OutgoingRequest>>,
     /// Nothing more of the call may be written after this.
     send_by: Cell<Option<Instant>>,
-    /// The previous process has written the request, so what the HTTP library writes of it is discarded. Nothing is read meanwhile.
+    /// The previous process has written the request, so what the HTTP library writes of it is discarded. Nothing is read
+    /// meanwhile.
     is_discarding_request: Cell<bool>,
     read_waker: RefCell<Option<Waker>>,
     /// What the previous process has read of the response, and the position up to which it was read here.
-    carried_response: RefCell<(Vec<u8>, usize)>,
+    handed_over_response: RefCell<(Vec<u8>, usize)>,
     copy_filter: RefCell<CopyFilter>,
     /// Bytes that are not part of a copy, for the HTTP library to read.
     filtered_bytes: RefCell<VecDeque<u8>>,
@@ -210,12 +214,12 @@
     response_bytes: RefCell<Option<Vec<u8>>>,
     response_started: Notify,
     // After `stream`, so that the socket is closed before its permit is released.
-    _descriptor: Descriptor,
+    _descriptor_permit: DescriptorPermit,
 }
 
 impl TrackedConnection {
     /// Tracks a connected stream.
-    pub fn new(stream: TcpStream, descriptor: Descriptor) -> Self {
+    pub fn new(stream: TcpStream, descriptor: DescriptorPermit) -> Self {
         TrackedConnection {
             local_port: stream.local_addr().ok().map(|address| address.port()),
             stream,
@@ -229,12 +233,12 @@
             send_by: Cell::default(),
             is_discarding_request: Cell::default(),
             read_waker: RefCell::default(),
-            carried_response: RefCell::default(),
+            handed_over_response: RefCell::default(),
             copy_filter: RefCell::default(),
             filtered_bytes: RefCell::default(),
             response_bytes: RefCell::new(Some(Vec::new())),
             response_started: Notify::new(),
-            _descriptor: descriptor,
+            _descriptor_permit: descriptor,
         }
     }
 
@@ -265,18 +269,20 @@
         self.filtered_bytes.take();
     }
 
-    /// Remembers the response to the call, which was complete, so that a copy of it is not taken for the response to a later call.
+    /// Remembers the response to the call, which was complete, so that a copy of it is not taken for the response to a later
+    /// call.
     pub fn remember_response(&self) {
-        let answer = self.response_bytes.borrow().clone();
-        self.earlier_answers.borrow_mut().remember(answer);
+        let response = self.response_bytes.borrow().clone();
+        self.earlier_answers.borrow_mut().remember(response);
     }
 
-    /// Resumes the call that was prepared last: the previous process has written it, and has read `response_bytes` of its response.
+    /// Resumes the call that was prepared last: the previous process has written it, and has read `response_bytes` of its
+    /// response.
     pub fn resume_call(&self, response_bytes: Vec<u8>, earlier_answers: ConnectionAnswers) {
         self.earlier_answers.replace(earlier_answers);
         self.is_discarding_request.set(true);
         self.bytes_written.set(1);
-        self.carried_response.replace((response_bytes, 0));
+        self.handed_over_response.replace((response_bytes, 0));
     }
 
     /// Reads the bytes that the previous process has read, then those of the socket.
@@ -285,7 +291,7 @@
             self.read_waker.replace(Some(cx.waker().clone()));
             return Poll::Pending;
         }
-        let (bytes, position) = &mut *self.carried_response.borrow_mut();
+        let (bytes, position) = &mut *self.handed_over_response.borrow_mut();
         if *position < bytes.len() {
             let count = buf.remaining().min(bytes.len() - *position);
             buf.initialize_unfilled_to(count).copy_from_slice(&bytes[*position..*position + count]);
--- a/crates/gullcart/src/tracked_connection/status_line.rs
+++ b/crates/gullcart/src/tracked_connection/status_line.rs
@@ -30,7 +30,7 @@
                 if self.in_head && self.line.is_empty() {
                     self.in_head = false;
                 } else if !self.in_head {
-                    // The line is too short to have a status.
+                    // The line may end right behind the status.
                     self.parse_status(b' ')?;
                 }
                 self.line.clear();
--- a/crates/gullcart/src/tracked_connection/tests.rs
+++ b/crates/gullcart/src/tracked_connection/tests.rs
@@ -39,7 +39,7 @@
         let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
         let (mut endpoint, _) = listener.accept().await.unwrap();
         let connection =
-            Rc::new(TrackedConnection::new(stream, Descriptor::new(&Rc::default(), &Rc::default())));
+            Rc::new(TrackedConnection::new(stream, DescriptorPermit::new(&Rc::default(), &Rc::default())));
         let mut reader = TrackedStream(connection.clone());
         endpoint.write_all(before.as_bytes()).await.unwrap();
         let mut read = vec![0; before.len()];
@@ -65,7 +65,7 @@
         let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
         let (mut endpoint, _) = listener.accept().unwrap();
         let connection =
-            Rc::new(TrackedConnection::new(stream, Descriptor::new(&Rc::default(), &Rc::default())));
+            Rc::new(TrackedConnection::new(stream, DescriptorPermit::new(&Rc::default(), &Rc::default())));
         let earlier = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na";
         {
             let mut answers = connection.earlier_answers.borrow_mut();
--- a/crates/gullcart/src/update_stream.rs
+++ b/crates/gullcart/src/update_stream.rs
@@ -36,7 +36,7 @@
 /// A complete item of the stream.
 #[derive(Debug, PartialEq)]
 pub enum StreamItem {
-    /// The end of a line outside of a change: the agent sends them to show that the watch is alive.
+    /// The end of a line outside of a change: it shows that the watch is alive.
     KeepAlive,
     /// A change. It ends with its last brace, so that it may span several lines.
     Change(Update),
--- a/crates/gullcart/src/upgrade.rs
+++ b/crates/gullcart/src/upgrade.rs
@@ -1,6 +1,6 @@
-//! The socket over which a running courier is handed over to a process that was started beside it. The protocol's words and steps
-//! are defined in `gullcart-handover`; this module transfers the bytes and descriptors. The courier is stopped meanwhile, so the
-//! transfer uses blocking calls with timeouts.
+//! The socket over which a running courier is handed over to a process that was started beside it. The protocol's words and
+//! steps are defined in `gullcart-handover`; this module transfers the bytes and descriptors. The courier is stopped meanwhile,
+//! so the transfer uses blocking calls with timeouts.
 
 use gullcart_handover::{
     read_baggage, read_head, words, write, Act, Baggage, Event, FrameError, Giver, HEAD, MOST_DESCRIPTORS,
@@ -26,7 +26,7 @@
 
 /// Descriptors in one message of the socket.
 const DESCRIPTORS_PER_MESSAGE: usize = 64;
-/// How long each side waits for the other one's next word, which may have to replay its journal first.
+/// How long each side waits for the other one's next word: the new process may have to replay its journal before it.
 const PEER_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long the running process waits until a new one has read the state: no client is served meanwhile.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(1);
@@ -174,7 +174,8 @@
 pub enum RequestOutcome {
     /// The courier has been received.
     Arrived(Box<ArrivedCourier>),
-    /// No process handed its courier over: none runs, it is shutting down, or it is in another hand-over. It may be asked again.
+    /// No process handed its courier over: none runs, it is shutting down, or it is in another hand-over. It may be asked
+    /// again.
     Unavailable,
 }
 
--- a/crates/gullcart/tests/stale_answers.rs
+++ b/crates/gullcart/tests/stale_answers.rs
@@ -14,7 +14,8 @@
 /// More messages than an endpoint's answers need to be trusted on connections that are used again.
 const MESSAGES: u32 = 40;
 
-/// An endpoint that writes its last answer once more as soon as the next call has come on the connection, and refuses that call.
+/// An endpoint that writes its last answer once more as soon as the next call has come on the connection, and refuses that
+/// call.
 #[derive(Default)]
 struct Repeater {
     last_answers: HashMap<SocketAddr, Vec<u8>>,
