--- a/crates/gullcart/src/calls/tests.rs
+++ b/crates/gullcart/src/calls/tests.rs
@@ -1,4 +1,4 @@
-//! Calls on real sockets: what is concluded of each, held against what came at the other side.
+//! Calls on real sockets: the outcome that the courier concludes, compared with what the endpoint received.
 
 use super::response::parse_load_report;
 use super::*;
@@ -10,8 +10,8 @@
 
 mod truth;
 
-/// A listener behind which nobody accepts, and all places in front of it are taken: who comes now comes up late, as the
-/// kernel sends its first word again after a second.
+/// A listener that accepts nothing and whose queue is full: a connection to it is established late, since the kernel repeats
+/// the first packet only after a second.
 struct FullListenQueue {
     listener: TcpListener,
     address: SocketAddr,
@@ -38,7 +38,7 @@
         FullListenQueue { listener, address, _queued: waiting }
     }
 
-    /// Lets everybody in after a while, and counts what they send until it is over.
+    /// Accepts all connections after a while, and counts the bytes received until `over` is set.
     fn accept_and_count(self, over: &AtomicBool) -> usize {
         std::thread::sleep(Duration::from_millis(500));
         self.listener.set_nonblocking(true).unwrap();
@@ -55,12 +55,14 @@
     }
 }
 
+/// A pool with generous limits.
 fn pool() -> Rc<ConnectionPool> {
     let share = IdleShare::new(1, 1);
     let timeout = Duration::from_secs(10);
     Rc::new(ConnectionPool::new(timeout, timeout, 8, 4, share))
 }
 
+/// A call of an unsafe message to `address`.
 fn call(address: SocketAddr) -> Call {
     let (message, endpoint, body) = (MessageId(1), EndpointId(1), Bytes::from_static(b"x"));
     let (id, try_for) = ("a".to_owned(), Duration::from_secs(4));
@@ -77,13 +79,15 @@
     }
 }
 
+/// Runs a future on a runtime with one thread.
 fn run<F: std::future::Future>(future: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, future)
 }
 
-/// Split day, `split+brink+mass` 623858784409: a repeat was decided on 4.4 s after the first attempt, its connection came
-/// up a second later as a cut ended, and it took effect again behind the window of 5 s.
+/// Guards against a repeat behind the repeat window. A repeat was decided on 4.4 s after the first attempt, its connection was
+/// established a second later when a network partition ended, and the message took effect again after the window of 5 s
+/// (scenario `split+brink+mass`, seed 623858784409).
 #[test]
 fn a_call_whose_connection_comes_up_too_late_is_never_sent() {
     for is_bound in [true, false] {
@@ -100,13 +104,13 @@
             pool().call(call(address), send_by, stopped, Rc::default(), None).await.outcome
         });
         over.store(true, Ordering::Relaxed);
-        // That it never came up in time is no fault of the endpoint. Without a bound it is sent, late: the fault is there.
+        // Without a bound the call is sent late, which shows that the test reproduces the failure.
         assert_eq!(ended, if is_bound { Outcome::Moot } else { Outcome::Timeout });
         assert_eq!(counting.join().unwrap() == 0, is_bound);
     }
 }
 
-/// ... and one whose connection never comes up ends then.
+/// A call whose connection is never established ends at `send_by`.
 #[test]
 fn a_call_waits_no_longer_for_its_connection_than_it_may_be_sent() {
     let full_queue = FullListenQueue::new();
@@ -118,10 +122,10 @@
     assert_eq!(ended.outcome, Outcome::Moot);
 }
 
-/// A courier that goes on in another process may call a carried call off at once, before that has looked at it: it was
-/// sent all the same, by the process before.
+/// After a hand-over, the courier may cancel a call before its task has run for the first time. The previous process has sent
+/// the call all the same.
 #[test]
-fn a_carried_call_that_is_called_off_at_once_may_have_run() {
+fn a_handed_over_call_that_is_cancelled_at_once_may_have_run() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     stream.set_nonblocking(true).unwrap();
@@ -140,9 +144,9 @@
     assert_eq!(ended.outcome, Outcome::Cancelled);
 }
 
-/// The moment may also pass between the connection and the first byte, as when the process stands still.
+/// `send_by` may also pass between the connection and the first byte, as when the process is stalled.
 #[test]
-fn a_call_is_not_written_behind_its_time() {
+fn a_call_is_not_written_after_send_by() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let (ended, progress) = run(async {
@@ -163,7 +167,7 @@
 }
 
 #[test]
-fn reports_that_make_no_sense_are_ignored() {
+fn implausible_load_reports_are_ignored() {
     assert_eq!(parse_load_report("x0=0.4,x1=25"), Some(Allowance { left: 0.4, limit: 25.0 }));
     for text in ["", "x0=0.4", "x0=-1,x1=25", "x0=0.4,x1=-3", "x0=0.4,x1=1e30", "x0=nan,x1=25", "x0=7e5,x1=2"]
     {
@@ -171,9 +175,9 @@
     }
 }
 
-/// What lies on a connection before a call is written is no answer to it, and would be taken for one.
+/// Bytes that arrive before a call is written must not be taken for its response.
 #[test]
-fn nothing_is_written_where_bytes_lie_that_belong_to_no_call() {
+fn nothing_is_written_to_a_connection_with_stray_bytes() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     run(async {
         let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
@@ -188,7 +192,7 @@
     });
 }
 
-/// Reads a call to its last byte.
+/// Reads a call up to its last byte.
 fn read_call(stream: &mut std::net::TcpStream) {
     let mut seen = Vec::new();
     while !seen.ends_with(b"\r\n\r\nx") {
@@ -198,10 +202,10 @@
     }
 }
 
-/// The process stands still across the end of a call, and finds its answer and its end at once. Whether the answer came in time
-/// cannot be told: it was held to be a delivery, and a message whose time was up before got no end at all.
+/// A process that is stalled over the end of a call finds the response and the timeout at once, and cannot tell whether the
+/// response was in time. Counting it as a delivery left a message whose time was up without an end.
 #[test]
-fn an_answer_that_is_read_behind_the_end_of_its_call_delivers_nothing() {
+fn a_response_read_after_the_end_of_its_call_delivers_nothing() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let (call_read, is_call_read) = std::sync::mpsc::channel();
@@ -214,7 +218,7 @@
         let () = may_go.recv().unwrap();
         std::io::Write::write_all(&mut stream, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
         done.send(()).unwrap();
-        // Until the courier has ended its sending.
+        // Until the courier has shut its sending side down.
         while std::io::Read::read(&mut stream, &mut [0; 64]).is_ok_and(|count| count > 0) {}
     });
     let ended = run(async move {
@@ -228,7 +232,7 @@
         while is_call_read.try_recv().is_err() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        // Nothing of the runtime runs here, as in a process that is stopped.
+        // Blocks the runtime, as in a process that is stopped.
         std::thread::sleep(end - Instant::now());
         go.send(()).unwrap();
         is_done.recv().unwrap();
@@ -238,7 +242,7 @@
     assert_eq!((ended.outcome, ended.complete), (Outcome::Timeout, false));
 }
 
-/// Answers one call with that, and keeps its connection open; the connection, once the call has come.
+/// Answers one call with the given bytes and keeps its connection open. Returns the connection once the call has been read.
 fn answer_and_stay(
     listener: TcpListener,
     answer: &'static [u8],
@@ -251,10 +255,10 @@
     })
 }
 
-/// Order of keys, incident 64b87a: a call that the courier breaks off was over before its connection was let go, and the rest
-/// of its key began too early.
+/// Guards the order of keys (incident 64b87a): a call that the courier broke off was reported as ended before its connection
+/// was closed, so the next message of the key was sent too early.
 #[test]
-fn a_call_is_over_only_once_its_connection_is_let_go() {
+fn a_call_has_ended_only_once_its_connection_is_closed() {
     let answers: [&[u8]; 5] = [
         b"HTTP/1",
         b"noise\r\n\r\n",
@@ -269,7 +273,7 @@
         let (outcome, is_let_go) = run(async {
             let (_stop, stopped) = oneshot::channel();
             let ended = pool().call(call(address), None, stopped, Rc::default(), None).await;
-            // Nothing else of the courier has run since.
+            // No other task of the courier has run since.
             let mut stream = endpoint.join().unwrap();
             stream.set_nonblocking(true).unwrap();
             let read = std::io::Read::read(&mut stream, &mut [0; 64]);
@@ -277,15 +281,15 @@
         });
         let answer = String::from_utf8_lossy(answer);
         assert!(is_let_go, "{answer}: {outcome:?}, and its connection is open");
-        // It may still run at the endpoint.
+        // The call may still run at the endpoint.
         assert_eq!(outcome, Outcome::Spoilt, "{answer}");
     }
 }
 
-/// Rule on lost requests: an answer that stopped short was waited for behind the end of its call, and the message's end was
-/// told half a second after its time.
+/// Guards against late notices: an incomplete response was waited for beyond the end of its call, and the message's end was
+/// reported half a second late.
 #[test]
-fn an_answer_that_stops_short_ends_with_its_call() {
+fn an_incomplete_response_ends_with_its_call() {
     const TRY_FOR: Duration = Duration::from_millis(150);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -299,5 +303,5 @@
     let took = begun.elapsed();
     drop(endpoint.join().unwrap());
     assert_eq!(ended.outcome, Outcome::Spoilt);
-    assert!(took < BODY_TIMEOUT, "told {took:?} after a call of {TRY_FOR:?} began");
+    assert!(took < BODY_TIMEOUT, "ended {took:?} after the start of a call with a timeout of {TRY_FOR:?}");
 }
--- a/crates/gullcart/src/calls/tests/truth.rs
+++ b/crates/gullcart/src/calls/tests/truth.rs
@@ -1,6 +1,7 @@
-//! That a call never ran is concluded only where its last byte did not come, or where it was said in a whole answer: for
-//! requests that are read in part, answers of all kinds (whole, cut, spoilt, early, late, behind interim ones, two at a time,
-//! none), resets, and calls that are called off, withdrawn, bounded or out of time, in any order on kept connections.
+//! Random calls against a partner that records what it received: the courier concludes that a call never ran only if its last
+//! byte did not arrive, or if a complete response said so. Covers partly read requests, responses of all kinds (complete, cut,
+//! malformed, early, late, behind interim responses, duplicated, missing), resets, and calls that are cancelled, withdrawn,
+//! bounded by `send_by` or timed out, in any order on reused connections.
 
 use super::*;
 use socket2::SockRef;
@@ -8,10 +9,12 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::sleep;
 
+/// Calls in one sequence; as many run beside them.
 const CALLS: u32 = 30;
-/// More than the sockets in between hold, so that some requests stand still half way.
+/// More than the socket buffers hold, so that some requests are left partly sent.
 const LONG_BODY: usize = 60 << 10;
-const ANSWERS: [(&str, bool); 8] = [
+/// Status lines with further headers, and whether a response with it says that the call never ran.
+const RESPONSES: [(&str, bool); 8] = [
     ("200 OK", false),
     ("500 Error", false),
     ("429 Later\r\nX-Come-Back-Ms: 20", true),
@@ -22,34 +25,34 @@
     ("410 Over", true),
 ];
 
-/// What the partner knows of a call.
+/// What the partner recorded of a call.
 #[derive(Clone, Copy, Default)]
-struct Truth {
-    /// Its last byte has come.
-    is_whole: bool,
-    /// It was told whole that it never ran.
-    is_denied: bool,
-    /// A first line with 200 was written.
+struct GroundTruth {
+    /// Its last byte was received.
+    is_complete: bool,
+    /// A complete response said that it never ran.
+    is_reported_never_run: bool,
+    /// A status line with 200 was written.
     is_delivered: bool,
 }
 
-type Book = Rc<RefCell<HashMap<String, Truth>>>;
+type Records = Rc<RefCell<HashMap<String, GroundTruth>>>;
 
 struct Partner {
     stream: TcpStream,
-    /// Its last whole answer on this connection.
+    /// The last complete response on this connection.
     last: Option<String>,
-    book: Book,
+    records: Records,
     rng: fastrand::Rng,
 }
 
 impl Partner {
-    /// Reads a request as far as it pleases; none where the connection is over.
-    async fn read(&mut self, most: usize) -> Option<String> {
+    /// Reads a request up to `max_bytes` bytes; none if the connection has ended or the limit was reached.
+    async fn read(&mut self, max_bytes: usize) -> Option<String> {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             head.push(self.stream.read_u8().await.ok()?);
-            if head.len() > most {
+            if head.len() > max_bytes {
                 return None;
             }
         }
@@ -59,22 +62,22 @@
         let mut left: usize = field("Content-Length:")?.parse().ok()?;
         let mut read = 0;
         while left > 0 {
-            if read > most {
+            if read > max_bytes {
                 return None;
             }
             let mut buf = vec![0; left.min(4096)];
             let count = self.stream.read(&mut buf).await.ok().filter(|count| *count > 0)?;
             (left, read) = (left - count, read + count);
         }
-        self.book.borrow_mut().entry(id.clone()).or_default().is_whole = true;
+        self.records.borrow_mut().entry(id.clone()).or_default().is_complete = true;
         Some(id)
     }
 
     async fn serve(mut self) {
         loop {
-            // Most requests are read to their end; some are left standing half way, and some broken off there.
-            let most = if self.rng.u8(..6) == 0 { self.rng.usize(..LONG_BODY) } else { usize::MAX };
-            let Some(id) = self.read(most).await else {
+            // Most requests are read completely; of the others, some are left unread for a while, and some are reset.
+            let max_bytes = if self.rng.u8(..6) == 0 { self.rng.usize(..LONG_BODY) } else { usize::MAX };
+            let Some(id) = self.read(max_bytes).await else {
                 if self.rng.bool() {
                     sleep(Duration::from_millis(self.rng.u64(..80))).await;
                 }
@@ -90,9 +93,9 @@
         }
     }
 
-    /// Answers a call in some way; false where the connection is over.
+    /// Answers a call in a random way; returns false if the connection has ended.
     async fn answer(&mut self, id: &str) -> bool {
-        let (status, is_never) = ANSWERS[self.rng.usize(..ANSWERS.len())];
+        let (status, says_never_run) = RESPONSES[self.rng.usize(..RESPONSES.len())];
         let whole = match self.rng.u8(..3) {
             0 => {
                 format!(
@@ -105,29 +108,29 @@
         let copy = self.last.take().unwrap_or_default();
         let interim = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n".repeat(self.rng.usize(..3));
         let mut is_copied = false;
-        let (text, is_whole) = match self.rng.u8(..12) {
-            // Nothing at all, or nothing that is an answer.
+        let (text, is_complete) = match self.rng.u8(..12) {
+            // No bytes, or bytes that are no response.
             0 => (String::new(), false),
             1 => ("\u{1}\u{2}noise\r\n\r\n".to_owned(), false),
-            // Cut, in its head or in its body; a first line that is there counts.
+            // Cut in the head or in the body; a complete status line counts.
             2 | 3 => (whole[..self.rng.usize(..whole.len())].to_owned(), false),
             4 => (format!("HTTP/1.1 {status}\r\nContent-Length: 50\r\n\r\nshort"), false),
             5 => (format!("HTTP/1.1 {status}\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nab"), false),
             6 => (format!("{interim}{whole}"), true),
-            // Another one right behind it.
+            // Followed by a duplicate.
             7 => (format!("{whole}{whole}"), true),
-            // Behind a copy of the answer before.
+            // Preceded by a copy of the previous response.
             8 => {
                 is_copied = !copy.is_empty();
                 (format!("{copy}{whole}"), true)
             }
             _ => (whole.clone(), true),
         };
-        self.last = Some(whole.clone()).filter(|_| is_whole);
+        self.last = Some(whole.clone()).filter(|_| is_complete);
         {
-            let mut book = self.book.borrow_mut();
-            let truth = book.entry(id.to_owned()).or_default();
-            truth.is_denied = is_whole && is_never;
+            let mut records = self.records.borrow_mut();
+            let truth = records.entry(id.to_owned()).or_default();
+            truth.is_reported_never_run = is_complete && says_never_run;
             truth.is_delivered = match is_copied {
                 true => whole.contains("HTTP/1.1 200 "),
                 false => text.contains("HTTP/1.1 200 "),
@@ -143,7 +146,7 @@
         if self.stream.write_all(rest).await.is_err() {
             return false;
         }
-        if is_whole {
+        if is_complete {
             return self.rng.u8(..5) > 0;
         }
         match self.rng.u8(..3) {
@@ -155,8 +158,8 @@
     }
 }
 
-/// One call, in the way that the loop makes and stops it.
-async fn one(
+/// Makes one call and may stop it, as the driver does.
+async fn make_call(
     pool: Rc<ConnectionPool>,
     address: SocketAddr,
     number: u32,
@@ -186,7 +189,8 @@
     (id, ended)
 }
 
-fn a_day(seed: u64) -> (u32, u32) {
+/// Plays a sequence of calls. Returns how many were found to have never run, and how many of the others may have run.
+fn play_calls(seed: u64) -> (u32, u32) {
     run(async {
         let mut rng = fastrand::Rng::with_seed(seed);
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
@@ -196,14 +200,14 @@
         socket.set_nonblocking(true).unwrap();
         let listener = tokio::net::TcpListener::from_std(socket.into()).unwrap();
         let address = listener.local_addr().unwrap();
-        let book: Book = Rc::default();
+        let records: Records = Rc::default();
         let serving = tokio::task::spawn_local({
-            let (book, mut rng) = (book.clone(), rng.fork());
+            let (records, mut rng) = (records.clone(), rng.fork());
             async move {
-                let mut inside = tokio::task::JoinSet::new();
+                let mut connections = tokio::task::JoinSet::new();
                 while let Ok((stream, _)) = listener.accept().await {
-                    let partner = Partner { stream, last: None, book: book.clone(), rng: rng.fork() };
-                    inside.spawn_local(partner.serve());
+                    let partner = Partner { stream, last: None, records: records.clone(), rng: rng.fork() };
+                    connections.spawn_local(partner.serve());
                 }
             }
         });
@@ -211,38 +215,38 @@
         let mut ends = Vec::new();
         for number in 0..CALLS {
             let (mut other, pool) = (rng.fork(), pool.clone());
-            let beside = async {
-                // Two at a time, so that kept connections change hands.
-                one(pool.clone(), address, CALLS + number, &mut other).await
+            let parallel = async {
+                // Two at a time, so that connections are reused by different calls.
+                make_call(pool.clone(), address, CALLS + number, &mut other).await
             };
-            let (one, other) = tokio::join!(one(pool.clone(), address, number, &mut rng), beside);
+            let (one, other) = tokio::join!(make_call(pool.clone(), address, number, &mut rng), parallel);
             ends.extend([one, other]);
         }
-        // What is on its way still comes.
+        // Lets bytes on their way arrive.
         sleep(Duration::from_millis(150)).await;
         serving.abort();
-        let (mut never, mut maybe) = (0, 0);
+        let (mut never_run, mut ambiguous) = (0, 0);
         for (id, ended) in ends {
-            let truth = book.borrow().get(&id).copied().unwrap_or_default();
-            let may_have_run = truth.is_whole && !truth.is_denied;
+            let truth = records.borrow().get(&id).copied().unwrap_or_default();
+            let may_have_run = truth.is_complete && !truth.is_reported_never_run;
             match ended.outcome {
                 Outcome::Full(_) | Outcome::ConnectFailed | Outcome::Moot | Outcome::Spent => {
                     assert!(!may_have_run, "seed {seed}, {id}: {:?}, and it may have run", ended.outcome);
-                    never += 1;
+                    never_run += 1;
                 }
                 Outcome::Ok => assert!(truth.is_delivered, "seed {seed}, {id}: it was not delivered"),
-                _ => maybe += u32::from(may_have_run),
+                _ => ambiguous += u32::from(may_have_run),
             }
         }
-        (never, maybe)
+        (never_run, ambiguous)
     })
 }
 
 #[test]
-fn what_is_held_to_have_never_run_has_not() {
-    let days: Vec<_> = (0..16).map(|seed| std::thread::spawn(move || a_day(seed))).collect();
-    let days = days.into_iter().map(|day| day.join().unwrap());
-    let (never, maybe) = days.fold((0, 0), |sum, day| (sum.0 + day.0, sum.1 + day.1));
-    // Both kinds came often, or little is shown.
-    assert!(never > 50 && maybe > 50, "{never} never ran, {maybe} may have run");
+fn calls_concluded_as_never_run_have_not_run() {
+    let plays: Vec<_> = (0..16).map(|seed| std::thread::spawn(move || play_calls(seed))).collect();
+    let plays = plays.into_iter().map(|play| play.join().unwrap());
+    let (never_run, ambiguous) = plays.fold((0, 0), |sum, play| (sum.0 + play.0, sum.1 + play.1));
+    // Both kinds must occur often for the test to be meaningful.
+    assert!(never_run > 50 && ambiguous > 50, "{never_run} never ran, {ambiguous} may have run");
 }
--- a/crates/gullcart/src/connection_slots/tests.rs
+++ b/crates/gullcart/src/connection_slots/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn who_makes_progress_gives_way_last() {
+fn connections_that_make_progress_are_closed_last() {
     let ms = Duration::from_millis;
     let order = [
         (ConnectionState::Draining, ms(150), ms(150)),
@@ -15,11 +15,11 @@
         order.map(|(state, state_age, since_progress)| eviction_rank(state, state_age, since_progress));
     assert!(ranks.windows(2).all(|pair| pair[0] < pair[1]), "{ranks:?}");
     for (state, state_age, since_progress) in [
-        // Written in two seconds, and since_progress coming.
+        // Started two seconds ago, and still arriving.
         (ConnectionState::PartialRequest, ms(2000), ms(300)),
         (ConnectionState::Busy, ms(9000), ms(9000)),
         (ConnectionState::Closing, ms(9000), ms(9000)),
-        // Its client has not had the time to hear of it.
+        // Its client has not had time to notice the shutdown.
         (ConnectionState::Draining, ms(10), ms(10)),
     ] {
         assert_eq!(eviction_rank(state, state_age, since_progress), None);
--- a/crates/gullcart/src/resp/tests.rs
+++ b/crates/gullcart/src/resp/tests.rs
@@ -11,7 +11,7 @@
     bytes
 }
 
-/// Decodes what comes in two parts, as far as it can be.
+/// Decodes requests that arrive in two parts.
 fn decode_parts(parts: [&[u8]; 2]) -> Result<Vec<Vec<Bytes>>, RespError> {
     let mut buffer = BytesMut::new();
     let mut requests = Vec::new();
@@ -26,7 +26,7 @@
 
 proptest! {
     #[test]
-    fn requests_come_out_as_they_went_in(
+    fn requests_are_decoded_as_they_were_encoded(
         requests in prop::collection::vec(prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 1..8), 1..4),
         cut in any::<prop::sample::Index>(),
     ) {
@@ -35,9 +35,9 @@
         prop_assert_eq!(decode_parts([first, second]), Ok(requests.iter().map(|words| words.iter().map(|word| Bytes::copy_from_slice(word)).collect()).collect()));
     }
 
-    /// Neither a panic nor another verdict for bytes that come in another rhythm.
+    /// Invalid input causes no panic, and the same result however it is split.
     #[test]
-    fn bad_input_is_told_however_it_comes(
+    fn invalid_input_gives_the_same_result_however_it_is_split(
         bytes in prop::collection::vec(prop::sample::select(b"*$-019\r\nPX".to_vec()), 0..60),
         cut in any::<prop::sample::Index>(),
     ) {
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_request_is_bounded_as_a_whole() {
+fn the_length_of_a_request_is_limited_as_a_whole() {
     let body = vec![b'x'; MAX_BODY_BYTES];
     let words = |other: usize| encode(&[b"ENQUEUE".to_vec(), vec![b'y'; other], body.clone()]);
     assert!(decode_parts([&words(100), b""]).is_ok());
--- a/crates/gullcart/src/tracked_connection/tests.rs
+++ b/crates/gullcart/src/tracked_connection/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A call counts as written with its last byte, in whatever pieces it goes, and not before.
+/// A request counts as written with its last byte, however its bytes are split.
 #[test]
 fn a_request_is_written_with_its_last_byte() {
     let head = "POST /hook HTTP/1.1\r\nX-Call-Id: a\rb\r\n\r\n";
@@ -25,10 +25,10 @@
     }
 }
 
-/// An answer that crosses the end of a call that was given up is none, in whatever pieces it comes: the endpoint's side has
-/// dropped it, and a message that was held to be delivered by it would get no end (seen as lost, one play in six of a day).
+/// A response that crosses the end of an abandoned call does not count, however it is split: the endpoint has discarded it, and
+/// a message taken as delivered by it would get no end (a lost message, seen in one of six plays of a day).
 #[tokio::test]
-async fn an_answer_that_crosses_the_end_of_its_call_is_none() {
+async fn a_response_that_crosses_the_end_of_its_call_is_ignored() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     for (before, after, status) in [
         ("", "HTTP/1.1 200 OK\r\n\r\n", None),
@@ -45,7 +45,7 @@
         let mut read = vec![0; before.len()];
         reader.read_exact(&mut read).await.unwrap();
         let answers = async {
-            // The end of the call is the event: the answer comes behind it.
+            // The rest of the response is sent only after the end of the call was seen.
             assert_eq!(endpoint.read(&mut [0]).await.unwrap(), 0);
             endpoint.write_all(after.as_bytes()).await.unwrap();
             drop(endpoint);
@@ -56,9 +56,9 @@
     }
 }
 
-/// A call that moves to another process takes along what is held back of its answer: it may be the beginning of a copy, or not.
+/// A hand-over includes the bytes of a response that the copy filter holds back: they may be the start of a copy, or not.
 #[test]
-fn what_is_held_back_of_an_answer_is_handed_over() {
+fn bytes_held_back_of_a_response_are_handed_over() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -82,7 +82,7 @@
         let reading = tokio::io::AsyncReadExt::read(&mut tracked_stream, &mut buf);
         assert!(tokio::time::timeout(Duration::from_millis(1), reading).await.is_err(), "it may be a copy");
         assert_eq!(progress.to_handover().unwrap().response_bytes, begun);
-        // Once it is known to be one, nothing of it is left.
+        // Once it is known to be a copy, nothing of it is handed over.
         std::io::Write::write_all(&mut endpoint, rest).unwrap();
         connection.stream.readable().await.unwrap();
         let reading = tokio::io::AsyncReadExt::read(&mut tracked_stream, &mut buf);
--- a/crates/gullcart/src/update_stream/tests.rs
+++ b/crates/gullcart/src/update_stream/tests.rs
@@ -10,7 +10,7 @@
     serde_json::to_string_pretty(&value).unwrap()
 }
 
-/// All items of a stream that comes in parts of some size, and the error that ends it.
+/// All items of a stream that is fed in parts of a given size, and the error that ends it.
 fn items(bytes: &[u8], size: usize) -> (Vec<StreamItem>, Option<String>) {
     let mut stream = UpdateStream::new(MAX_BYTES);
     let mut items = Vec::new();
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_change_is_one_however_it_is_written_and_in_whatever_parts_it_comes() {
+fn changes_are_parsed_however_they_are_formatted_and_split() {
     let text = format!("\n{CHANGE}\n{}\r\n \n{CHANGE}{CHANGE}\n", indented());
     for size in 1..text.len() {
         let (items, error) = items(text.as_bytes(), size);
@@ -42,21 +42,21 @@
 }
 
 #[test]
-fn what_is_no_change_is_an_error_and_not_waited_for() {
+fn invalid_input_is_an_error_at_once() {
     for bad in ["x", "}", "[", "\"", "{}", "{\"rev\":\"x\"}", "{\"rev\":1,,}", "5\n"] {
         let (items, error) = items(bad.as_bytes(), 1);
         assert!(error.is_some() && items.is_empty(), "{bad}: {items:?}");
     }
 }
 
-/// One without an end is bounded, and is not looked through again with each part that comes.
+/// A change without an end is an error at the limit, and its bytes are not scanned again with each part.
 #[test]
-fn a_change_without_end_is_given_up_at_its_bound() {
+fn a_change_without_end_is_an_error_at_the_limit() {
     let mut stream = UpdateStream::new(MAX_BYTES);
     stream.feed(b"{\"rev\":7,\"targets\":[\"");
     let mut fed = 0;
     let error = loop {
-        assert!(fed <= MAX_BYTES.0 + 64, "it is without bound");
+        assert!(fed <= MAX_BYTES.0 + 64, "no limit");
         stream.feed(b"xxxxxxxx");
         fed += 8;
         match stream.next() {
@@ -67,18 +67,18 @@
     assert!(matches!(error, Err(StreamError::TooLong(bytes)) if bytes == MAX_BYTES.0), "{error:?}");
 }
 
-/// 4 MiB as ever where memory is short, and a sixteenth of it where there is more.
+/// 4 MiB if memory is short, and a sixteenth of the memory above that.
 #[test]
-fn the_bound_grows_with_the_memory() {
+fn the_limit_grows_with_the_memory() {
     assert_eq!(MaxListBytes::for_memory(8.0), MaxListBytes(4 << 20));
     assert_eq!(MaxListBytes::for_memory(64.0), MaxListBytes(4 << 20));
     assert_eq!(MaxListBytes::for_memory(1_600.0), MaxListBytes(100_000_000));
 }
 
 proptest! {
-    /// Neither a panic nor another verdict for bytes that come in another rhythm.
+    /// Invalid input causes no panic, and the same result however it is split.
     #[test]
-    fn bad_input_is_told_however_it_comes(
+    fn invalid_input_gives_the_same_result_however_it_is_split(
         bytes in prop::collection::vec(prop::sample::select(b"{}[]\"\\,:1x\n ".to_vec()), 0..80),
         size in 1..80_usize,
     ) {
--- a/crates/gullcart/tests/answers.rs
+++ b/crates/gullcart/tests/answers.rs
@@ -1,5 +1,4 @@
-//! Answers that are spoilt, or bring more than belongs to them, and endpoints that come and go, over loopback
-//! sockets.
+//! Malformed responses, surplus bytes behind responses, and endpoints that come and go, over loopback sockets.
 
 use gullcart_standins::world::*;
 use std::io::Write;
@@ -7,11 +6,12 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_gullcart");
 
-const WHOLE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+/// A complete response of a delivery.
+const COMPLETE_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-/// A first line that says 200 is true, whatever is wrong behind it; the connection is of no further use.
+/// A status line with 200 counts whatever follows it, and the connection is not used again.
 #[test]
-fn a_first_line_with_200_delivers() {
+fn a_status_line_with_200_delivers() {
     let world = World::new(PROGRAM, 1, 3.0);
     let courier = world.start();
     let mut client = courier.client();
@@ -36,10 +36,10 @@
     world.nothing();
 }
 
-/// What cannot be read may have run: an unsafe message fails, soon, and is not sent again. That it never ran is
-/// believed only of a whole answer.
+/// A call with a malformed response may have run: an unsafe message fails soon and is not sent again. That a call never ran is
+/// concluded only from a complete response.
 #[test]
-fn a_spoilt_answer_may_have_run() {
+fn a_call_with_a_malformed_response_may_have_run() {
     let world = World::new(PROGRAM, 2, 3.0);
     let courier = world.start();
     let mut client = courier.client();
@@ -64,9 +64,9 @@
     world.no_call();
 }
 
-/// A second answer right behind one is no answer to the next call, whether it comes with the first one, ...
+/// A duplicate that arrives together with a response is not taken for the response to the next call.
 #[test]
-fn bytes_behind_an_answer_answer_nothing() {
+fn bytes_behind_a_response_answer_no_call() {
     let world = World::new(PROGRAM, 1, 3.0);
     let courier = world.start();
     let mut client = courier.client();
@@ -80,9 +80,9 @@
     world.nothing();
 }
 
-/// ... or while the next call is on its way: the courier finds both at once.
+/// The same for a duplicate that arrives while the next call is being sent: the courier finds both at once.
 #[test]
-fn bytes_that_race_with_the_next_call_answer_nothing() {
+fn bytes_that_race_with_the_next_call_answer_no_call() {
     let world = World::new(PROGRAM, 1, 3.0);
     let courier = world.start();
     let mut client = courier.client();
@@ -92,14 +92,14 @@
         assert_eq!(call.id, format!("r{number}"));
         let connection = call.connection();
         let mut stream = call.stream();
-        // Else the system holds the bytes back until the next call has acknowledged the answer.
+        // Otherwise the kernel holds the bytes back until the response is acknowledged by the packet with the next call.
         stream.set_nodelay(true).unwrap();
         call.answer("200 OK", "");
-        // Answered after the delivery is known, so that the connection is idle.
+        // The reply shows that the delivery was processed, so that the connection is idle.
         assert_eq!(client.ask(&["PING"]), "+PONG");
         courier.while_stopped(|| {
             client.begin_enqueue(&format!("q{number}"), "0", "salary", 1, b"x");
-            let _ = stream.write_all(WHOLE);
+            let _ = stream.write_all(COMPLETE_RESPONSE);
         });
         assert_eq!(client.line(), "+OK");
         let call = world.call();
@@ -110,10 +110,10 @@
     world.nothing();
 }
 
-/// Bytes that come a moment after an answer could not be told from the next one if the next call had gone out by
-/// then: a connection rests for 5 ms before it is used again.
+/// Bytes that arrive shortly after a response would be taken for the next one if the next call were sent by then, so a
+/// connection is not used for 5 ms after a response.
 #[test]
-fn a_connection_rests_between_two_calls() {
+fn a_connection_is_not_used_right_after_a_response() {
     let world = World::new(PROGRAM, 1, 3.0);
     let courier = world.start();
     let mut client = courier.client();
@@ -122,25 +122,25 @@
     for number in 1..10 {
         let (connection, answered) = (call.connection(), Instant::now());
         call.answer("200 OK", "");
-        // The connection is idle, or will be in a moment; only one that is used again has to rest.
+        // The connection is idle, or will be in a moment. A new connection may be used at once.
         assert_eq!(client.enqueue(&format!("m{number}"), "0", "salary", 1, b"x"), "+OK");
         call = world.call();
-        let rested = answered.elapsed();
-        assert!(call.connection() != connection || rested >= Duration::from_millis(5), "{rested:?}");
+        let pause = answered.elapsed();
+        assert!(call.connection() != connection || pause >= Duration::from_millis(5), "{pause:?}");
     }
     call.answer("200 OK", "");
     world.nothing();
 }
 
-/// Interim answers are passed over, and the connection is kept; without end they are no answer.
+/// Interim responses are skipped and the connection is kept; too many of them are an error.
 #[test]
-fn interim_answers_are_passed_over() {
+fn interim_responses_are_skipped() {
     let world = World::new(PROGRAM, 1, 3.0);
     let courier = world.start();
     let mut client = courier.client();
     let hint = "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n";
     let mut used = Vec::new();
-    // Connections are used again once the endpoint's answers were seen to differ.
+    // Connections are reused once the endpoint's responses were seen to differ.
     for number in 0..6 {
         assert_eq!(client.enqueue(&format!("e{number}"), "0", "salary", 1, b"x"), "+OK");
         let call = world.call();
@@ -157,10 +157,10 @@
     assert_eq!(world.notice(), r#"{"id":"e6","state":"failed"}"#);
 }
 
-/// Connections belong to an endpoint, not to its address: a new endpoint at the address of one that is gone gets
-/// its own, and keeps them when the list changes again.
+/// Connections belong to an endpoint, not to its address: a new endpoint at the address of a removed one gets its own, and
+/// keeps them when the list changes again.
 #[test]
-fn an_address_used_again_gets_connections_of_its_own() {
+fn an_endpoint_at_a_reused_address_gets_its_own_connections() {
     let world = World::new(PROGRAM, 2, 3.0);
     let courier = world.start();
     let mut client = courier.client();
@@ -174,7 +174,7 @@
         world.nothing();
         connection
     };
-    // Connections are used again once the endpoint's answers were seen to differ.
+    // Connections are reused once the endpoint's responses were seen to differ.
     let old: Vec<_> = (0..5).map(|number| deliver(&format!("a{number}"))).collect();
     assert_eq!(old[4], old[3]);
     world.replace(0, 0, 1);
@@ -187,9 +187,9 @@
     assert_eq!(deliver("c0"), new[4]);
 }
 
-/// Endpoints that are gone are forgotten: ten thousand of them leave nothing behind.
+/// Removed endpoints are forgotten: thousands of them leave no memory in use.
 #[test]
-fn endpoints_that_are_gone_are_forgotten() {
+fn removed_endpoints_are_forgotten() {
     const TIMES: u32 = 1000;
     let world = World::new(PROGRAM, 1, 3.0);
     let courier = world.start();
@@ -206,7 +206,7 @@
     assert!(after < before + 1500, "{before} KiB before, {after} KiB after");
 }
 
-/// Many endpoints, few descriptors: idle connections give way, and the limit holds.
+/// With more endpoints than descriptors, idle connections are closed and the limit holds.
 #[test]
 fn descriptors_stay_inside_their_limit() {
     let mut world = World::patient(PROGRAM, 40, 3.0);
--- a/crates/gullcart/tests/clients.rs
+++ b/crates/gullcart/tests/clients.rs
@@ -1,31 +1,31 @@
-//! What clients are owed, the bad ones among them, over loopback sockets.
+//! Well-behaved and misbehaving clients, over loopback sockets.
 
 use gullcart_standins::world::*;
 use std::time::Duration;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_gullcart");
 
-/// An error or a close is owed within 3 s of connecting.
-const OWED: Duration = Duration::from_secs(3);
+/// An error or a close must come within this time of connecting.
+const CLOSE_LIMIT: Duration = Duration::from_secs(3);
 
-/// A client that says nothing is closed; one that breaks off inside a request is told so. Both used to hold their
-/// places for two minutes.
+/// A client that sends nothing is closed; one that stops inside a request gets an error. Both used to hold their slots for two
+/// minutes.
 #[test]
-fn silent_and_half_spoken_clients_do_not_keep_their_places() {
+fn clients_without_a_complete_request_do_not_keep_their_slots() {
     let world = World::new(PROGRAM, 1, 3.0);
     let courier = world.start();
-    let mut silent = courier.client().within(OWED);
-    let mut half = courier.client().within(OWED);
+    let mut silent = courier.client().within(CLOSE_LIMIT);
+    let mut half = courier.client().within(CLOSE_LIMIT);
     half.send(b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nh");
     assert!(half.line().starts_with("-ERR "));
     assert!(half.is_closed());
     assert!(silent.is_closed());
 }
 
-/// More connections than there are places: the silent ones give way, and whoever has something to ask is served
-/// at once. They used to wait in the listener's queue, past the 400 ms that a client waits.
+/// With more connections than slots, those without a request are closed, and a client with a request is served at once. It used
+/// to wait in the listener's queue for longer than the 400 ms that clients wait.
 #[test]
-fn silent_connections_give_way_to_clients_that_ask() {
+fn connections_without_a_request_are_closed_for_clients_with_one() {
     let mut world = World::new(PROGRAM, 1, 3.0);
     world.sockets = 256;
     let courier = world.start();
@@ -38,10 +38,10 @@
     drop(silent);
 }
 
-/// Those that ask once and stay do not use up what clients may hold, a third of the descriptors: the longest idle
-/// one is closed for each that comes, and the last one stays.
+/// Connections that stay open after one request do not use up what clients may open, a third of the descriptors: the one that
+/// has been idle longest is closed for each new one, and the last one stays.
 #[test]
-fn clients_that_ask_once_and_stay_give_way_to_others() {
+fn idle_connections_are_closed_for_new_ones() {
     let mut world = World::new(PROGRAM, 1, 3.0);
     world.sockets = 256;
     let courier = world.start();
@@ -53,10 +53,10 @@
     assert_eq!(stayed[79].ask(&["PING"]), "+PONG");
 }
 
-/// The error arrives, however much the client goes on sending: closing with bytes unread resets the connection,
-/// which throws away what the client has not read yet.
+/// The error arrives although the client goes on sending: closing with unread bytes would reset the connection and discard what
+/// the client has not read yet.
 #[test]
-fn an_error_is_heard_behind_a_huge_value() {
+fn an_error_arrives_despite_a_huge_value() {
     let world = World::new(PROGRAM, 1, 3.0);
     let courier = world.start();
     let mut client = courier.client();
@@ -67,9 +67,9 @@
     assert!(client.is_closed());
 }
 
-/// Hundreds of commands at once are each answered, and others are served meanwhile.
+/// Each of hundreds of commands sent at once is answered, and other clients are served meanwhile.
 #[test]
-fn a_flood_of_commands_is_answered_and_holds_nobody_up() {
+fn a_flood_of_commands_is_answered_and_delays_nobody() {
     let world = World::new(PROGRAM, 1, 3.0);
     let courier = world.start();
     let mut flood = courier.client();
@@ -81,8 +81,8 @@
     assert_eq!(flood.ask(&["PING"]), "+PONG");
 }
 
-/// The id of a message that is held belongs to it: the same message once more is held already, and another one
-/// under its id is turned away. It used to be answered as taken on.
+/// The id of a message that is held belongs to it: repeating the same message succeeds, and another message with the id is
+/// rejected. It used to be answered as accepted.
 #[test]
 fn an_id_stays_with_its_message() {
     let world = World::new(PROGRAM, 1, 3.0);
@@ -96,7 +96,7 @@
     world.nothing();
 }
 
-/// A destination that was never listed is an error; one that has lost its endpoints may get others.
+/// A destination that was never listed is an error; one that has lost its endpoints may get new ones.
 #[test]
 fn unknown_destinations_are_errors_and_empty_ones_are_not() {
     let mut world = World::patient(PROGRAM, 2, 3.0);
@@ -114,7 +114,7 @@
     world.no_call();
 }
 
-/// Without its key a message of a keyed class could not be repeated safely.
+/// Without its idempotency key a message of a keyed class could not be repeated safely.
 #[test]
 fn keyed_messages_need_their_key() {
     let world = World::new(PROGRAM, 1, 3.0);
@@ -123,8 +123,8 @@
     world.no_call();
 }
 
-/// A request that comes in small pieces over two seconds is served; it used to be cut off after one. One that stops half way
-/// is closed all the same.
+/// A request that arrives in small pieces over two seconds is served; it used to be cut off after one. One that stops half way
+/// is closed.
 #[test]
 fn a_request_that_is_written_slowly_is_served() {
     let world = World::new(PROGRAM, 1, 3.0);
@@ -137,7 +137,7 @@
         format!("*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\ns1\r\n${}\r\n{fields}\r\n$1\r\nx\r\n", fields.len());
     let began = std::time::Instant::now();
     for (at, byte) in request.bytes().enumerate() {
-        // Each byte at its time: a machine that is late only makes the pieces larger.
+        // Each byte has a fixed time, so a slow machine only makes the pieces larger.
         let due = std::time::Duration::from_millis(2100 * at as u64 / request.len() as u64);
         std::thread::sleep(due.saturating_sub(began.elapsed()));
         client.send(&[byte]);
@@ -147,9 +147,9 @@
     assert!(stuck.line().starts_with("-ERR"));
 }
 
-/// A destination that no list has named is told apart from what is no destination at all.
+/// An unlisted destination gets another error than an invalid number.
 #[test]
-fn destinations_of_32_bits_are_asked_for_and_what_is_longer_is_an_error() {
+fn unlisted_and_invalid_destinations_get_different_errors() {
     let world = World::new(PROGRAM, 1, 3.0);
     let courier = world.start();
     let mut client = courier.client();
@@ -162,7 +162,7 @@
     for unfit in ["4294967296", "-1", "1.5", "x", ""] {
         assert_eq!(ask("m1", unfit), "-ERR dest is missing or no number", "{unfit}");
     }
-    // The list names one of them from now on.
+    // From now on the list has one of them.
     let mut wide = world.change(2, 0, "SERVING")["targets"][0].clone();
     (wide["uid"], wide["pod_group"]) = ("wide".into(), 1_600_000.into());
     world.tell(2, &[wide]);
--- a/crates/gullcart/tests/common/mod.rs
+++ b/crates/gullcart/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Three couriers of one group.
+//! Helpers for tests with three couriers of one group.
 #![allow(dead_code)]
 
 use gullcart_peers::operator::ask;
@@ -11,18 +11,21 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
+/// The daemon.
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_gullcart");
-/// Far longer than anything here takes.
-pub const PATIENCE: Duration = Duration::from_secs(40);
+/// How long to wait for a condition; far longer than any of them takes.
+pub const TIMEOUT: Duration = Duration::from_secs(40);
 
 /// Three couriers of one group, each in a world of its own.
 pub struct Group {
+    /// The worlds of the couriers.
     pub worlds: Vec<World>,
+    /// The settings files of the group, one for each courier.
     pub files: Vec<PathBuf>,
     _reserved: Vec<Socket>,
 }
 
-/// A socket that is bound and does not listen: nobody is given its port by chance, and a courier may listen there.
+/// A socket that is bound and does not listen: the port is not given to anybody else, and a courier can listen on it.
 fn reserved() -> Socket {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.set_reuse_address(true).unwrap();
@@ -31,11 +34,13 @@
 }
 
 impl Group {
+    /// A group of couriers with partners of their own.
     pub fn new() -> Self {
         Group::of((0..3).map(|_| World::with_console(PROGRAM, 1)).collect())
     }
 
-    /// All of them have the same partner, which the first one's world is asked about, and so many couriers share it.
+    /// A group of couriers with the same partner, which is in the first one's world. Their settings say that `couriers` share
+    /// it.
     pub fn with_one_partner(couriers: u32) -> Self {
         let mut worlds: Vec<World> = (0..3).map(|_| World::with_console(PROGRAM, 1)).collect();
         let (first, rest) = worlds.split_at_mut(1);
@@ -71,16 +76,18 @@
         Group { worlds, files, _reserved: reserved }
     }
 
+    /// The status that a courier's member reports.
     pub fn status(&self, place: usize) -> Option<Status> {
         let settings = Settings::read(&self.files[place]).unwrap();
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         runtime.block_on(ask(&settings, &settings.members[place])).ok()
     }
 
+    /// Waits until a status meets a condition.
     pub fn until(&self, place: usize, what: &str, is_it: impl Fn(&Status) -> bool) -> Status {
         let begun = Instant::now();
         let mut last = None;
-        while begun.elapsed() < PATIENCE {
+        while begun.elapsed() < TIMEOUT {
             last = self.status(place);
             if let Some(status) = last.as_ref().filter(|status| is_it(status)) {
                 return status.clone();
@@ -90,12 +97,12 @@
         panic!("never: {what}; {last:?}")
     }
 
-    /// Whether a courier may act on a duty now.
+    /// Whether a courier holds a duty now.
     pub fn holds(&self, place: usize, duty: &str) -> bool {
         self.status(place).is_some_and(|status| status.holds.iter().any(|held| held == duty))
     }
 
-    /// Whether a courier has agreed on who holds a duty.
+    /// Whether a courier knows the holder of a duty.
     pub fn knows_holder(&self, place: usize, duty: &str) -> bool {
         let is_it = |status: Status| status.duties.iter().any(|of| of.name == duty && of.holder.is_some());
         self.status(place).is_some_and(is_it)
--- a/crates/gullcart/tests/console.rs
+++ b/crates/gullcart/tests/console.rs
@@ -7,17 +7,19 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_gullcart");
 
+/// A world whose couriers have a console.
 fn world(endpoints: usize) -> World {
     World::with_console(PROGRAM, endpoints)
 }
 
-/// Sends bytes and returns all that is answered until the courier closes.
+/// Sends bytes and returns everything that is answered until the courier closes.
 fn ask(at: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(at).unwrap();
     stream.write_all(bytes).unwrap();
     read_all(stream)
 }
 
+/// Reads until the courier closes.
 fn read_all(mut stream: TcpStream) -> String {
     stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     let mut text = String::new();
@@ -25,6 +27,7 @@
     text
 }
 
+/// The value of a metric in the answer to METRICS.
 fn figure(text: &str, name: &str) -> u64 {
     let line = text.lines().find_map(|line| line.strip_prefix(&format!("edge_balancer.{name}:")));
     line.and_then(|rest| rest.split('|').next())
@@ -34,7 +37,7 @@
 }
 
 #[test]
-fn it_tells_how_things_stand_and_counts_what_was_seen() {
+fn status_and_metrics_are_reported() {
     let world = world(2);
     let courier = world.start();
     let console = courier.console();
@@ -42,23 +45,23 @@
     let mut client = courier.client();
     assert_eq!(client.enqueue("a1", "0", "salary", 1, b"x"), "+OK");
     let call = world.call();
-    let told = ask(console, b"METRICS\r\n");
-    assert!(told.ends_with("\nEND\n"), "{told}");
-    assert_eq!((figure(&told, "attempts"), figure(&told, "in_flight")), (1, 1));
+    let metrics = ask(console, b"METRICS\r\n");
+    assert!(metrics.ends_with("\nEND\n"), "{metrics}");
+    assert_eq!((figure(&metrics, "attempts"), figure(&metrics, "in_flight")), (1, 1));
     call.answer("200 OK", "");
     assert_eq!(client.enqueue("a2", "0", "salary", 1, b"x"), "+OK");
     world.call().reset();
     assert_eq!(world.notice(), r#"{"id":"a2","state":"failed"}"#);
-    let told = ask(console, b"METRICS\n");
-    assert_eq!((figure(&told, "served.salary"), figure(&told, "failed.salary")), (1, 1));
-    assert_eq!((figure(&told, "attempts"), figure(&told, "in_flight")), (2, 0));
-    assert_eq!(figure(&told, "endpoints_known"), 2);
-    // One has just failed, and may be avoided for a moment.
-    assert!(figure(&told, "endpoints_excluded") <= 1);
+    let metrics = ask(console, b"METRICS\n");
+    assert_eq!((figure(&metrics, "served.salary"), figure(&metrics, "failed.salary")), (1, 1));
+    assert_eq!((figure(&metrics, "attempts"), figure(&metrics, "in_flight")), (2, 0));
+    assert_eq!(figure(&metrics, "endpoints_known"), 2);
+    // The endpoint that has just failed may be avoided for a moment.
+    assert!(figure(&metrics, "endpoints_excluded") <= 1);
 }
 
 #[test]
-fn an_endpoint_that_is_out_gets_nothing_until_it_is_given_back_over_a_kill_too() {
+fn a_suspended_endpoint_gets_no_calls_until_it_is_restored_also_after_a_kill() {
     let world = world(2);
     let courier = world.start();
     let at = courier.console();
@@ -82,9 +85,9 @@
     call.answer("200 OK", "");
 }
 
-/// Bad lines are answered at once, and callers without a whole line keep nobody out.
+/// Invalid lines are answered at once, and callers without a complete line do not block others.
 #[test]
-fn bad_callers_are_told_and_keep_nobody_out() {
+fn invalid_callers_get_an_answer_and_block_nobody() {
     let world = world(1);
     let courier = world.start();
     let at = courier.console();
@@ -99,7 +102,7 @@
     let idle: Vec<TcpStream> = (0..100).map(|_| TcpStream::connect(at).unwrap()).collect();
     let asked = Instant::now();
     assert_eq!(ask(at, b"STATUS\n"), "YES\n");
-    // Far less than the time that one of them may stay.
+    // Far less than a caller without a line may stay.
     assert!(asked.elapsed() < Duration::from_secs(2), "{:?}", asked.elapsed());
     let open = idle.iter().filter(|stream| {
         stream.set_nonblocking(true).unwrap();
@@ -109,7 +112,7 @@
     assert!(open.count() <= 20);
 }
 
-/// Each piece a byte, and a line that comes to its end late.
+/// A line that arrives byte by byte.
 #[test]
 fn a_line_may_come_in_pieces_of_any_size() {
     let world = world(1);
@@ -122,9 +125,9 @@
     assert_eq!(read_all(stream), "YES\n");
 }
 
-/// With all of the clients' places taken the console has its own.
+/// The console has its own descriptors, also when all slots for clients are taken.
 #[test]
-fn it_answers_with_every_place_of_clients_in_use() {
+fn the_console_answers_while_all_client_slots_are_taken() {
     let mut world = world(1);
     world.sockets = 96;
     let courier = world.start();
@@ -138,7 +141,7 @@
 }
 
 #[test]
-fn without_an_address_there_is_none_and_a_bad_one_stops_nobody() {
+fn without_an_address_there_is_no_console_and_an_invalid_one_is_not_fatal() {
     let mut world = World::new(PROGRAM, 1, 3.0);
     world.variables.push(("BALANCER_CONSOLE".to_owned(), "not an address".to_owned()));
     let courier = world.start();
--- a/crates/gullcart/tests/courier.rs
+++ b/crates/gullcart/tests/courier.rs
@@ -1,13 +1,13 @@
-//! The courier over loopback sockets: each test guards against one way of breaking a promise.
+//! The courier over loopback sockets: each test guards one guarantee.
 
 use gullcart_standins::world::*;
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_gullcart");
 
-/// A message reaches its endpoint as it was handed in, and nothing more is told about it.
+/// A message reaches its endpoint unchanged, and no notice is sent.
 #[test]
-fn delivers_what_a_client_hands_in() {
+fn a_message_is_delivered_as_it_was_enqueued() {
     let world = World::new(PROGRAM, 2, 3.0);
     let courier = world.start();
     let mut client = courier.client();
@@ -24,7 +24,7 @@
     world.nothing();
 }
 
-/// Bad input is answered and harms nobody else: no panic, no recursion, no allocation by an announced length.
+/// Invalid input gets an error and affects nobody else: no panic, no recursion, no allocation by an announced length.
 #[test]
 fn malformed_input_is_answered_and_the_process_lives() {
     let world = World::new(PROGRAM, 1, 3.0);
@@ -51,10 +51,9 @@
     assert_eq!(client.ask(&["PING"]), "+PONG");
 }
 
-/// An unsafe message whose call was out when the process was killed may have run: it ends as failed, at once
-/// and without another call.
+/// An unsafe message whose call was in flight when the process was killed may have run: it fails at once, without another call.
 #[test]
-fn an_unsafe_message_with_a_call_out_at_the_kill_fails() {
+fn an_unsafe_message_with_a_call_in_flight_at_the_kill_fails() {
     let world = World::new(PROGRAM, 2, 3.0);
     let courier = world.start();
     assert_eq!(courier.client().enqueue("u1", "0", "salary", 1, b"x"), "+OK");
@@ -65,7 +64,7 @@
     world.no_call();
 }
 
-/// A keyed one goes on under its key, before the message behind it; what was delivered does not come again.
+/// A keyed message is repeated under its key, before the next message of the key; a delivered one is not sent again.
 #[test]
 fn keyed_messages_go_on_in_order_after_a_kill() {
     let world = World::new(PROGRAM, 2, 3.0);
@@ -87,10 +86,10 @@
     behind.answer("200 OK", "");
 }
 
-/// A message that ends by a notice is over when the notice is answered: until then nothing is sent for the
-/// next one with its key, and after a kill the notice goes out again instead of another call.
+/// A message that ends by a notice is final once the notice is acknowledged. Until then the next message of its key is not
+/// sent, and after a kill the notice is sent again instead of another call.
 #[test]
-fn a_key_waits_for_the_answer_to_a_notice() {
+fn a_key_waits_until_a_notice_is_acknowledged() {
     let world = World::new(PROGRAM, 1, 3.0);
     let courier = world.start();
     let mut client = courier.client();
@@ -99,7 +98,7 @@
     let held = world.call();
     assert_eq!(client.enqueue("n2", "9", "notice,k=n2", 1, b"2"), "+OK");
     held.answer("500 Oops", "");
-    // Its window is short: it fails as soon as it may not be sent again.
+    // Its repeat window is short: it fails as soon as it may not be sent again.
     let failed = r#"{"id":"n1","state":"failed"}"#;
     loop {
         match world.call_or_notice() {
@@ -120,14 +119,14 @@
     next.answer("200 OK", "");
 }
 
-/// A connection that is refused proves that the call never ran: the unsafe message goes to another endpoint.
+/// A refused connection proves that the call never ran: the unsafe message is sent to another endpoint.
 #[test]
-fn an_unsafe_message_goes_on_where_a_connection_is_refused() {
+fn an_unsafe_message_is_sent_elsewhere_after_a_refused_connection() {
     let mut world = World::new(PROGRAM, 2, 3.0);
     world.refuse_connections(0);
     let courier = world.start();
     let mut client = courier.client();
-    // With calls left open at the one endpoint, the other has the fewest and is tried.
+    // With calls open at one endpoint, the other one has the fewest and is tried.
     let ids = ["r1", "r2", "r3"];
     ids.iter().for_each(|id| assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK"));
     let calls: Vec<Call> = ids.iter().map(|_| world.call()).collect();
@@ -136,7 +135,7 @@
     world.nothing();
 }
 
-/// A connection that breaks after the call was sent may have run it.
+/// A call whose connection breaks after it was sent may have run.
 #[test]
 fn an_unsafe_message_fails_at_once_where_a_connection_is_reset() {
     let world = World::new(PROGRAM, 2, 3.0);
@@ -147,10 +146,10 @@
     world.no_call();
 }
 
-/// 504 says that the attempts are used up: the end is owed at once, and as a refusal, since nothing ran. Once
-/// told, the client may hand the message in again, so that nothing may be sent for it after a restart either.
+/// A response with 504 says that the attempts are used up: the message is returned at once, as nothing ran. After the notice
+/// the client may enqueue the message again, so nothing may be sent for it after a restart.
 #[test]
-fn a_spent_message_is_returned_at_once_and_for_good() {
+fn a_message_with_exhausted_attempts_is_returned_at_once_and_for_good() {
     let world = World::new(PROGRAM, 1, 3.0);
     world.hold_notices(true);
     let courier = world.start();
@@ -163,25 +162,24 @@
     world.no_call();
 }
 
-/// A told wait holds for all messages to that destination.
+/// A retry-after interval applies to all messages to the destination.
 #[test]
-fn a_told_wait_is_heeded_by_all_messages() {
+fn a_retry_after_interval_applies_to_all_messages() {
     let world = World::new(PROGRAM, 2, 3.0);
     let courier = world.start();
     let mut client = courier.client();
     assert_eq!(client.enqueue("w1", "0", "salary", 1, b"x"), "+OK");
-    let told = Instant::now();
+    let answered_at = Instant::now();
     world.call().answer("429 Later", "X-Come-Back-Ms: 700\r\n");
     courier.log_until("told to wait");
     assert_eq!(client.enqueue("w2", "0", "salary", 1, b"x"), "+OK");
     let call = world.call();
-    assert!(told.elapsed() >= Duration::from_millis(700), "after {:?}", told.elapsed());
+    assert!(answered_at.elapsed() >= Duration::from_millis(700), "after {:?}", answered_at.elapsed());
     call.answer("200 OK", "");
     world.call().answer("200 OK", "");
 }
 
-/// What was told of a drain counts after a restart too, though the list given at the start is older and
-/// discovery is silent.
+/// A drain still counts after a restart, although the configured list is older and discovery is silent.
 #[test]
 fn a_drain_is_kept_over_a_restart() {
     let world = World::new(PROGRAM, 2, 3.0);
@@ -201,19 +199,19 @@
     open.into_iter().for_each(|call| call.answer("200 OK", ""));
 }
 
-/// On SIGTERM: a call out ends, new connections are served, idle ones are closed, and the process ends by
-/// itself in time; what it could not send goes on at the next start.
+/// On SIGTERM a call in flight may end, new connections are served, idle ones are closed, and the process ends in time.
+/// Messages that it could not send are sent after the next start.
 #[test]
-fn sigterm_lets_calls_out_end_and_takes_on_until_the_end() {
+fn sigterm_lets_calls_end_and_accepts_messages_until_the_end() {
     let world = World::new(PROGRAM, 1, 3.0);
     let mut courier = world.start();
     let mut idle = courier.client();
     assert_eq!(idle.enqueue("t1", "0", "salary", 1, b"x"), "+OK");
-    let out = world.call();
+    let in_flight = world.call();
     courier.terminate();
     assert!(idle.is_closed());
     assert_eq!(courier.client().enqueue("t2", "0", "salary", 1, b"x"), "+OK");
-    out.answer("200 OK", "");
+    in_flight.answer("200 OK", "");
     let second = world.call();
     assert_eq!(second.id, "t2");
     second.answer("200 OK", "");
@@ -221,14 +219,14 @@
     world.nothing();
 }
 
-/// A connection that has not brought its first request when the courier is told to end is no idle one: its request
-/// may be on its way, and closing over it would lose the message.
+/// A connection without a request at SIGTERM is not idle: its first request may be on its way, and closing the connection would
+/// lose the message.
 #[test]
 fn sigterm_waits_for_the_first_request_of_a_new_connection() {
     let world = World::new(PROGRAM, 1, 3.0);
     let courier = world.start();
     let mut silent = courier.client();
-    // Accepted behind it.
+    // Accepted after the silent one.
     assert_eq!(courier.client().ask(&["PING"]), "+PONG");
     courier.terminate();
     courier.log_until("told to end");
@@ -237,8 +235,7 @@
     world.nothing();
 }
 
-/// New connections go on coming for a while, and a request may come a moment after its connection: none is closed
-/// over it.
+/// New connections keep arriving for a while after SIGTERM, each with its request a moment later: none is closed before it.
 #[test]
 fn sigterm_serves_requests_that_come_behind_their_new_connections() {
     let world = World::new(PROGRAM, 1, 3.0);
@@ -247,13 +244,13 @@
     courier.log_until("told to end");
     for _ in 0..20 {
         let mut client = courier.client();
-        // Accepted, and found with nothing on it.
+        // By now it is accepted, and nothing was read from it.
         assert_eq!(courier.client().ask(&["PING"]), "+PONG");
         assert_eq!(client.ask(&["PING"]), "+PONG");
     }
 }
 
-/// A hung call does not keep the process beyond SIGKILL, and its message ends at the next start.
+/// A hung call does not keep the process until SIGKILL, and its message ends after the next start.
 #[test]
 fn sigterm_does_not_wait_for_a_hung_call() {
     let world = World::new(PROGRAM, 1, 3.0);
@@ -266,35 +263,35 @@
     assert_eq!(world.notice(), r#"{"id":"h1","state":"failed"}"#);
 }
 
-/// The worst backlog: messages are taken on only while the journal has room, old and new file together stay
-/// within the limit, and what was taken on is all there after a kill.
+/// Messages are accepted only while the journal has room, the old and the new file together stay within the limit, and all
+/// accepted messages are there after a kill.
 #[test]
-fn a_full_journal_turns_messages_away_and_keeps_what_it_took() {
+fn a_full_journal_rejects_messages_and_keeps_the_accepted_ones() {
     let world = World::patient(PROGRAM, 1, 0.3);
     let courier = world.start();
     let mut client = courier.client();
     let body = vec![b'x'; 4000];
-    let mut taken = 0;
+    let mut accepted = 0;
     for number in 0..60 {
         match client.enqueue(&format!("f{number}"), "0", "salary", 1, &body).as_str() {
-            "+OK" => taken += 1,
+            "+OK" => accepted += 1,
             answer => assert!(answer.starts_with("-BUSY "), "{answer}"),
         }
         assert!(world.disk_used() <= 300_000);
     }
-    assert!((5..60).contains(&taken), "{taken}");
+    assert!((5..60).contains(&accepted), "{accepted}");
     let courier = courier.kill_and_restart();
-    assert!(courier.log_until("the journal was replayed").contains(&format!("held={taken}")));
+    assert!(courier.log_until("the journal was replayed").contains(&format!("held={accepted}")));
 }
 
-/// A torn or damaged tail of the journal is cut off; what stands before it is kept, and the process starts.
+/// A torn end of the journal is cut off; what stands before it is kept, and the process starts.
 #[test]
 fn a_torn_journal_is_replayed_up_to_the_tear() {
     let world = World::new(PROGRAM, 1, 3.0);
     let courier = world.start();
     let mut client = courier.client();
     assert_eq!(client.enqueue("j1", "0", "salary", 1, b"x"), "+OK");
-    let _out = world.call();
+    let _in_flight = world.call();
     drop(client);
     let courier = courier.kill();
     world.append_to_journal(&[200, 0, 0, 0, 1, 2, 3, 4, 5, 6]);
@@ -303,9 +300,10 @@
     assert_eq!(world.notice(), r#"{"id":"j1","state":"failed"}"#);
 }
 
-/// Damage to what was promised is no torn end: the courier does not start, says where it is, and changes nothing.
+/// Damage before the end of the journal is no torn write: the courier does not start, reports the position, and changes
+/// nothing.
 #[test]
-fn a_damaged_journal_is_a_loud_error() {
+fn a_damaged_journal_keeps_the_courier_from_starting() {
     let world = World::new(PROGRAM, 1, 3.0);
     let courier = world.start();
     let mut client = courier.client();
@@ -319,50 +317,53 @@
     let mut bytes = std::fs::read(&segment).unwrap();
     bytes[100] ^= 1;
     std::fs::write(&segment, &bytes).unwrap();
-    let (said, status) = world.refuse_to_start();
+    let (output, status) = world.refuse_to_start();
     assert!(!status.success());
-    assert!(said.contains("journal-0000000000000001.seg is damaged at byte 79"), "{said}");
-    assert!(said.contains("gullcartctl journal repair"), "{said}");
+    assert!(output.contains("journal-0000000000000001.seg is damaged at byte 79"), "{output}");
+    assert!(output.contains("gullcartctl journal repair"), "{output}");
     assert_eq!(std::fs::read(&segment).unwrap(), bytes);
 }
 
-/// Two couriers on one folder would each undo what the other promised.
+/// Two couriers on one folder would each break the other's guarantees.
 #[test]
 fn a_folder_in_use_is_refused() {
     let world = World::new(PROGRAM, 1, 3.0);
     let courier = world.start();
-    let (said, status) = world.refuse_to_start();
-    assert!(!status.success() && said.contains("is in use by another process"), "{said}");
-    // The first one goes on.
+    let (output, status) = world.refuse_to_start();
+    assert!(!status.success() && output.contains("is in use by another process"), "{output}");
+    // The first one is not affected.
     assert_eq!(courier.client().enqueue("u1", "0", "salary", 1, b"x"), "+OK");
     world.call().answer("200 OK", "");
 }
 
-/// The operators' file chooses what promises outlast; a bad one is told before anything starts.
+/// The options file selects the durability of the journal; an invalid one is reported before anything starts.
 #[test]
-fn the_journal_may_be_kept_so_that_it_outlasts_the_machine() {
+fn the_journal_can_be_made_to_survive_a_machine_failure() {
     let mut world = World::new(PROGRAM, 1, 3.0);
     let file = world.state().with_file_name("journal.toml");
     world.variables.push(("GULLCART_JOURNAL".to_owned(), file.to_str().unwrap().to_owned()));
     std::fs::write(&file, "durability = \"disk\"").unwrap();
-    let (said, status) = world.refuse_to_start();
-    assert!(!status.success() && said.contains("journal.toml") && said.contains("durability"), "{said}");
+    let (output, status) = world.refuse_to_start();
+    assert!(
+        !status.success() && output.contains("journal.toml") && output.contains("durability"),
+        "{output}"
+    );
     std::fs::write(&file, "durability = \"machine\"\nsegment_kib = 16").unwrap();
     let courier = world.start();
     assert_eq!(courier.client().enqueue("s1", "0", "salary", 1, b"x"), "+OK");
-    let _out = world.call();
+    let _in_flight = world.call();
     let _courier = courier.kill_and_restart();
     assert_eq!(world.notice(), r#"{"id":"s1","state":"failed"}"#);
 }
 
-/// A courier takes up what the release before it held.
+/// The journal of the previous release can be read.
 #[test]
-fn the_journal_of_the_release_before_is_taken_up() {
+fn the_journal_of_the_previous_release_is_read() {
     let world = World::new(PROGRAM, 1, 3.0);
     let old = concat!(env!("CARGO_MANIFEST_DIR"), "/../gullcart-journal/tests/fixtures/journal-0.1");
     std::fs::copy(old, world.state().join("journal")).unwrap();
     let courier = world.start();
-    // Their time is long up, their class and their partners are not known here: each still gets its end.
+    // The messages have expired, and their class and destinations are not known here: each still gets its notice.
     let held = courier.log_until("the journal was replayed");
     let held = held.split_once("held=").map(|(_, rest)| rest.split_whitespace().next());
     let held: usize = held.flatten().unwrap().parse().unwrap();
@@ -372,17 +373,17 @@
     }
 }
 
-/// An unwritable disk is a refusal, not a crash.
+/// An unwritable journal leads to rejected messages, not to a crash.
 #[test]
-fn an_unwritable_journal_turns_messages_away() {
+fn an_unwritable_journal_rejects_messages() {
     let world = World::new(PROGRAM, 1, 0.0001);
     let courier = world.start();
     assert!(courier.client().enqueue("z1", "0", "salary", 1, b"x").starts_with("-BUSY "));
     assert_eq!(courier.client().ask(&["PING"]), "+PONG");
 }
 
-/// No more is held than the settings allow, ends that are still owed included: one message more is turned away,
-/// and told when to come.
+/// The limit on messages held includes those whose notice is pending. A message beyond it is rejected with a retry-after
+/// interval.
 #[test]
 fn no_more_messages_are_held_than_the_settings_allow() {
     let mut world = World::patient(PROGRAM, 1, 3.0);
@@ -394,21 +395,21 @@
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
         world.call()
     });
-    // Its end is owed until the notice is answered.
+    // It is held until the notice is acknowledged.
     let [first, second, third] = calls;
     third.reset();
     assert!(world.notice().contains(r#""id":"m3","state":"failed""#));
     let answer = client.enqueue("m4", "0", "salary", 1, b"x");
     let after = answer.strip_prefix("-BUSY ").and_then(|ms| ms.parse::<u64>().ok());
     assert!(after.is_some_and(|ms| ms > 0), "{answer}");
-    // The same id once more is the same message, which is held already.
+    // With the same id it is the same message, which is held already.
     assert_eq!(client.enqueue("m1", "0", "salary", 1, b"x"), "+OK");
     [first, second].into_iter().for_each(|call| call.answer("200 OK", ""));
     world.no_call();
 }
 
-/// A timed-out call closes its connection before the next attempt goes out: an attempt with the earlier one
-/// still on an open connection would be a second copy.
+/// The connection of a timed-out call is closed before the next attempt: with the earlier one still on an open connection, the
+/// attempt would be a second copy.
 #[test]
 fn a_timed_out_call_is_closed_before_the_next_attempt() {
     let world = World::new(PROGRAM, 1, 3.0);
@@ -422,7 +423,7 @@
     world.nothing();
 }
 
-/// Silence of discovery is no empty list: messages go on, and the watch is taken up again when it is back.
+/// A silent discovery is no empty list: messages are delivered, and the watch is opened again once discovery is back.
 #[test]
 fn discovery_may_be_silent() {
     let world = World::new(PROGRAM, 2, 3.0);
@@ -432,7 +433,7 @@
     assert_eq!(client.enqueue("q1", "0", "salary", 1, b"x"), "+OK");
     world.call().answer("200 OK", "");
     courier.log_until("the watch on the list broke");
-    // Its first connection may have rested for too long meanwhile.
+    // The first connection may have been closed as idle by now.
     assert_eq!(courier.client().enqueue("q2", "0", "salary", 1, b"x"), "+OK");
     world.call().answer("200 OK", "");
     world.drain(0);
@@ -440,9 +441,9 @@
     courier.log_until("the list has changed");
 }
 
-/// A notice is sent until it is answered.
+/// A notice is sent again until it is acknowledged.
 #[test]
-fn a_notice_is_sent_until_it_is_answered() {
+fn a_notice_is_sent_until_it_is_acknowledged() {
     let world = World::new(PROGRAM, 1, 3.0);
     world.hold_notices(true);
     let courier = world.start();
@@ -452,7 +453,7 @@
     assert_eq!(world.notice(), failed);
     assert_eq!(world.notice(), failed);
     world.hold_notices(false);
-    // Those behind it go out once it is answered.
+    // Later notices are sent once it is acknowledged.
     assert_eq!(courier.client().enqueue("o2", "0", "salary", 1, b"x"), "+OK");
     loop {
         match world.call_or_notice() {
@@ -463,7 +464,7 @@
     }
 }
 
-/// The journal of a long day is compacted again and again: it stays inside the disk, and keeps what is held.
+/// A journal that is compacted many times stays within its limit and keeps the messages held.
 #[test]
 fn a_long_journal_is_compacted() {
     let world = World::patient(PROGRAM, 1, 0.1);
@@ -482,7 +483,7 @@
     drop(courier);
 }
 
-/// A kept connection that the endpoint has closed is not used: a call on it would be lost.
+/// An idle connection that the endpoint has closed is not used: a call on it would be lost.
 #[test]
 fn a_closed_connection_is_not_used_again() {
     let world = World::new(PROGRAM, 1, 3.0);
@@ -497,33 +498,32 @@
     world.nothing();
 }
 
-/// A call whose connection comes up only after a wait was told, or a drain, must not go out on it.
+/// A call whose connection is established only after a retry-after interval began, or a drain, must not be sent.
 #[test]
-fn calls_still_connecting_are_withdrawn_when_a_wait_is_told() {
+fn calls_still_connecting_are_withdrawn_when_a_retry_after_interval_begins() {
     let mut world = World::new(PROGRAM, 2, 3.0);
     let hanging = world.hang_connections(0);
     let courier = world.start();
     let mut client = courier.client();
-    // Of two messages one goes to each endpoint, as each has the fewest calls out in its turn.
+    // One message goes to each endpoint, as each has the fewest calls in flight in its turn.
     for id in ["v1", "v2"] {
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
     }
     let call = world.call();
     assert_eq!(call.endpoint, 1);
-    let told = Instant::now();
+    let answered_at = Instant::now();
     call.answer("429 Later", "X-Come-Back-Ms: 3500\r\n");
     courier.log_until("told to wait");
     world.release(hanging);
     for _ in 0..2 {
         let call = world.call();
-        assert!(told.elapsed() >= Duration::from_millis(3500), "after {:?}", told.elapsed());
+        assert!(answered_at.elapsed() >= Duration::from_millis(3500), "after {:?}", answered_at.elapsed());
         call.answer("200 OK", "");
     }
 }
 
-/// Connections are kept at each endpoint, also where there are more endpoints than call slots: with no more idle
-/// ones than slots, each call put out a connection that the next but one needed again (286 connections where 223
-/// do, on a day of 27 endpoints).
+/// Idle connections are kept at each endpoint, also with more endpoints than call slots. When no more idle ones than slots were
+/// kept, each call closed a connection that was needed soon after (286 connections instead of 223, on a day of 27 endpoints).
 #[test]
 fn connections_are_kept_at_more_endpoints_than_slots() {
     let mut world = World::patient(PROGRAM, 6, 3.0);
@@ -542,7 +542,7 @@
             })
             .collect()
     };
-    // Connections are used again once the answers of each endpoint were seen to differ.
+    // Connections are reused once the responses of each endpoint were seen to differ.
     (1..=3).for_each(|number| drop(round(number)));
     assert_eq!(round(4), round(5));
 }
--- a/crates/gullcart/tests/endings.rs
+++ b/crates/gullcart/tests/endings.rs
@@ -1,5 +1,5 @@
-//! What ends, at the instant at which something is still owed. The crossing is forced: the other side holds its bytes until it
-//! has seen the courier's, or the process is stopped while both sides act.
+//! Connections, processes and watches that end while something is still pending. The race is forced: the other side holds its
+//! bytes until it has seen the courier's, or the process is stopped while both sides act.
 
 use gullcart_standins::world::*;
 use std::collections::BTreeSet;
@@ -9,58 +9,59 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_gullcart");
-const LONGEST_END: Duration = Duration::from_millis(3700);
+/// By when a process must have ended after SIGTERM.
+const MAX_SHUTDOWN_TIME: Duration = Duration::from_millis(3700);
 
-/// A request that is written once the courier's end of the connection was seen: nothing resets the connection, which would
-/// take an answer along that is still on its way, and the message is not sent on.
-fn crosses_the_end(client: &mut Client, id: &str) {
+/// Writes a request after the courier's shutdown of the connection was seen. Nothing may reset the connection, which would
+/// destroy a reply on its way, and the message must not be sent on.
+fn send_behind_the_shutdown(client: &mut Client, id: &str) {
     assert_eq!(client.until_end().unwrap(), "");
     client.begin_enqueue(id, "0", "salary", 1, b"x");
-    // Behind a reset this fails, or the read does.
+    // After a reset, this or the next read fails.
     client.try_send(b"*1\r\n$4\r\nPING\r\n").unwrap();
     client.end();
     assert_eq!(client.until_end().unwrap(), "");
 }
 
 #[test]
-fn a_request_that_crosses_the_end_of_a_resting_connection_is_not_reset_nor_sent_on() {
+fn a_request_that_crosses_the_close_of_an_idle_connection_is_not_reset_nor_sent_on() {
     let world = World::new(PROGRAM, 1, 3.0);
     let courier = world.start();
     let mut client = courier.client();
     assert_eq!(client.ask(&["PING"]), "+PONG");
-    crosses_the_end(&mut client, "r1");
+    send_behind_the_shutdown(&mut client, "r1");
     world.nothing();
     assert_eq!(courier.client().enqueue("r1", "0", "salary", 1, b"x"), "+OK");
     world.call().answer("200 OK", "");
 }
 
 #[test]
-fn requests_that_cross_the_end_of_their_connections_at_sigterm_go_out_on_new_ones() {
+fn requests_that_cross_the_close_at_sigterm_succeed_on_new_connections() {
     let world = World::new(PROGRAM, 1, 3.0);
     let mut courier = world.start();
     let mut resting: Vec<Client> = (0..20).map(|_| courier.client()).collect();
     for client in &mut resting {
         assert_eq!(client.ask(&["PING"]), "+PONG");
     }
-    // One that never closes its side does not keep the process.
+    // A client that never closes does not keep the process running.
     let mut stays = courier.client();
     assert_eq!(stays.ask(&["PING"]), "+PONG");
     courier.terminate();
     for (number, client) in resting.iter_mut().enumerate() {
-        crosses_the_end(client, &format!("t{number}"));
+        send_behind_the_shutdown(client, &format!("t{number}"));
     }
-    // The process lives for 0.6 s at least: the same message goes out on a new connection.
+    // The process lives for at least 0.6 s more: the same message is accepted on a new connection.
     assert_eq!(courier.client().enqueue("t0", "0", "salary", 1, b"x"), "+OK");
     let call = world.call();
     assert_eq!(call.id, "t0");
     call.answer("200 OK", "");
-    assert!(courier.wait(LONGEST_END).success());
+    assert!(courier.wait(MAX_SHUTDOWN_TIME).success());
     world.nothing();
 }
 
-/// Two requests and the signal come in one instant: each is answered and sent on, or neither.
+/// Two requests and SIGTERM arrive at once: each request is either answered and sent on, or neither.
 #[test]
-fn a_request_behind_another_one_at_sigterm_is_answered_or_surely_not_sent_on() {
+fn a_pipelined_request_at_sigterm_is_answered_or_not_sent_on() {
     let world = World::new(PROGRAM, 1, 3.0);
     let mut courier = world.start();
     let mut clients: Vec<Client> = (0..10).map(|_| courier.client()).collect();
@@ -74,28 +75,28 @@
         }
         courier.terminate();
     });
-    let mut taken = BTreeSet::new();
+    let mut accepted = BTreeSet::new();
     for (number, client) in clients.iter_mut().enumerate() {
         let answers = client.until_end().unwrap();
         let count = answers.matches("+OK\r\n").count();
         assert_eq!(answers.len(), count * 5, "{answers:?}");
-        // The first one has come whole before the signal.
+        // The first request had arrived completely before the signal.
         assert!(count >= 1, "the request of client {number} is lost");
-        taken.extend(["a", "b"].iter().take(count).map(|letter| format!("{letter}{number}")));
+        accepted.extend(["a", "b"].iter().take(count).map(|letter| format!("{letter}{number}")));
     }
     let mut called = BTreeSet::new();
-    while called.len() < taken.len() {
+    while called.len() < accepted.len() {
         let call = world.call();
         called.insert(call.id.clone());
         call.answer("200 OK", "");
     }
-    assert_eq!(called, taken);
-    assert!(courier.wait(LONGEST_END).success());
+    assert_eq!(called, accepted);
+    assert!(courier.wait(MAX_SHUTDOWN_TIME).success());
     world.nothing();
 }
 
 #[test]
-fn half_a_request_at_sigterm_is_told_and_not_sent_on() {
+fn an_incomplete_request_at_sigterm_is_rejected_and_not_sent_on() {
     let world = World::new(PROGRAM, 1, 3.0);
     let mut courier = world.start();
     let mut client = courier.client();
@@ -104,17 +105,17 @@
         client.send(b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nh1\r\n");
         courier.terminate();
     });
-    let told = client.until_end().unwrap();
-    assert!(told.is_empty() || told.starts_with("-ERR "), "{told:?}");
+    let reply = client.until_end().unwrap();
+    assert!(reply.is_empty() || reply.starts_with("-ERR "), "{reply:?}");
     client.send(b"$23\r\nd=20000,c=salary,dest=1\r\n$1\r\nx\r\n");
-    assert!(courier.wait(LONGEST_END).success());
+    assert!(courier.wait(MAX_SHUTDOWN_TIME).success());
     world.nothing();
 }
 
-/// The process stands still until its time is up, and finds new connections with requests on them when it goes on: they are
-/// taken on in its last turn, and called by the next process.
+/// A process that was stalled until its time was up finds new connections with requests on them: they are accepted in its last
+/// turn, and the next process makes the calls.
 #[test]
-fn requests_that_came_when_the_time_was_up_are_taken_on_for_the_next_process() {
+fn requests_that_arrive_at_the_end_are_accepted_for_the_next_process() {
     let world = World::new(PROGRAM, 1, 3.0);
     let mut courier = world.start();
     assert_eq!(courier.client().enqueue("hung", "0", "salary", 1, b"x"), "+OK");
@@ -128,32 +129,32 @@
             client.begin_enqueue(&format!("l{number}"), "0", "salary", 1, b"x");
             clients.push(client);
         }
-        // Not for something to happen: for the end to be due. Nothing runs meanwhile.
+        // Waits until the shutdown is due; nothing of the process runs meanwhile.
         std::thread::sleep(Duration::from_millis(3300));
     });
     for client in &mut clients {
         assert_eq!(client.until_end().unwrap(), "+OK\r\n");
         client.end();
     }
-    assert!(courier.wait(LONGEST_END).success());
+    assert!(courier.wait(MAX_SHUTDOWN_TIME).success());
     world.nothing();
     let _next = courier.kill_and_restart();
-    let (mut called, mut told) = (BTreeSet::new(), BTreeSet::new());
-    while called.len() < clients.len() || told.is_empty() {
+    let (mut called, mut notices) = (BTreeSet::new(), BTreeSet::new());
+    while called.len() < clients.len() || notices.is_empty() {
         match world.call_or_notice() {
             Seen::Call(call) => {
                 called.insert(call.id.clone());
                 call.answer("200 OK", "");
             }
-            Seen::Notice(line) => drop(told.insert(line)),
+            Seen::Notice(line) => drop(notices.insert(line)),
         }
     }
-    assert_eq!(told, BTreeSet::from([r#"{"id":"hung","state":"failed"}"#.to_owned()]));
+    assert_eq!(notices, BTreeSet::from([r#"{"id":"hung","state":"failed"}"#.to_owned()]));
 }
 
-/// A second SIGTERM changes nothing, and SIGHUP moves discovery while the courier ends: what is owed is told there.
+/// A second SIGTERM changes nothing, and SIGHUP moves discovery during a shutdown: pending notices are sent to the new address.
 #[test]
-fn signals_during_the_end_change_nothing_that_is_owed() {
+fn signals_during_a_shutdown_lose_no_notice() {
     let world = World::new(PROGRAM, 2, 3.0);
     let mut courier = world.start();
     assert_eq!(courier.client().enqueue("s1", "0", "salary", 1, b"x"), "+OK");
@@ -164,7 +165,7 @@
     courier.terminate();
     courier.log_until("told to end");
     world.hold_notices(true);
-    // Each is given up when its first request did not come: some of the time until the end has passed.
+    // Each is closed when its first request does not arrive, which takes some of the time until the end.
     for _ in 0..2 {
         assert_eq!(courier.client().until_end().unwrap(), "");
     }
@@ -177,13 +178,13 @@
     while world.notices_at(&agent) == 0 {
         assert_eq!(world.notice(), r#"{"id":"s1","state":"failed"}"#);
     }
-    assert!(courier.wait(LONGEST_END).success());
-    assert!(begun.elapsed() < LONGEST_END, "{:?}", begun.elapsed());
+    assert!(courier.wait(MAX_SHUTDOWN_TIME).success());
+    assert!(begun.elapsed() < MAX_SHUTDOWN_TIME, "{:?}", begun.elapsed());
 }
 
-/// A configuration of which the settings cannot be read is none, and ends a start with the key's name.
+/// A configuration with invalid settings changes nothing in service, and at a start it is an error with the key's name.
 #[test]
-fn spoilt_settings_change_nothing_in_service_and_end_a_start_with_the_key() {
+fn invalid_settings_change_nothing_in_service_and_are_an_error_at_a_start() {
     let world = World::new(PROGRAM, 2, 3.0);
     let courier = world.start();
     let agent = world.agent_with_drain(0);
@@ -214,7 +215,7 @@
     courier.log_until("the list has changed");
 }
 
-/// The head of a request, and its answer to a watch.
+/// Reads the head of a request and opens the response if it is a watch; returns whether it is.
 fn opens_watch(stream: &TcpStream) -> bool {
     let mut input = BufReader::new(stream);
     let mut line = String::new();
@@ -224,16 +225,17 @@
     is_watch && (&*stream).write_all(head.as_bytes()).is_ok()
 }
 
+/// Writes a chunk of a response.
 fn chunk(mut stream: &TcpStream, text: &str) -> bool {
     write!(stream, "{:x}\r\n{text}\r\n", text.len()).is_ok()
 }
 
-/// Holds a connection open until the courier closes it.
+/// Keeps a connection open until the courier closes it.
 fn hold(mut stream: &TcpStream) {
     let _ = stream.read(&mut [0; 64]);
 }
 
-/// A watch on which bytes come for ever and no line ever ends says nothing: it is opened anew, and what it missed is had.
+/// A watch with bytes but without complete lines counts as silent: it is opened again, and missed changes are caught up.
 #[test]
 fn a_watch_without_whole_lines_is_silent() {
     let world = World::new(PROGRAM, 2, 3.0);
@@ -258,7 +260,7 @@
     assert!(begun.elapsed() < Duration::from_secs(6), "{:?}", begun.elapsed());
 }
 
-/// A change may be written over several lines, and an older one that comes behind a newer one takes nothing back.
+/// A change may span several lines, and an older one that arrives behind a newer one reverts nothing.
 #[test]
 fn an_indented_change_counts_and_an_older_one_behind_it_does_not() {
     let world = World::new(PROGRAM, 2, 3.0);
@@ -281,17 +283,17 @@
     }
 }
 
-/// A connection for notices that falls silent is given up soon enough for a new one: what is told 300 ms late is lost.
+/// A connection for notices that falls silent is given up soon: a notice that is 300 ms late is lost.
 #[test]
 fn a_notice_does_not_wait_for_a_connection_that_fell_silent() {
     let world = World::new(PROGRAM, 1, 3.0);
-    let (told, heard) = channel();
+    let (report, posts) = channel();
     let agent = world.raw_agent(move |number, stream| {
         let mut input = BufReader::new(&stream);
         let mut line = String::new();
         while input.read_line(&mut line).is_ok_and(|count| count > 0) {
             if line.starts_with("POST ") {
-                let _ = told.send((number, Instant::now()));
+                let _ = report.send((number, Instant::now()));
                 hold(&stream);
                 break;
             }
@@ -301,17 +303,17 @@
     let courier = world.start_at(&agent);
     assert_eq!(courier.client().enqueue("n1", "0", "salary", 1, b"x"), "+OK");
     world.call().reset();
-    let patience = Duration::from_secs(20);
-    let (first, at) = heard.recv_timeout(patience).unwrap();
-    let (second, again) = heard.recv_timeout(patience).unwrap();
+    let timeout = Duration::from_secs(20);
+    let (first, first_at) = posts.recv_timeout(timeout).unwrap();
+    let (second, second_at) = posts.recv_timeout(timeout).unwrap();
     assert_ne!(first, second);
-    assert!(again - at < Duration::from_millis(400), "{:?}", again - at);
+    assert!(second_at - first_at < Duration::from_millis(400), "{:?}", second_at - first_at);
 }
 
-/// Clients that only hold connections have taken all that there are, and discovery is down: a client that asks is served, its
-/// message is sent on, the process does not spin, its descriptors stay inside the limit, and the watch is back at once.
+/// Clients occupy all connections and discovery is down: a client with a request is served and its message sent, the process
+/// does not spin, its descriptors stay within the limit, and the watch is back soon.
 #[test]
-fn idle_clients_may_fill_the_descriptors_while_discovery_is_down() {
+fn idle_clients_may_take_all_descriptors_while_discovery_is_down() {
     const LIMIT: usize = 96;
     let mut world = World::new(PROGRAM, 2, 3.0);
     (world.sockets, world.slots) = (LIMIT as u32, 4);
@@ -319,7 +321,7 @@
     world.silence_discovery(true);
     let courier = world.start();
     courier.log_until("the watch on the list broke");
-    // Silent ones, and such that asked once and stay.
+    // Clients that send nothing, and clients that stay open after one request.
     let mut idle = Vec::new();
     for number in 0..300 {
         let mut client = courier.client();
@@ -332,7 +334,7 @@
     let begun = Instant::now();
     for number in 0..20 {
         let id = format!("d{number}");
-        // A client waits for 400 ms; some are left for a machine with much to do.
+        // A client waits for 400 ms; twice that allows for a slow machine.
         assert_eq!(
             courier.client().within(Duration::from_millis(800)).enqueue(&id, "0", "salary", 1, b"x"),
             "+OK"
@@ -353,9 +355,9 @@
     drop(idle);
 }
 
-/// With its folder full and discovery silent a courier is ready at once: nothing before that waits for the network.
+/// With a full journal and a silent discovery a courier still starts at once: nothing before that waits for the network.
 #[test]
-fn a_full_journal_and_a_silent_discovery_do_not_keep_a_start() {
+fn a_full_journal_and_a_silent_discovery_do_not_delay_a_start() {
     let mut world = World::patient(PROGRAM, 1, 3.0);
     (world.most_held, world.slots) = (100_000, 4);
     world.silence_discovery(true);
--- a/crates/gullcart/tests/group.rs
+++ b/crates/gullcart/tests/group.rs
@@ -1,4 +1,4 @@
-//! Couriers that belong to a group, as processes: it begins, goes on over upgrades, and costs no message when it fails.
+//! Couriers that belong to a group, as processes: joining, upgrades, and failures of the group that must cost no message.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn without_a_file_there_is_no_thread_and_no_folder() {
+fn without_group_settings_there_is_no_thread_and_no_folder() {
     let world = World::with_console(PROGRAM, 1);
     let courier = world.start();
     assert_eq!(courier.client().ask(&["PING"]), "+PONG");
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn an_upgrade_keeps_the_life_of_a_member_and_an_end_leaves_the_others_alone() {
+fn an_upgrade_keeps_the_incarnation_of_a_member_and_its_end_does_not_affect_the_others() {
     let group = Group::new();
     let group_thread = |courier: &Courier| courier.threads().contains(&"group".to_owned());
     let mut couriers: Vec<_> = group.worlds.iter().map(|world| Some(world.start())).collect();
@@ -27,8 +27,8 @@
     }
     assert!(couriers.iter().flatten().all(group_thread));
     let leader = group.status(0).and_then(|status| status.leader).unwrap() as usize - 1;
-    let before = group.until(leader, "it is there", |_| true);
-    // The one that leads, twice.
+    let before = group.until(leader, "its member answers", |_| true);
+    // Upgrades the leader twice.
     for _ in 0..2 {
         let new = group.worlds[leader].start();
         let old = couriers[leader].replace(new);
@@ -38,11 +38,11 @@
         assert_eq!((after.life, after.trouble), (before.life, None));
         drop(old);
     }
-    // A process that was killed begins another life.
+    // A killed process starts a new incarnation.
     couriers[leader] = couriers[leader].take().map(Courier::kill_and_restart);
-    let after = group.until(leader, "it votes again", |status| status.votes);
+    let after = group.until(leader, "the restarted courier votes", |status| status.votes);
     assert_eq!(after.life, before.life + 1);
-    // One that ends leaves the others with a leader.
+    // The others elect a leader after it has ended.
     let begun = Instant::now();
     let mut ending = couriers[leader].take().unwrap();
     ending.terminate();
@@ -55,25 +55,25 @@
     }
 }
 
-/// Somebody else has the group's address: messages are carried all the same, and the group is joined once it is free.
+/// Another process occupies the group's address: messages are delivered all the same, and the group is joined once it is free.
 #[test]
 fn a_group_that_cannot_be_joined_costs_no_message() {
     let group = Group::new();
     let settings = Settings::read(&group.files[0]).unwrap();
-    let taken = TcpListener::bind(settings.listen).unwrap();
+    let occupied = TcpListener::bind(settings.listen).unwrap();
     let courier = group.worlds[0].start();
     let mut client = courier.client();
     assert_eq!(client.enqueue("a1", "0", "salary", 1, b"x"), "+OK");
     group.worlds[0].call().answer("200 OK", "");
-    drop(taken);
-    group.until(0, "it is there", |status| status.reached.is_empty() && !status.votes);
-    // The connection of before was idle for long.
+    drop(occupied);
+    group.until(0, "its member answers", |status| status.reached.is_empty() && !status.votes);
+    // The earlier connection was closed as idle.
     assert_eq!(courier.client().enqueue("a2", "0", "salary", 1, b"x"), "+OK");
     group.worlds[0].call().answer("200 OK", "");
 }
 
 #[test]
-fn a_file_that_is_wrong_keeps_a_courier_from_starting_and_says_why() {
+fn invalid_group_settings_are_an_error_at_a_start() {
     let group = Group::new();
     std::fs::write(&group.files[0], "name = \"m0\"\nleese_ms = 5\n").unwrap();
     let text = group.worlds[0].start_fails();
--- a/crates/gullcart/tests/installed.rs
+++ b/crates/gullcart/tests/installed.rs
@@ -1,15 +1,15 @@
-//! Deliberate faults are in a build with the feature `broken` alone.
+//! Injected faults are only in builds with the feature `broken`.
 
-fn holds(needle: &str) -> bool {
+fn program_contains(needle: &str) -> bool {
     let program = std::fs::read(env!("CARGO_BIN_EXE_gullcart")).unwrap();
     String::from_utf8_lossy(&program).contains(needle)
 }
 
 #[test]
-fn the_default_daemon_has_no_deliberate_fault() {
+fn the_default_build_has_no_injected_faults() {
     for word in ["GULLCART_BROKEN", "resends-unsafe", "side-by-side", "forgets-at-restart"] {
-        assert_eq!(holds(word), cfg!(feature = "broken"), "{word}");
+        assert_eq!(program_contains(word), cfg!(feature = "broken"), "{word}");
     }
-    // The look itself finds what is there.
-    assert!(holds("BALANCER_CONFIG"));
+    // Shows that the search finds strings of the program.
+    assert!(program_contains("BALANCER_CONFIG"));
 }
--- a/crates/gullcart/tests/reload.rs
+++ b/crates/gullcart/tests/reload.rs
@@ -1,11 +1,11 @@
-//! SIGHUP: the courier goes over to another agent of discovery without disturbing anything else.
+//! SIGHUP: the courier changes to another agent of discovery without disturbing anything else.
 
 use gullcart_standins::world::*;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_gullcart");
 
-/// The new agent's list counts, unanswered notices go to it, and neither calls nor clients notice anything. The
-/// signal used to end the process.
+/// The new agent's list counts, unacknowledged notices go to it, and neither calls nor clients are affected. The signal used to
+/// end the process.
 #[test]
 fn sighup_moves_watch_and_notices_to_the_new_agent() {
     let world = World::new(PROGRAM, 2, 3.0);
@@ -23,7 +23,7 @@
     world.configure(&agent);
     courier.hang_up();
     courier.log_until("the list has changed");
-    // What the old one never answered is told to the new one, which answers.
+    // Notices that the old agent did not acknowledge are sent to the new one.
     while world.notices_at(&agent) == 0 {
         assert_eq!(world.notice(), failed);
     }
@@ -39,9 +39,9 @@
     open.into_iter().for_each(|call| call.answer("200 OK", ""));
 }
 
-/// A file that cannot be read changes nothing, and the next one counts.
+/// An invalid file changes nothing, and the next valid one counts.
 #[test]
-fn a_spoilt_configuration_changes_nothing() {
+fn an_invalid_configuration_changes_nothing() {
     let world = World::new(PROGRAM, 2, 3.0);
     let courier = world.start();
     let mut client = courier.client();
@@ -58,7 +58,7 @@
         courier.log_times("the list has changed", number + 1);
     }
     assert_eq!(client.enqueue("s2", "0", "salary", 1, b"x"), "+OK");
-    // The notice may come once more: its answer may have crossed the change of agents.
+    // The notice may be sent again, as its acknowledgement may have crossed the change of agents.
     let call = world.call_among_notices();
     assert_eq!(call.endpoint, 0);
     call.answer("200 OK", "");
--- a/crates/gullcart/tests/sizes.rs
+++ b/crates/gullcart/tests/sizes.rs
@@ -1,20 +1,22 @@
-//! Lists as long as large deployments have them, and what a daemon needs for them.
+//! Lists of the length that large deployments have, and the resources that a daemon needs for them.
 
 use gullcart_standins::world::*;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_gullcart");
+/// Endpoints of a long list.
 const MANY: usize = 1024;
+/// Endpoints of a list of more than 4 MiB.
 const VERY_MANY: usize = 32_000;
-/// KiB that an endpoint more may take.
-const MOST_FOR_ONE: u64 = 3;
-/// A destination among the many.
-const ONE: u32 = 4;
+/// Memory that one more endpoint may take, in KiB.
+const MAX_KIB_PER_ENDPOINT: u64 = 3;
+/// A destination in the list.
+const LISTED_DESTINATION: u32 = 4;
 
-/// Hands a salary in until it is served, as news of the list come when they come.
+/// Enqueues a message and answers its call; returns false if the list has not arrived yet.
 fn is_served(world: &World, courier: &Courier<'_>, ids: &mut u32) -> bool {
     *ids += 1;
     let id = format!("m{ids}");
-    if courier.client().enqueue(&id, "0", "salary", ONE, b"x") != "+OK" {
+    if courier.client().enqueue(&id, "0", "salary", LISTED_DESTINATION, b"x") != "+OK" {
         return false;
     }
     let call = world.call();
@@ -23,15 +25,16 @@
     true
 }
 
+/// Repeats [`is_served`] until the list has arrived.
 fn until_served(world: &World, courier: &Courier<'_>, ids: &mut u32) {
     let begun = std::time::Instant::now();
     while !is_served(world, courier, ids) {
-        assert!(begun.elapsed() < std::time::Duration::from_secs(20), "the list was never heard");
+        assert!(begun.elapsed() < std::time::Duration::from_secs(20), "the list did not arrive");
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
 }
 
-/// 1,024 endpoints in one answer, and one change of all of them, are heard, kept over a restart, and forgotten again.
+/// 1,024 endpoints in one response, and a change of all of them, are read, kept over a restart, and replaced again.
 #[test]
 fn a_list_of_a_thousand_endpoints_and_a_change_of_all_of_them() {
     let world = World::new(PROGRAM, 1, 3.0);
@@ -40,28 +43,28 @@
     until_served(&world, &courier, &mut ids);
     world.tell_many(3, MANY, "DRAINING");
     courier.log_until("rev=3");
-    assert_eq!(courier.client().enqueue("waits", "0", "salary", ONE, b"x"), "+OK");
+    assert_eq!(courier.client().enqueue("waits", "0", "salary", LISTED_DESTINATION, b"x"), "+OK");
     world.no_call();
-    // What was told stands in the journal.
+    // The journal has the list.
     let courier = courier.kill_and_restart();
     world.no_call();
     world.tell_many(4, MANY, "SERVING");
     let call = world.call();
     assert_eq!(call.id, "waits");
     call.answer("200 OK", "");
-    // All at once, as the answer to one question.
+    // The full list in one response.
     let agent = world.agent_with_many(9, MANY, "DRAINING");
     world.configure(&agent);
     courier.hang_up();
     courier.log_until("rev=9");
-    assert_eq!(courier.client().enqueue("waits-too", "0", "salary", ONE, b"x"), "+OK");
+    assert_eq!(courier.client().enqueue("waits-too", "0", "salary", LISTED_DESTINATION, b"x"), "+OK");
     world.no_call();
 }
 
-/// A change, and then a whole list, of more than 4 MiB are heard: lists were once given up there.
+/// A change, and then a full list, of more than 4 MiB are read: such lists were once refused.
 #[test]
-fn a_list_of_thirty_thousand_endpoints_is_heard() {
-    // The journal holds the list, of about 80 bytes for each endpoint, and writes it anew beside that.
+fn a_list_of_thirty_thousand_endpoints_is_read() {
+    // The journal holds the list, at about 80 bytes for each endpoint, and needs as much again to rewrite it.
     let world = World::new(PROGRAM, 1, 64.0);
     let (courier, mut ids) = (world.start(), 0);
     world.tell_many(2, VERY_MANY, "SERVING");
@@ -71,13 +74,13 @@
     world.configure(&agent);
     courier.hang_up();
     courier.log_until("rev=9");
-    assert_eq!(courier.client().enqueue("waits", "0", "salary", ONE, b"x"), "+OK");
+    assert_eq!(courier.client().enqueue("waits", "0", "salary", LISTED_DESTINATION, b"x"), "+OK");
     world.no_call();
 }
 
-/// What a daemon needs grows with what there is, and stays small. The figures are printed.
+/// The resources that a daemon needs grow with its task and stay small. Prints the figures.
 #[test]
-fn a_daemon_needs_little_at_any_size() {
+fn a_daemon_needs_few_resources_at_any_size() {
     for size in [10, 350, MANY] {
         let mut world = World::new(PROGRAM, 1, 3.0);
         world.couriers = size as u32;
@@ -93,9 +96,9 @@
     }
 }
 
-/// Memory grows with the endpoints told, not with their square. The figures are printed.
+/// Memory grows linearly with the number of endpoints. Prints the figures.
 #[test]
-fn memory_grows_evenly_with_the_endpoints() {
+fn memory_grows_linearly_with_the_endpoints() {
     let memory = |count: usize| {
         let world = World::new(PROGRAM, 1, 3.0);
         let (courier, mut ids) = (world.start(), 0);
@@ -110,6 +113,6 @@
     for step in 1..counts.len() {
         let grown = memories[step].saturating_sub(memories[step - 1]);
         let more = (counts[step] - counts[step - 1]) as u64;
-        assert!(grown < more * MOST_FOR_ONE, "{more} more endpoints take {grown} KiB more");
+        assert!(grown < more * MAX_KIB_PER_ENDPOINT, "{more} more endpoints take {grown} KiB more");
     }
 }
--- a/crates/gullcart/tests/stale_answers.rs
+++ b/crates/gullcart/tests/stale_answers.rs
@@ -1,4 +1,4 @@
-//! Answers that belong to an earlier request of their connection, on real processes over loopback sockets.
+//! Copies of earlier responses on a connection, on real processes over loopback sockets.
 
 use gullcart_standins::world::*;
 use std::collections::HashMap;
@@ -9,49 +9,51 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_gullcart");
 
-const REFUSAL: &[u8] = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
+const REJECTION: &[u8] = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
 
-/// More messages than an endpoint's answers need to be trusted on connections that are used again.
+/// More messages than it takes until an endpoint's connections are reused.
 const MESSAGES: u32 = 40;
 
-/// An endpoint that writes its last answer once more as soon as the next call has come on the connection, and refuses that
+/// An endpoint that repeats its previous response as soon as the next call has arrived on the connection, and rejects that
 /// call.
 #[derive(Default)]
 struct Repeater {
-    last_answers: HashMap<SocketAddr, Vec<u8>>,
+    last_responses: HashMap<SocketAddr, Vec<u8>>,
     copies: u32,
 }
 
 /// What became of a call at the repeater.
 enum Served {
+    /// The call got a response of its own.
     Delivered,
-    /// Behind a second copy of an earlier answer.
-    Refused,
+    /// The call got a rejection behind a copy of an earlier response.
+    Rejected,
 }
 
 impl Repeater {
+    /// Answers a call, with a copy of the previous response if there is one.
     fn serve(&mut self, call: Call, answer: &[u8], client: &mut Client) -> Served {
-        let Some(last) = self.last_answers.get(&call.connection()) else {
-            self.last_answers.insert(call.connection(), answer.to_vec());
+        let Some(last) = self.last_responses.get(&call.connection()) else {
+            self.last_responses.insert(call.connection(), answer.to_vec());
             call.raw(answer);
             return Served::Delivered;
         };
         self.copies += 1;
         call.stream().write_all(last).unwrap();
-        // The courier has had its turn with the copy by then.
+        // The reply shows that the courier had a turn to process the copy.
         assert_eq!(client.ask(&["PING"]), "+PONG");
-        call.raw(REFUSAL);
-        Served::Refused
+        call.raw(REJECTION);
+        Served::Rejected
     }
 }
 
-fn answer_with(body: &str) -> Vec<u8> {
+fn response_with(body: &str) -> Vec<u8> {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-/// Hands messages in that may run only once, one after the other; each must be delivered by an answer of its own, or told as
-/// failed. How many copies were written.
-fn copies_that_deliver_nothing(body: impl Fn(u32) -> String) -> u32 {
+/// Enqueues unsafe messages one after the other. Each must be delivered by a response of its own, or be reported as failed.
+/// Returns the number of copies written.
+fn play_copies(body: impl Fn(u32) -> String) -> u32 {
     let world = World::new(PROGRAM, 1, 3.0);
     let courier = world.start();
     let mut client = courier.client();
@@ -59,11 +61,11 @@
     for number in 0..MESSAGES {
         let id = format!("s{number}");
         assert_eq!(client.enqueue(&id, "0", "salary", 1, b"x"), "+OK");
-        let answer = answer_with(&body(number));
+        let answer = response_with(&body(number));
         loop {
             match world.call_or_notice() {
                 Seen::Call(call) => {
-                    assert_eq!(call.id, id, "the message before it got no end");
+                    assert_eq!(call.id, id, "the previous message got no end");
                     if let Served::Delivered = repeater.serve(call, &answer, &mut client) {
                         break;
                     }
@@ -79,23 +81,24 @@
     repeater.copies
 }
 
-/// Incident 4903a2, rule on lost requests: a copy of the answer before was taken for the answer to the call that was out.
+/// Guards against lost messages (incident 4903a2): a copy of the previous response was taken for the response to the call in
+/// flight.
 #[test]
-fn a_second_copy_of_an_answer_delivers_no_later_message() {
-    let copies = copies_that_deliver_nothing(|number| format!("{number:016x}"));
-    assert!(copies > 0, "no connection was used again, so that nothing was shown");
+fn a_copy_of_a_response_delivers_no_later_message() {
+    let copies = play_copies(|number| format!("{number:016x}"));
+    assert!(copies > 0, "no connection was reused, so the test shows nothing");
 }
 
-/// The same where the answers of an endpoint are all alike, so that a copy cannot be told from the next answer.
+/// The same with identical responses, so that a copy cannot be told from the next response.
 #[test]
-fn a_second_copy_delivers_nothing_where_all_answers_are_alike() {
-    copies_that_deliver_nothing(|_| String::new());
-    copies_that_deliver_nothing(|_| "accepted".to_owned());
+fn a_copy_delivers_nothing_where_all_responses_are_identical() {
+    play_copies(|_| String::new());
+    play_copies(|_| "accepted".to_owned());
 }
 
-/// Incident 4903a2, rule on order: the next message of a key went out behind a copy of an earlier answer.
+/// Guards the order of keys (incident 4903a2): the next message of a key was sent after a copy of an earlier response.
 #[test]
-fn a_key_does_not_go_on_behind_a_second_copy() {
+fn a_copy_does_not_let_the_next_message_of_a_key_go() {
     let world = World::new(PROGRAM, 1, 3.0);
     let courier = world.start();
     let mut client = courier.client();
@@ -105,10 +108,10 @@
             assert_eq!(client.enqueue(&format!("k{id}"), "9", &format!("notice,k=k{id}"), 1, b"x"), "+OK");
         }
         for id in first..first + 3 {
-            let answer = answer_with(&format!("{id:016x}"));
+            let answer = response_with(&format!("{id:016x}"));
             loop {
                 let call = world.call();
-                assert_eq!(call.id, format!("k{id}"), "sent out of its turn");
+                assert_eq!(call.id, format!("k{id}"), "sent out of order");
                 if let Served::Delivered = repeater.serve(call, &answer, &mut client) {
                     break;
                 }
@@ -116,10 +119,10 @@
         }
     }
     world.nothing();
-    assert!(repeater.copies > 0, "no connection was used again, so that nothing was shown");
+    assert!(repeater.copies > 0, "no connection was reused, so the test shows nothing");
 }
 
-/// The next request with notices on a connection: its body; none once the connection has ended.
+/// Reads the body of the next request with notices on a connection; none once the connection has ended.
 fn next_notices(input: &mut BufReader<&TcpStream>) -> Option<String> {
     let mut length = 0;
     let mut is_notice = false;
@@ -139,7 +142,8 @@
     }
 }
 
-/// Answers the first request with notices of a connection; each later one with an error, behind a copy of that answer.
+/// Acknowledges the first request with notices of a connection. Answers each later one with a copy of that response and an
+/// error.
 fn accept_notices_once(stream: TcpStream, accepted: &Sender<String>) {
     const ACCEPTED: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
     const FAILED: &[u8] = b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n";
@@ -153,9 +157,9 @@
     }
 }
 
-/// The same on the connection to the platform: a notice counted as answered by a copy of the answer to the notice before.
+/// The same on connections to discovery: a notice was taken as acknowledged by a copy of the previous acknowledgement.
 #[test]
-fn a_second_copy_answers_no_later_notice() {
+fn a_copy_acknowledges_no_later_notice() {
     let world = World::new(PROGRAM, 1, 3.0);
     let (accepted, accepts) = channel();
     let agent = world.raw_agent(move |_, stream| accept_notices_once(stream, &accepted));
@@ -170,7 +174,7 @@
     }
 }
 
-/// A world whose endpoint has answered often enough that its connections are used again, and one of them that was.
+/// Prepares a world in which the endpoint's connections are reused, and acts once one was reused.
 fn with_used_connection(act: impl FnOnce(&World, &mut Client, &[u8])) {
     let world = World::new(PROGRAM, 1, 3.0);
     let courier = world.start();
@@ -189,12 +193,12 @@
             return act(&world, &mut client, &answer);
         }
     }
-    panic!("no connection was used again, so that nothing was shown");
+    panic!("no connection was reused, so the test shows nothing");
 }
 
-/// The call's own answer comes behind a copy of an earlier one: it counts, and nothing goes twice or is told.
+/// A call's own response behind a copy of an earlier one counts: nothing is sent twice or reported.
 #[test]
-fn a_delivery_behind_a_second_copy_counts() {
+fn a_delivery_behind_a_copy_counts() {
     with_used_connection(|world, client, last| {
         assert_eq!(client.enqueue("own", "0", "salary", 1, b"x"), "+OK");
         let call = world.call();
@@ -205,20 +209,26 @@
     });
 }
 
-/// Rule on waits: the courier closed the connection over a refusal that came right behind a copy, and did not hear of the wait.
+/// Guards the retry-after interval: the courier closed the connection over a rejection that arrived right behind a copy, and
+/// missed the interval.
 #[test]
-fn a_wait_that_is_told_behind_a_second_copy_is_heeded() {
+fn a_retry_after_interval_behind_a_copy_is_observed() {
     const WAIT: Duration = Duration::from_millis(1500);
     with_used_connection(|world, client, last| {
         assert_eq!(client.enqueue("w1", "0", "salary", 1, b"x"), "+OK");
         let call = world.call();
-        let refusal = call.whole_answer("429 Later", &format!("X-Come-Back-Ms: {}\r\n", WAIT.as_millis()));
-        let told = Instant::now();
-        call.raw(&[last, &refusal].concat());
+        let rejection = call.whole_answer("429 Later", &format!("X-Come-Back-Ms: {}\r\n", WAIT.as_millis()));
+        let answered_at = Instant::now();
+        call.raw(&[last, &rejection].concat());
         assert_eq!(client.enqueue("w2", "0", "salary", 1, b"x"), "+OK");
         for _ in 0..2 {
             let call = world.call();
-            assert!(told.elapsed() >= WAIT, "{} was sent {:?} into the wait", call.id, told.elapsed());
+            assert!(
+                answered_at.elapsed() >= WAIT,
+                "{} was sent {:?} into the interval",
+                call.id,
+                answered_at.elapsed()
+            );
             call.answer("200 OK", "");
         }
         world.nothing();
--- a/crates/gullcart/tests/upgrade.rs
+++ b/crates/gullcart/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! A second process beside the running one: the courier moves to it whole.
+//! Hand-over of a running courier to a second process that is started beside it.
 
 use gullcart_standins::world::*;
 use std::io::{Read, Write};
@@ -10,10 +10,12 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_gullcart");
 
+/// A world whose couriers have a console.
 fn world(endpoints: usize) -> World {
     World::with_console(PROGRAM, endpoints)
 }
 
+/// The console's answer to a line.
 fn ask(courier: &Courier, line: &str) -> String {
     let mut stream = TcpStream::connect(courier.console()).unwrap();
     stream.write_all(line.as_bytes()).unwrap();
@@ -22,13 +24,14 @@
     text
 }
 
+/// The value of a metric.
 fn figure(courier: &Courier, name: &str) -> u64 {
     let text = ask(courier, "METRICS\n");
     let line = text.lines().find_map(|line| line.strip_prefix(&format!("edge_balancer.{name}:")));
     line.and_then(|rest| rest.split('|').next()).unwrap().parse().unwrap()
 }
 
-/// Starts a second process, which says YES once it serves.
+/// Starts a second process, which answers YES to STATUS once it serves.
 fn upgrade(world: &World) -> Courier<'_> {
     let new = world.start();
     assert_eq!(ask(&new, "STATUS\n"), "YES\n");
@@ -36,14 +39,14 @@
 }
 
 #[test]
-fn clients_and_calls_go_on_over_an_upgrade_as_if_there_was_none() {
+fn clients_and_calls_are_not_affected_by_an_upgrade() {
     let world = world(1);
     let mut old = world.start();
     let mut client = old.client();
     assert_eq!(client.enqueue("a1", "0", "salary", 1, b"x"), "+OK");
-    let out = world.call();
-    // Half an answer has come, and half a request.
-    out.stream().write_all(b"HTTP/1.1 20").unwrap();
+    let in_flight = world.call();
+    // Part of a response has arrived, and part of a request.
+    in_flight.stream().write_all(b"HTTP/1.1 20").unwrap();
     let mut half = old.client();
     half.send(b"*1\r\n$4\r\nPI");
     let mut idle = old.client();
@@ -60,20 +63,20 @@
     let second = world.call();
     assert_eq!((second.id.as_str(), figure(&new, "attempts")), ("a2", 1));
     second.answer("200 OK", "");
-    assert!(!out.is_closed());
-    out.raw(b"0 OK\r\nContent-Length: 0\r\n\r\n");
+    assert!(!in_flight.is_closed());
+    in_flight.raw(b"0 OK\r\nContent-Length: 0\r\n\r\n");
     old.terminate();
     assert!(old.wait(Duration::from_secs(2)).success());
-    // The call that was out is delivered, in the new process and once.
+    // The call that was in flight is delivered once, by the new process.
     while figure(&new, "in_flight") > 0 {}
     assert_eq!((figure(&new, "served.salary"), figure(&new, "failed.salary")), (2, 0));
     assert_eq!(client.ask(&["PING"]), "+PONG");
     world.nothing();
 }
 
-/// A wait that was told, and an endpoint that is out, hold in the new process.
+/// Retry-after intervals and suspended endpoints are kept in the new process.
 #[test]
-fn waits_and_bans_move_with_the_courier() {
+fn retry_after_intervals_and_suspensions_are_handed_over() {
     let mut world = world(2);
     world.apart = true;
     let mut old = world.start();
@@ -90,8 +93,8 @@
     world.no_call();
 }
 
-/// Connects under the name at which a running courier is asked.
-fn connect_to_move(world: &World) -> std::io::Result<UnixStream> {
+/// Connects to the hand-over socket of a running courier.
+fn connect_for_handover(world: &World) -> std::io::Result<UnixStream> {
     let folder = std::fs::metadata(world.state()).unwrap();
     let name = format!("gullcart-move-{}-{}", folder.dev(), folder.ino());
     let address = std::os::unix::net::SocketAddr::from_abstract_name(name).unwrap();
@@ -100,10 +103,11 @@
     Ok(stream)
 }
 
-fn ask_to_move(world: &World) -> UnixStream {
+/// Connects and sends the hello of the protocol.
+fn request_handover(world: &World) -> UnixStream {
     let mut stream = loop {
-        // The listener opens a moment after the first client may come.
-        match connect_to_move(world) {
+        // The socket is bound a moment after the first client is served.
+        match connect_for_handover(world) {
             Ok(stream) => break stream,
             Err(_) => std::thread::yield_now(),
         }
@@ -112,8 +116,8 @@
     stream
 }
 
-/// Reads all that is sent, but the descriptors, which are closed.
-fn take_in(stream: &mut UnixStream) {
+/// Reads everything that is sent. The descriptors are dropped.
+fn read_state(stream: &mut UnixStream) {
     let mut head = [0; 24];
     stream.read_exact(&mut head).unwrap();
     let length = u64::from_le_bytes(head[12..20].try_into().unwrap());
@@ -121,19 +125,19 @@
     stream.read_exact(&mut [0]).unwrap();
 }
 
-/// The new process dies before it has accepted, or after the lock was given up: all goes on in the old one.
+/// The new process dies before it has accepted the courier, or after the lock was released: the old one resumes it.
 #[test]
-fn the_courier_comes_back_where_the_new_process_dies() {
+fn the_courier_is_resumed_if_the_new_process_dies() {
     let world = world(1);
     let old = world.start();
     let mut client = old.client();
     assert_eq!(client.enqueue("a1", "0", "salary", 1, b"x"), "+OK");
-    let out = world.call();
+    let in_flight = world.call();
     for (accepts, says) in
         [(false, "the courier stays in this process"), (true, "the new process does not serve")]
     {
-        let mut new = ask_to_move(&world);
-        take_in(&mut new);
+        let mut new = request_handover(&world);
+        read_state(&mut new);
         if accepts {
             new.write_all(b"a").unwrap();
             let mut word = [0];
@@ -146,93 +150,93 @@
         assert_eq!(ask(&old, "STATUS\n"), "YES\n");
         assert_eq!(figure(&old, "in_flight"), 1);
     }
-    assert!(!out.is_closed());
-    out.answer("200 OK", "");
+    assert!(!in_flight.is_closed());
+    in_flight.answer("200 OK", "");
     while figure(&old, "in_flight") > 0 {}
     assert_eq!(figure(&old, "served.salary"), 1);
-    // And a real one takes it over after that.
+    // A later hand-over succeeds.
     let _new = upgrade(&world);
     assert_eq!(client.enqueue("a2", "0", "salary", 1, b"x"), "+OK");
     world.call().answer("200 OK", "");
 }
 
-/// While one new process holds the hand-over up and then dies, a second one comes: it is not turned away, and has the courier.
+/// A second new process connects while a first one delays the hand-over and then dies: it is not refused, and gets the courier.
 #[test]
-fn a_second_new_process_that_comes_during_a_hand_over_that_fails_is_heard() {
+fn a_second_new_process_gets_the_courier_after_a_failed_hand_over() {
     let world = world(1);
     let mut old = world.start();
     let mut client = old.client();
     assert_eq!(client.enqueue("a1", "0", "salary", 1, b"x"), "+OK");
-    let out = world.call();
+    let in_flight = world.call();
     for accepts in [false, true] {
-        let mut first = ask_to_move(&world);
-        take_in(&mut first);
+        let mut first = request_handover(&world);
+        read_state(&mut first);
         if accepts {
             first.write_all(b"a").unwrap();
             first.read_exact(&mut [0]).unwrap();
         }
-        // The old process stands still, and has sent all it was to the first.
-        let mut second = connect_to_move(&world).expect("the name is there during a hand-over");
+        // The old process has sent everything to the first one and waits for it.
+        let mut second = connect_for_handover(&world).expect("the socket exists during a hand-over");
         second.write_all(b"h").unwrap();
         drop(first);
-        take_in(&mut second);
+        read_state(&mut second);
         drop(second);
         old.log_times("the courier stays in this process", if accepts { 3 } else { 2 });
     }
     assert_eq!(client.ask(&["PING"]), "+PONG");
-    // A real one, too, that comes while a hand-over is held up: the old process waits for the first for a second.
-    let mut first = ask_to_move(&world);
-    take_in(&mut first);
+    // The same with a real process: the old one waits for the first one for up to a second.
+    let mut first = request_handover(&world);
+    read_state(&mut first);
     let new = upgrade(&world);
     old.terminate();
     assert!(old.wait(Duration::from_secs(3)).success());
-    out.answer("200 OK", "");
+    in_flight.answer("200 OK", "");
     while figure(&new, "in_flight") > 0 {}
     assert_eq!(figure(&new, "served.salary"), 1);
     assert_eq!(client.ask(&["PING"]), "+PONG");
 }
 
-/// Who connects and says nothing, or the wrong thing, stops nobody.
+/// A process that connects and sends nothing, or the wrong word, has no effect.
 #[test]
-fn who_does_not_greet_gets_nothing() {
+fn a_process_without_a_hello_gets_nothing() {
     let world = world(1);
     let old = world.start();
     let mut client = old.client();
-    let _silent = ask_to_move(&world).shutdown(std::net::Shutdown::Both);
-    // The hand-over to the one that went away is failing, or has failed.
-    let mut other = connect_to_move(&world).unwrap();
+    let _silent = request_handover(&world).shutdown(std::net::Shutdown::Both);
+    // The hand-over to the first one is failing, or has failed.
+    let mut other = connect_for_handover(&world).unwrap();
     other.write_all(b"x").unwrap();
     assert_eq!(other.read(&mut [0]).unwrap_or(0), 0);
     assert_eq!(client.ask(&["PING"]), "+PONG");
     assert_eq!(ask(&old, "STATUS\n"), "YES\n");
 }
 
-/// An old process that was told to end gives nothing over; the new one waits for its end.
+/// A process that was told to end hands nothing over; the new one waits for its end.
 #[test]
 fn a_process_that_ends_is_waited_for() {
     let world = world(1);
     let mut old = world.start();
     assert_eq!(old.client().enqueue("a1", "0", "salary", 1, b"x"), "+OK");
-    let out = world.call();
+    let in_flight = world.call();
     old.terminate();
     old.log_until("told to end");
     let new = world.start();
     assert_eq!(ask(&new, "STATUS\n"), "YES\n");
     assert!(old.wait(Duration::from_secs(5)).success());
-    // It had a call out, which may have run.
+    // It had a call in flight, which may have run.
     assert_eq!(world.notice(), r#"{"id":"a1","state":"failed"}"#);
-    drop(out);
+    drop(in_flight);
 }
 
-/// One after the other, with a call out all the while.
+/// Several upgrades in sequence, with a call in flight all the time.
 #[test]
 fn a_call_outlasts_many_upgrades() {
     let world = world(1);
     let mut old = world.start();
     let mut client = old.client();
     assert_eq!(client.enqueue("a1", "0", "salary", 1, b"x"), "+OK");
-    let out = world.call();
-    let stream = out.stream();
+    let in_flight = world.call();
+    let stream = in_flight.stream();
     for piece in ["HTTP/1.1 ", "200 OK\r\n", "Content-", "Length: 2"] {
         (&stream).write_all(piece.as_bytes()).unwrap();
         let new = upgrade(&world);
