--- a/crates/gullcart/src/calls/response.rs
+++ b/crates/gullcart/src/calls/response.rs
@@ -47,9 +47,10 @@
         let fields = text.split(',').filter_map(|field| field.trim().split_once('='));
         fields.filter(|(field, _)| *field == name).find_map(|(_, value)| value.trim().parse().ok())
     };
-    let (left, limit) = (value("x0")?, value("x1")?);
-    let is_plausible = (0.0..=MAX_REMAINING_SHARE).contains(&left) && (0.0..=MAX_CALL_LIMIT).contains(&limit);
-    is_plausible.then_some(Allowance { left, limit })
+    let (share, limit) = (value("x0")?, value("x1")?);
+    let is_plausible =
+        (0.0..=MAX_REMAINING_SHARE).contains(&share) && (0.0..=MAX_CALL_LIMIT).contains(&limit);
+    is_plausible.then_some(Allowance { left: share, limit })
 }
 
 /// Reads the body of a response; none if it is too long, incomplete, or not received by `end`.
--- a/crates/gullcart/src/console.rs
+++ b/crates/gullcart/src/console.rs
@@ -35,9 +35,9 @@
 /// A request to the driver, of an operator or of another process.
 pub enum ControlRequest {
     /// Returns the metrics.
-    Figures(oneshot::Sender<Reading>),
-    /// Carries out an order of an operator.
-    Order(Order, oneshot::Sender<Result<(), Denied>>),
+    Metrics(oneshot::Sender<Reading>),
+    /// Carries out a command of an operator.
+    Command(Order, oneshot::Sender<Result<(), Denied>>),
     /// Hands the courier over to the process, of the same user, at the other end of the connection.
     HandOver(UnixStream),
 }
@@ -145,10 +145,11 @@
     serving: &watch::Receiver<bool>,
 ) -> String {
     const NO_ANSWER: &str = "the courier does not answer; what was asked may yet be done, ask again";
-    let send_order = |order: Order| async move {
-        let (reply, done) = oneshot::channel();
-        let exchange =
-            async { requests.send(ControlRequest::Order(order, reply)).await.ok().zip(done.await.ok()) };
+    let send_command = |command: Order| async move {
+        let (reply, result) = oneshot::channel();
+        let exchange = async {
+            requests.send(ControlRequest::Command(command, reply)).await.ok().zip(result.await.ok())
+        };
         match timeout(DRIVER_TIMEOUT, exchange).await.ok().flatten() {
             Some((_, Ok(()))) => YES.to_owned(),
             Some((_, Err(why))) => no(denied(why)),
@@ -159,16 +160,16 @@
         Call::Status if *serving.borrow() => YES.to_owned(),
         Call::Status => no(NOT_SERVING),
         Call::Metrics => {
-            let (reply, reading) = oneshot::channel();
+            let (reply, metrics) = oneshot::channel();
             let exchange =
-                async { requests.send(ControlRequest::Figures(reply)).await.ok().zip(reading.await.ok()) };
+                async { requests.send(ControlRequest::Metrics(reply)).await.ok().zip(metrics.await.ok()) };
             timeout(DRIVER_TIMEOUT, exchange)
                 .await
                 .ok()
                 .flatten()
-                .map_or_else(|| no(NO_ANSWER), |(_, reading)| figures(&reading))
+                .map_or_else(|| no(NO_ANSWER), |(_, metrics)| figures(&metrics))
         }
-        Call::Suspend(id) => send_order(Order::Suspend(id)).await,
-        Call::Restore(id) => send_order(Order::Restore(id)).await,
+        Call::Suspend(id) => send_command(Order::Suspend(id)).await,
+        Call::Restore(id) => send_command(Order::Restore(id)).await,
     }
 }
--- a/crates/gullcart/src/driver.rs
+++ b/crates/gullcart/src/driver.rs
@@ -113,7 +113,7 @@
     /// The connections of the calls, in the order in which `state` lists them.
     pub call_connections: Vec<OwnedFd>,
     /// The metrics at the time of the stop.
-    pub last_reading: Reading,
+    pub last_metrics: Reading,
 }
 
 /// The channels by which the driver reaches the other parts of the daemon.
@@ -159,7 +159,7 @@
     in_flight_calls: HashMap<MessageId, InFlightCall>,
     /// Clients waiting for the reply to an enqueue, which they get at the end of the turn.
     waiting_clients: HashMap<Ticket, oneshot::Sender<Answer>>,
-    /// Operators waiting for the result of an order; bounded by the number of console callers.
+    /// Operators waiting for the result of a command; bounded by the number of console callers.
     waiting_operators: HashMap<Ticket, oneshot::Sender<Result<(), Denied>>>,
     last_ticket: u64,
     /// Notices for which the sender's queue has no room; bounded by the number of messages held.
@@ -167,7 +167,7 @@
     /// The longest delay of a timer or step since the last report.
     max_lateness: Duration,
     lateness_log: Seldom,
-    denied_log: Seldom,
+    refused_handover_log: Seldom,
     trial_duties: TrialDuties,
 }
 
@@ -192,7 +192,7 @@
             unsent_notices: VecDeque::new(),
             max_lateness: Duration::ZERO,
             lateness_log: Seldom::default(),
-            denied_log: Seldom::default(),
+            refused_handover_log: Seldom::default(),
             trial_duties,
         }
     }
@@ -201,7 +201,7 @@
     pub async fn run(
         &mut self,
         events: &mut Receiver<DriverEvent>,
-        questions: &mut Receiver<ControlRequest>,
+        control_requests: &mut Receiver<ControlRequest>,
         clients: &Clients,
     ) -> Result<LoopExit, JournalError> {
         let mut sweep = interval(SWEEP_INTERVAL);
@@ -214,8 +214,8 @@
             tokio::select! {
                 biased;
                 // First, as the console promises operators a reply within a second.
-                Some(question) = questions.recv() => {
-                    if let Some(stream) = self.handle_question(question) {
+                Some(request) = control_requests.recv() => {
+                    if let Some(stream) = self.handle_control_request(request) {
                         return Ok(LoopExit::HandOver(stream));
                     }
                 }
@@ -311,13 +311,13 @@
             }
         }
         // The counters stay with this process; the calls in flight move to the next one.
-        let last_reading = Reading { in_flight: 0, ..self.engine.reading(now) };
+        let last_metrics = Reading { in_flight: 0, ..self.engine.reading(now) };
         let (effects, books) = self.engine.freeze(now)?;
         for effect in effects {
             self.apply_effect(effect);
         }
         state.books = books.unwrap_or_default();
-        Ok(StoppedCourier { engine: self.engine, state, call_connections, last_reading })
+        Ok(StoppedCourier { engine: self.engine, state, call_connections, last_metrics })
     }
 
     /// Ends the service: answers the requests that have arrived, since closing a connection before would lose their messages,
@@ -371,21 +371,21 @@
     }
 
     /// Handles a request of the console or of another process. Returns the connection of a process that may have the courier.
-    fn handle_question(&mut self, question: ControlRequest) -> Option<UnixStream> {
-        match question {
-            ControlRequest::Figures(reply) => {
+    fn handle_control_request(&mut self, request: ControlRequest) -> Option<UnixStream> {
+        match request {
+            ControlRequest::Metrics(reply) => {
                 // A receiver that is gone no longer waits.
                 let _ = reply.send(self.engine.reading(self.clock.now()));
             }
-            ControlRequest::Order(order, reply) => {
+            ControlRequest::Command(command, reply) => {
                 self.last_ticket += 1;
                 self.waiting_operators.insert(Ticket(self.last_ticket), reply);
-                self.engine.handle(self.clock.now(), Input::Order(Ticket(self.last_ticket), order));
+                self.engine.handle(self.clock.now(), Input::Order(Ticket(self.last_ticket), command));
             }
             ControlRequest::HandOver(mut stream) => {
                 if self.engine.is_ending() {
                     // The other process repeats its request until this one has ended.
-                    if let Some(more) = self.denied_log.due(self.clock.now()) {
+                    if let Some(more) = self.refused_handover_log.due(self.clock.now()) {
                         info!(more, "hand-over refused during shutdown; the new process can start once this one has ended");
                     }
                 } else if upgrade::receive_hello(&mut stream) {
@@ -447,9 +447,9 @@
                     tokio::task::spawn_local(async move { events.send(Input::Unheard(message)).await });
                 }
             }
-            Effect::Ordered(ticket, done) => {
+            Effect::Ordered(ticket, result) => {
                 if let Some(reply) = self.waiting_operators.remove(&ticket) {
-                    let _ = reply.send(done);
+                    let _ = reply.send(result);
                 }
             }
             Effect::Begin(call) => self.start_call(call, None),
--- a/crates/gullcart/src/group.rs
+++ b/crates/gullcart/src/group.rs
@@ -138,8 +138,11 @@
             (None, Some(until)) if until > boot_time => Holder::Other { until: now + (until - boot_time) },
             (None, _) => Holder::Nobody,
         };
-        let told =
-            agreed.map(|(epoch, words, at)| Told { epoch: epoch.0, words, at: now - (boot_time - at) });
+        let told = agreed.map(|(epoch, agreed_payload, at)| Told {
+            epoch: epoch.0,
+            words: agreed_payload,
+            at: now - (boot_time - at),
+        });
         Some(DutyView { holder, told })
     }
 
@@ -153,9 +156,9 @@
             TrialWish::PassOn(destination, rest) => {
                 trial_duty(destination).map(|duty| handle.pass_on(duty, rest))
             }
-            TrialWish::Tell(destination, words) => {
-                trial_duty(destination).zip(Words::new(&words)).map(|(duty, words)| handle.tell(duty, words))
-            }
+            TrialWish::Tell(destination, report) => trial_duty(destination)
+                .zip(Words::new(&report))
+                .map(|(duty, payload)| handle.tell(duty, payload)),
         };
         if is_queued != Some(true) {
             warn!("a request to the group was dropped: too many requests are pending");
--- a/crates/gullcart/src/lib.rs
+++ b/crates/gullcart/src/lib.rs
@@ -97,13 +97,13 @@
 
 /// Answers operators after a hand-over: with the figures that this process counted, and that it serves no clients.
 async fn answer_after_handover(
-    questions: &mut mpsc::Receiver<ControlRequest>,
-    reading: &Reading,
+    control_requests: &mut mpsc::Receiver<ControlRequest>,
+    metrics: &Reading,
     until: Instant,
 ) {
-    while let Ok(Some(question)) = tokio::time::timeout_at(until, questions.recv()).await {
-        if let ControlRequest::Figures(reply) = question {
-            let _ = reply.send(reading.clone());
+    while let Ok(Some(request)) = tokio::time::timeout_at(until, control_requests.recv()).await {
+        if let ControlRequest::Metrics(reply) = request {
+            let _ = reply.send(metrics.clone());
         }
         // Any other request is dropped, which refuses it.
     }
@@ -131,7 +131,7 @@
         return Err(StartError::GroupDisk(group_resources.disk_bytes, config.disk_bytes()));
     }
     let console = open_console(&config).await;
-    let (requests, mut questions) = console::control_channel();
+    let (requests, mut control_requests) = console::control_channel();
     let (set_serving, serving) = watch::channel(false);
     let (set_discovery_address, discovery_address) = watch::channel(config.discovery.clone());
     let (set_terminated, terminated) = watch::channel(false);
@@ -197,7 +197,7 @@
     });
     loop {
         set_serving.send_replace(true);
-        let stream = match running.run(&mut questions).await? {
+        let stream = match running.run(&mut control_requests).await? {
             LoopExit::Terminated => {
                 if let Some(group) = &service.group {
                     group.wait_until_left().await;
@@ -209,7 +209,7 @@
         set_serving.send_replace(false);
         match service.hand_over(running, stream).await? {
             HandoverResult::Kept(kept) => running = *kept,
-            HandoverResult::HandedOver(reading) => {
+            HandoverResult::HandedOver(metrics) => {
                 // The socket's name belongs to the new process now; connections waiting in the queue ask there.
                 if let Some(task) = &handover_listener {
                     task.abort();
@@ -218,7 +218,7 @@
                 let until = Instant::now() + POST_HANDOVER_WAIT;
                 tokio::select! {
                     _ = timeout(POST_HANDOVER_WAIT, terminated.wait_for(|is_terminated| *is_terminated)) => {}
-                    () = answer_after_handover(&mut questions, &reading, until) => {}
+                    () = answer_after_handover(&mut control_requests, &metrics, until) => {}
                 }
                 info!("process ends after the hand-over of its courier");
                 return Ok(());
--- a/crates/gullcart/src/service.rs
+++ b/crates/gullcart/src/service.rs
@@ -319,7 +319,7 @@
         let RunningCourier { driver, mut events, clients, listener_copy, tasks } = running;
         tasks.iter().for_each(AbortHandle::abort);
         let started_at = Instant::now();
-        let StoppedCourier { engine, mut state, call_connections, last_reading } =
+        let StoppedCourier { engine, mut state, call_connections, last_metrics } =
             driver.stop(&mut events, &clients).await?;
         if let Some(group) = &self.group {
             state.group = group.hand_over().await;
@@ -337,7 +337,7 @@
         let took = started_at.elapsed();
         if act == Act::Finish {
             info!(?took, of_clients, of_calls, "the courier was handed over to another process");
-            return Ok(HandoverResult::HandedOver(Box::new(last_reading)));
+            return Ok(HandoverResult::HandedOver(Box::new(last_metrics)));
         }
         // Releases the lock and takes it again: a process that has it by then is the owner.
         drop(engine);
@@ -352,7 +352,7 @@
             }
             Err(error) => {
                 error!(%error, "cannot reopen the journal after the failed hand-over; another process may own the folder");
-                Ok(HandoverResult::HandedOver(Box::new(last_reading)))
+                Ok(HandoverResult::HandedOver(Box::new(last_metrics)))
             }
         }
     }
@@ -376,8 +376,8 @@
     /// Runs until the courier has shut down or another process asks for it.
     pub async fn run(
         &mut self,
-        questions: &mut mpsc::Receiver<ControlRequest>,
+        control_requests: &mut mpsc::Receiver<ControlRequest>,
     ) -> Result<LoopExit, JournalError> {
-        self.driver.run(&mut self.events, questions, &self.clients).await
+        self.driver.run(&mut self.events, control_requests, &self.clients).await
     }
 }
