--- a/crates/gullcart/src/calls.rs
+++ b/crates/gullcart/src/calls.rs
@@ -52,7 +52,8 @@
 
 impl Connection {
     /// Abandons the call in flight: shuts the sending side down and waits briefly until the endpoint has closed too. Only then
-    /// has the endpoint let go of the call, so that the slot is free and the next attempt is not a second copy at the endpoint.
+    /// has the endpoint finished with the call, so that the slot is free and the next attempt is not a second copy at the
+    /// endpoint.
     async fn abandon(self) {
         let Connection { stream, http_task_guard, .. } = self;
         // From here on the HTTP library neither reads nor writes.
@@ -215,6 +216,7 @@
 
     /// Keeps a connection for later calls, within the limits.
     fn keep_idle(&self, endpoint: EndpointId, mut connection: Connection) {
+        // An endpoint accepts few connections, so each courier keeps only its share of the idle ones.
         if !self.idle_share.borrow_mut().keeps() {
             return log_closed(endpoint, "not kept, to leave room at the endpoint for other couriers");
         }
@@ -365,7 +367,7 @@
     }
 
     /// Handles a response after its head. A 200 is trusted at once on the connection's first response. Everything else is
-    /// trusted only once the response is complete: by then the endpoint has let go of the call, and a copy of an earlier
+    /// trusted only once the response is complete: by then the endpoint has finished with the call, and a copy of an earlier
     /// response can be told from a delivery.
     async fn read_response(
         self: &Rc<Self>,
@@ -396,7 +398,7 @@
     debug!(target: TRAIL, endpoint = endpoint.0, port, calls, when, "unexpected bytes, or closed by the endpoint");
 }
 
-/// Logs why idle connections to an endpoint are closed.
+/// Logs why connections to an endpoint without a call are closed.
 fn log_closed(endpoint: EndpointId, reason: &str) {
     debug!(target: TRAIL, endpoint = endpoint.0, reason, "idle connections closed");
 }
@@ -430,7 +432,8 @@
     Stopped(Option<Stop>),
 }
 
-/// The outcome of a call that was stopped before its first byte was written, and so never ran.
+/// The outcome of a call that was stopped before its first byte was written, and so never ran. A call that was called off
+/// counts as a failed connection; one that was withdrawn says nothing about the endpoint.
 fn outcome_if_unsent(reason: Option<Stop>) -> Outcome {
     match reason {
         Some(Stop::CalledOff) => Outcome::ConnectFailed,
@@ -521,8 +524,8 @@
     let (http_task_guard, dropped) = oneshot::channel();
     tokio::task::spawn_local(async move {
         tokio::select! {
-            // First: dropping a response that was abandoned also ends the connection's own future, but without waiting for the
-            // other side to close.
+            // Checked first: when a connection is abandoned, its response is dropped as well, which would complete the
+            // library's future and close the socket before the other side has closed.
             biased;
             _ = dropped => {}
             _ = &mut connection => {}
--- a/crates/gullcart/src/calls/tests.rs
+++ b/crates/gullcart/src/calls/tests.rs
@@ -203,7 +203,7 @@
 }
 
 /// A process that is stalled over the end of a call finds the response and the timeout at once, and cannot tell whether the
-/// response was in time. Counting it as a delivery left a message whose time was up without an end.
+/// response was in time. When it was taken for a delivery, a message whose time was up was neither delivered nor reported.
 #[test]
 fn a_response_read_after_the_end_of_its_call_delivers_nothing() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/gullcart/src/clients.rs
+++ b/crates/gullcart/src/clients.rs
@@ -60,7 +60,7 @@
 
 /// A client's connection on its way to another process.
 pub struct HandedOverClient {
-    /// The connection.
+    /// The connection, detached from the runtime.
     pub stream: std::net::TcpStream,
     /// No request has arrived on it yet.
     pub is_new: bool,
@@ -168,7 +168,7 @@
 enum ReadOutcome {
     /// More bytes have arrived.
     More,
-    /// The client has closed its side, or the connection may be closed.
+    /// The client has closed its side, or a shutdown closes the connection.
     End,
     /// The connection was asked to close between two requests.
     GiveWay,
@@ -184,7 +184,7 @@
         self.stream.set_nodelay(true)?;
         let slots = self.slot.slots.clone();
         let mut long_request_permit: Option<SemaphorePermit> = None;
-        // By when to have the next thing: the first request, the rest of a request, or another request.
+        // When the wait ends for whatever comes next: the first request, the rest of a request, or another request.
         let mut deadline = Instant::now() + FIRST_REQUEST_TIMEOUT;
         let mut served = 0;
         // When the current request started to arrive.
--- a/crates/gullcart/src/config.rs
+++ b/crates/gullcart/src/config.rs
@@ -69,29 +69,40 @@
 /// Why the daemon cannot start, or why a configuration is invalid.
 #[derive(Debug, Error)]
 pub enum StartError {
+    /// A required environment variable is not set.
     #[error("{0} is not set")]
     Variable(&'static str),
+    /// A file, a signal or a socket cannot be used.
     #[error("the configuration: {0}")]
     Read(#[from] std::io::Error),
+    /// The configuration file is no valid JSON of its format.
     #[error("the configuration: {0}")]
     Parse(#[from] serde_json::Error),
+    /// A setting is invalid.
     #[error(transparent)]
     Setting(#[from] SettingError),
+    /// The address of discovery's agent is invalid.
     #[error("the configuration: discovery is '{0}', which is not an address with a port")]
     Discovery(String),
+    /// The journal cannot be opened or written.
     #[error(transparent)]
     Journal(#[from] JournalError),
+    /// The options file of the journal is invalid.
     #[error(transparent)]
     JournalOptions(#[from] OptionsError),
+    /// The settings file of the group is invalid.
     #[error("the group: {0}")]
     Group(#[from] SettingsError),
+    /// The group's limit, in bytes, is too large for the limit of the state folder.
     #[error(
         "the group's limit of {0} bytes (disk_kb) is more than half of the courier's {1} (limits.disk_mb)"
     )]
     GroupDisk(u64, u64),
+    /// The name of the fault to be injected is unknown.
     #[cfg(feature = "broken")]
     #[error("{0}")]
     Broken(String),
+    /// The clients' address cannot be used.
     #[error("cannot listen at {0}: {1}")]
     Listen(String, std::io::Error),
 }
--- a/crates/gullcart/src/connection_slots/tests.rs
+++ b/crates/gullcart/src/connection_slots/tests.rs
@@ -1,3 +1,5 @@
+//! The order in which connections are closed when slots run short.
+
 use super::*;
 
 #[test]
--- a/crates/gullcart/src/console.rs
+++ b/crates/gullcart/src/console.rs
@@ -64,11 +64,11 @@
                 drop(evicted);
                 let (callers, requests, serving) = (callers.clone(), requests.clone(), serving.clone());
                 tokio::task::spawn_local(async move {
-                    let has_asked = || callers.borrow_mut().has_asked(id);
+                    let mark_asked = || callers.borrow_mut().has_asked(id);
                     tokio::select! {
                         biased;
                         // An error concerns this caller alone.
-                        _ = serve_caller(stream, requests, serving, has_asked) => {}
+                        _ = serve_caller(stream, requests, serving, mark_asked) => {}
                         _ = evicted_signal => {}
                     }
                     callers.borrow_mut().leave(id);
@@ -89,7 +89,7 @@
     mut stream: TcpStream,
     requests: mpsc::Sender<ControlRequest>,
     serving: watch::Receiver<bool>,
-    has_asked: impl FnOnce(),
+    mark_asked: impl FnOnce(),
 ) -> io::Result<()> {
     let mut lines = Lines::default();
     let line = match timeout(LINE_TIMEOUT, read_line(&stream, &mut lines)).await {
@@ -98,7 +98,7 @@
         Ok(Err(error)) => return Err(error),
         Err(_) => Err(Fault::Late),
     };
-    has_asked();
+    mark_asked();
     let answer = match line {
         Ok(call) => answer(call, &requests, &serving).await,
         Err(fault) => no(fault),
--- a/crates/gullcart/src/discovery.rs
+++ b/crates/gullcart/src/discovery.rs
@@ -20,8 +20,9 @@
 use crate::messages::EventSender;
 use crate::update_stream::{MaxListBytes, StreamError, StreamItem, UpdateStream};
 
-/// How long the agent may take to acknowledge a batch of notices before it is sent on a new connection. The agent answers at
-/// once, a repeated notice is harmless, and one that is more than 300 ms late is lost. Doubled with each failed attempt.
+/// How long the agent may take to acknowledge a batch of notices before the batch is sent on a new connection. The agent
+/// normally answers at once, a repeated notice is harmless, and a notice counts as lost if it is more than 300 ms late. The
+/// timeout is doubled with each failed attempt.
 const NOTICE_TIMEOUT: Duration = Duration::from_millis(100);
 /// Upper bound on [`NOTICE_TIMEOUT`] when doubled.
 const MAX_NOTICE_TIMEOUT: Duration = Duration::from_millis(500);
@@ -39,7 +40,7 @@
     Http(#[from] hyper::Error),
     #[error("{0}")]
     Request(#[from] hyper::http::Error),
-    #[error("silent")]
+    #[error("no answer in time")]
     Silent(#[from] tokio::time::error::Elapsed),
     #[error("no complete line arrived in time")]
     UnfinishedLine,
@@ -49,7 +50,7 @@
     List(#[from] serde_json::Error),
     #[error("{0}")]
     Stream(#[from] StreamError),
-    #[error("incomplete, or longer than {0} bytes")]
+    #[error("the list is incomplete or longer than {0} bytes")]
     TooLong(usize),
 }
 
@@ -101,9 +102,9 @@
                 continue;
             }
         };
-        let reason = result.err().map_or_else(|| "ended".to_owned(), |error| error.to_string());
+        let reason = result.err().map_or_else(|| "the response ended".to_owned(), |error| error.to_string());
         if !is_broken {
-            warn!(reason, rev, "the watch on the list broke");
+            warn!(reason, rev, "the watch on the list broke; opening it again");
             is_broken = true;
         }
         // A watch that fails soon after it was established counts as a failed call.
@@ -160,7 +161,7 @@
         while let Some(item) = stream.next()? {
             *was_established = true;
             if *is_broken {
-                info!(rev, "the watch on the list is back");
+                info!(rev, "the watch on the list of endpoints is back");
                 *is_broken = false;
             }
             match item {
@@ -235,7 +236,7 @@
                 Err(reason) => {
                     debug!(target: TRAIL, %reason, failures, patience = ?timeout_for_batch, waiting = batch.len(), "sending notices again");
                     if failures == 0 {
-                        warn!(%reason, waiting = batch.len(), "notices are not acknowledged");
+                        warn!(%reason, waiting = batch.len(), "discovery does not acknowledge notices; sending them again");
                     }
                     failures = failures.saturating_add(1);
                     // A single connection may have failed on its own, so the first retry is immediate.
--- a/crates/gullcart/src/driver.rs
+++ b/crates/gullcart/src/driver.rs
@@ -34,8 +34,8 @@
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// The load is logged once in this many sweeps.
 const SWEEPS_PER_REPORT: u32 = 10;
-/// A timer or a step of the loop that is delayed by more than this is logged.
-const LATENESS_WARNING: Duration = Duration::from_millis(25);
+/// A timer that is later than this, or a turn of the loop that takes longer, is logged.
+const LATENESS_WARNING_THRESHOLD: Duration = Duration::from_millis(25);
 /// Idle connections kept for each call slot. Most endpoints have few calls in flight at a time, so keeping one connection ready
 /// at each takes far more connections than slots.
 pub const IDLE_CONNECTIONS_PER_SLOT: usize = 4;
@@ -55,24 +55,24 @@
 pub struct Clock {
     start: Instant,
     /// Unix time at which the clock started, in milliseconds.
-    pub epoch_ms: u64,
+    pub start_unix_ms: u64,
 }
 
 impl Clock {
     /// A clock that starts now.
     pub fn new() -> Self {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), epoch_ms: wall.as_millis() as u64 }
+        Clock { start: Instant::now(), start_unix_ms: wall.as_millis() as u64 }
     }
 
     /// Continues the clock of a courier that was stopped at `stopped_at` in the previous process.
-    pub fn resumed(epoch_ms: u64, stopped_at: Time) -> Self {
+    pub fn resumed(start_unix_ms: u64, stopped_at: Time) -> Self {
         let now = Clock::new();
         let elapsed_before = stopped_at - EPOCH;
         // Both processes read the wall clock; the clamp keeps a jump of it from moving this clock back or far ahead.
-        let wall_elapsed = Duration::from_millis(now.epoch_ms.saturating_sub(epoch_ms));
+        let wall_elapsed = Duration::from_millis(now.start_unix_ms.saturating_sub(start_unix_ms));
         let elapsed = wall_elapsed.clamp(elapsed_before, elapsed_before + MAX_HANDOVER_DURATION);
-        Clock { start: now.start.checked_sub(elapsed).unwrap_or(now.start), epoch_ms }
+        Clock { start: now.start.checked_sub(elapsed).unwrap_or(now.start), start_unix_ms }
     }
 
     /// The time on this clock.
@@ -85,14 +85,17 @@
     }
 }
 
-/// A call whose end has not been reported yet.
+/// A call in flight: its end has not been reported yet.
 struct InFlightCall {
     /// Stops the call; none once it was asked to stop.
     stop: Option<oneshot::Sender<Stop>>,
     /// How much of the request has been written.
     progress: Rc<WriteProgress>,
+    /// The task that makes the call.
     task: AbortHandle,
+    /// When the call started, in the previous process if it was handed over.
     started_at: Instant,
+    /// The time that the call may take.
     timeout: Duration,
 }
 
@@ -164,7 +167,7 @@
     last_ticket: u64,
     /// Notices for which the sender's queue has no room; bounded by the number of messages held.
     unsent_notices: VecDeque<Notice>,
-    /// The longest delay of a timer or step since the last report.
+    /// The longest delay of a timer, or duration of a turn, since the last report.
     max_lateness: Duration,
     lateness_log: Seldom,
     refused_handover_log: Seldom,
@@ -210,6 +213,7 @@
         self.run_turn()?;
         loop {
             let wake = self.engine.next_wake().map(|at| self.clock.instant(at));
+            // Only a placeholder: without a wake-up time the branch below is disabled.
             let fallback_wake = Instant::now() + SWEEP_INTERVAL;
             tokio::select! {
                 biased;
@@ -231,15 +235,16 @@
                     }
                 }
             }
-            let step_start = Instant::now();
+            let turn_start = Instant::now();
             for event in batch.drain(..) {
                 self.handle_event(event);
             }
-            if let Some(at) = wake.filter(|at| *at <= step_start && *at > self.clock.start) {
-                self.record_lateness(step_start - at, "a timer was late");
+            // A wake-up at the start of the clock means "at once", which cannot be late.
+            if let Some(at) = wake.filter(|at| *at <= turn_start && *at > self.clock.start) {
+                self.record_lateness(turn_start - at, "a timer was late");
             }
             self.run_turn()?;
-            self.record_lateness(step_start.elapsed(), "a step of the event loop took too long");
+            self.record_lateness(turn_start.elapsed(), "a turn of the event loop took too long");
             if self.engine.may_end(self.clock.now()) {
                 return self.finish(events, clients).await.map(|()| LoopExit::Terminated);
             }
@@ -276,7 +281,8 @@
             self.handle_event(event);
         }
         let now = self.clock.now();
-        let mut state = Baggage { epoch_ms: self.clock.epoch_ms, stopped_ns: now.0, ..Baggage::default() };
+        let mut state =
+            Baggage { epoch_ms: self.clock.start_unix_ms, stopped_ns: now.0, ..Baggage::default() };
         let mut call_connections = Vec::new();
         for (message, call) in std::mem::take(&mut self.in_flight_calls) {
             call.task.abort();
@@ -320,9 +326,10 @@
         Ok(StoppedCourier { engine: self.engine, state, call_connections, last_metrics })
     }
 
-    /// Ends the service: answers the requests that have arrived, since closing a connection before would lose their messages,
-    /// which the next process finds in the journal. Then shuts the connections down for writing and gives clients time to
-    /// close: closing while a client still sends would reset the connection and destroy the replies on their way.
+    /// Ends the service: answers the requests that have arrived, as closing a connection with a request on it would lose the
+    /// message. Messages accepted here are delivered by the next process, from the journal. Then shuts the connections down for
+    /// writing and gives clients time to close: closing while a client still sends would reset the connection and destroy the
+    /// replies on their way.
     async fn finish(
         &mut self,
         events: &mut Receiver<DriverEvent>,
@@ -363,7 +370,7 @@
     /// Keeps the maximum for the report, and logs a delay that is too long.
     fn record_lateness(&mut self, lateness: Duration, what: &str) {
         self.max_lateness = self.max_lateness.max(lateness);
-        if lateness > LATENESS_WARNING {
+        if lateness > LATENESS_WARNING_THRESHOLD {
             if let Some(more) = self.lateness_log.due(self.clock.now()) {
                 warn!(late = ?lateness, more, "{what}");
             }
@@ -508,7 +515,8 @@
             (self.pool.clone(), self.channels.events.clone(), progress.clone());
         let task = tokio::task::spawn_local(async move {
             let call = pin!(pool.call(call, send_by, stopped, task_progress.clone(), resumed));
-            let written = async {
+            // Reports the last byte and then never completes, so that only the end of the call ends the task.
+            let report_written = async {
                 task_progress.wait_until_written().await;
                 events.send(Input::Written(message)).await;
                 std::future::pending().await
@@ -517,7 +525,7 @@
             let ended = tokio::select! {
                 biased;
                 ended = call => ended,
-                () = written => return,
+                () = report_written => return,
             };
             if task_progress.is_unreported() {
                 events.send(Input::Written(message)).await;
--- a/crates/gullcart/src/group.rs
+++ b/crates/gullcart/src/group.rs
@@ -49,7 +49,7 @@
     /// The task that joins again after the group's thread has ended.
     rejoin_task: Rc<RefCell<Option<AbortHandle>>>,
     /// Set to true once the courier has left the group for good.
-    is_left: Rc<watch::Sender<bool>>,
+    has_left: Rc<watch::Sender<bool>>,
 }
 
 impl GroupMembership {
@@ -61,7 +61,7 @@
             folder: state.join("group"),
             handle: Rc::default(),
             rejoin_task: Rc::default(),
-            is_left: Rc::default(),
+            has_left: Rc::default(),
         }
     }
 
@@ -129,7 +129,7 @@
     pub fn duty_view(&self, now: Time, destination: DestinationId) -> Option<DutyView> {
         let handle = self.handle.borrow();
         let (handle, duty) = (handle.as_ref()?, trial_duty(destination)?);
-        let Look { other_until, told: agreed } = handle.look(&duty)?;
+        let Look { other_until, told: agreed_report } = handle.look(&duty)?;
         // The group's clock runs on while the machine sleeps, unlike the courier's, so the remaining time is computed anew each
         // time.
         let boot_time = boot_now();
@@ -138,15 +138,15 @@
             (None, Some(until)) if until > boot_time => Holder::Other { until: now + (until - boot_time) },
             (None, _) => Holder::Nobody,
         };
-        let told = agreed.map(|(epoch, agreed_payload, at)| Told {
+        let told = agreed_report.map(|(epoch, agreed_payload, agreed_at)| Told {
             epoch: epoch.0,
             words: agreed_payload,
-            at: now - (boot_time - at),
+            at: now - (boot_time - agreed_at),
         });
         Some(DutyView { holder, told })
     }
 
-    /// Sends a request to the group. One that fails is repeated by `gullcart-engine/trials.rs` as long as it is needed.
+    /// Sends a request to the group. The engine repeats a request that was dropped for as long as it needs it.
     pub fn request(&self, request: TrialWish) {
         let handle = self.handle.borrow();
         let Some(handle) = handle.as_ref() else { return };
@@ -161,7 +161,7 @@
                 .map(|(duty, payload)| handle.tell(duty, payload)),
         };
         if is_queued != Some(true) {
-            warn!("a request to the group was dropped: too many requests are pending");
+            warn!("a request to the group was dropped: it is invalid, or too many requests are pending");
         }
     }
 
@@ -188,12 +188,12 @@
             let is_acknowledged = handle.leave(LEAVE_TIMEOUT).await;
             info!(heard = is_acknowledged, "this courier has left its group");
         }
-        self.is_left.send_replace(true);
+        self.has_left.send_replace(true);
     }
 
     /// Waits for the end of [`GroupMembership::leave`], which must have been started.
     pub async fn wait_until_left(&self) {
-        let _ = timeout(LEAVE_TIMEOUT, self.is_left.subscribe().wait_for(|is_left| *is_left)).await;
+        let _ = timeout(LEAVE_TIMEOUT, self.has_left.subscribe().wait_for(|has_left| *has_left)).await;
     }
 
     /// Stops the membership for a hand-over, and returns its state; empty without a group.
--- a/crates/gullcart/src/lib.rs
+++ b/crates/gullcart/src/lib.rs
@@ -67,12 +67,16 @@
                     is_changed
                 });
             }
-            Err(error) => error!(%error, "the configuration stays as it was"),
+            Err(error) => {
+                error!(%error, "the new configuration cannot be used; the configuration stays as it was")
+            }
         }
         if let Some((path, group)) = &group {
             match Settings::read(path) {
                 Ok(settings) => group.apply_settings(settings),
-                Err(error) => error!(%error, "the group stays as it was"),
+                Err(error) => {
+                    error!(%error, "the new settings of the group cannot be used; the group stays as it was")
+                }
             }
         }
     }
@@ -174,7 +178,7 @@
                 HandedOverCourier { state, descriptors: std::mem::take(&mut arrived.descriptors) };
             let running = service.start(journal, Some(handed_over)).await?;
             if let Err(error) = arrived.confirm_serving() {
-                // That process has released the lock and this one holds it, so there is still only one owner.
+                // The courier has one owner all the same: the previous process has released the lock, and this one holds it.
                 warn!(%error, "cannot confirm the takeover to the previous process");
             }
             running
@@ -210,7 +214,8 @@
         match service.hand_over(running, stream).await? {
             HandoverResult::Kept(kept) => running = *kept,
             HandoverResult::HandedOver(metrics) => {
-                // The socket's name belongs to the new process now; connections waiting in the queue ask there.
+                // The name of the hand-over socket belongs to the new process now; processes in the queue of this socket
+                // connect again.
                 if let Some(task) = &handover_listener {
                     task.abort();
                 }
--- a/crates/gullcart/src/main.rs
+++ b/crates/gullcart/src/main.rs
@@ -8,7 +8,8 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// Environment variable with targets and levels to be logged besides info, such as `gullcart::tally=debug`.
+/// Environment variable with log targets and their levels, such as `gullcart::tally=debug` for the engine's metrics of each
+/// destination. Other targets are logged at level info.
 const LOG_VARIABLE: &str = "GULLCART_LOG";
 
 fn main() -> ExitCode {
--- a/crates/gullcart/src/resp.rs
+++ b/crates/gullcart/src/resp.rs
@@ -16,7 +16,7 @@
 /// Maximum length of an id or an idempotency key.
 const MAX_TOKEN_BYTES: usize = 128;
 
-/// Encodes a reply.
+/// The bytes of a reply to a client.
 pub fn encode(answer: &Answer) -> String {
     match answer {
         Answer::Taken(_) | Answer::Held => "+OK\r\n".to_owned(),
--- a/crates/gullcart/src/resp/tests.rs
+++ b/crates/gullcart/src/resp/tests.rs
@@ -1,3 +1,5 @@
+//! Decoding of requests, valid and invalid ones, however they are split.
+
 use super::*;
 use proptest::prelude::*;
 
--- a/crates/gullcart/src/service.rs
+++ b/crates/gullcart/src/service.rs
@@ -27,26 +27,27 @@
 use crate::update_stream::MaxListBytes;
 use crate::upgrade::{self, ArrivedCourier, RequestOutcome};
 
-/// Divisor of the descriptor limit for idle clients' connections: clients open at most a third of the limit themselves, and
-/// half of that may be idle.
+/// The limit of descriptors divided by this is the number of client connections that may be idle: clients open at most a third
+/// of the limit, and half of these may be idle.
 const IDLE_CLIENTS_DIVISOR: usize = 6;
-/// Long requests that are read at the same time for each MB of memory. With at most 68 KiB each they take an eighth of it.
+/// Long requests that may be read at the same time, for each MB of memory. A request has at most 68 KiB, so together they take
+/// at most an eighth of the memory.
 const LONG_REQUESTS_PER_MB: f64 = 2.0;
 /// Capacity of the queue of notices to be sent; further ones stay with the driver.
 const MAX_QUEUED_NOTICES: usize = 1024;
-/// Mixed into the seed, so that each of these random sequences is independent of the engine's. This one decides which
-/// connections are kept idle.
+/// Combined with the seed for the choice of connections that are kept idle. This and the following masks make the random
+/// sequences independent of each other and of the engine's decisions.
 const IDLE_SEED_MASK: u64 = 0x6964_6c65;
-/// For the times of calls to discovery.
+/// Combined with the seed for the times of requests to discovery.
 const LIST_SEED_MASK: u64 = 0x6c69_7374;
-/// For trial duties.
+/// Combined with the seed for the requests of trial duties.
 const DUTY_SEED_MASK: u64 = 0x6475_7479;
-/// For the backoff between attempts to send notices.
+/// Combined with the seed for the backoff between attempts to send notices.
 const NOTICE_SEED_MASK: u64 = 0x6e6f_7465;
 /// Length of the queue of connections to be accepted.
 const LISTEN_BACKLOG: u32 = 1024;
-/// How long a process with a console waits for a folder that another process holds: the other one gets SIGTERM at most 6 s
-/// after this process was started, and SIGKILL 3.7 s later.
+/// How long a process with a console waits for a folder that another process holds. On an upgrade, the old process gets SIGTERM
+/// at most 6 s after the start of the new one, and SIGKILL 3.7 s after that.
 const FOLDER_TIMEOUT: Duration = Duration::from_secs(15);
 /// Time between two attempts to open the folder.
 const FOLDER_RETRY_INTERVAL: Duration = Duration::from_millis(20);
@@ -67,7 +68,7 @@
     pub discovery_address: watch::Receiver<String>,
     /// True once the process was told to end.
     pub terminated: watch::Receiver<bool>,
-    /// Whether the process has a console. Hand-overs are possible only with one.
+    /// Whether the process has a console. Only such a process hands its courier over or takes one over.
     pub has_console: bool,
     /// The courier's membership in a group, if it has one.
     pub group: Option<GroupMembership>,
@@ -97,7 +98,8 @@
 
 /// The result of a hand-over.
 pub enum HandoverResult {
-    /// The courier runs in the other process; the metrics are those that this process counted.
+    /// The courier no longer runs in this process: it was handed over, or its folder belongs to another process after a failed
+    /// hand-over. The metrics are those that this process counted.
     HandedOver(Box<Reading>),
     /// The hand-over failed, and the courier runs in this process.
     Kept(Box<RunningCourier>),
@@ -180,12 +182,12 @@
             seed,
             known: config.known.clone(),
             now: clock.now(),
-            epoch_ms: clock.epoch_ms,
+            epoch_ms: clock.start_unix_ms,
             fingerprint: config.fingerprint(),
             #[cfg(feature = "broken")]
             broken: self.broken.clone(),
         };
-        let (engine, are_calls_known) = match is_handed_over {
+        let (engine, is_state_resumed) = match is_handed_over {
             true => match Engine::resume(start, journal, &state.books) {
                 (engine, Ok(())) => (engine, true),
                 (engine, Err(error)) => {
@@ -202,7 +204,7 @@
             .calls
             .into_iter()
             .zip(descriptors)
-            .filter(|_| are_calls_known)
+            .filter(|_| is_state_resumed)
             .filter_map(|(carried, connection)| {
                 let try_for = Duration::from_micros(carried.try_for_us);
                 let call = engine.call(MessageId(carried.message), try_for)?;
@@ -339,7 +341,8 @@
             info!(?took, of_clients, of_calls, "the courier was handed over to another process");
             return Ok(HandoverResult::HandedOver(Box::new(last_metrics)));
         }
-        // Releases the lock and takes it again: a process that has it by then is the owner.
+        // Reopens the journal. The lock was released for the hand-over, or is released here; if another process has taken it in
+        // the meantime, the courier belongs to that process.
         drop(engine);
         match Journal::open(&self.state_folder, self.journal_disk_bytes(), self.journal_options) {
             Ok(journal) => {
--- a/crates/gullcart/src/tracked_connection.rs
+++ b/crates/gullcart/src/tracked_connection.rs
@@ -18,12 +18,12 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, Instant};
 
+use status_line::StatusLine;
+
 /// Bytes of a response that are kept while it is read, so that another process can resume the call. A call with a longer
 /// response cannot be handed over.
 const MAX_KEPT_RESPONSE_BYTES: usize = 20 << 10;
 
-use status_line::StatusLine;
-
 /// Bytes read at a time while copies of earlier responses are filtered out.
 const COPY_SCAN_CHUNK_BYTES: usize = 4 << 10;
 
@@ -281,6 +281,7 @@
     pub fn resume_call(&self, response_bytes: Vec<u8>, earlier_answers: ConnectionAnswers) {
         self.earlier_answers.replace(earlier_answers);
         self.is_discarding_request.set(true);
+        // Their number is not known here; anything but 0 says that the request was written.
         self.bytes_written.set(1);
         self.handed_over_response.replace((response_bytes, 0));
     }
@@ -406,7 +407,7 @@
         matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Completes `after` the first byte of a response.
+    /// Completes when the time `after` has passed since the first byte of a response.
     pub async fn head_timeout(&self, after: Duration) {
         while !self.has_response_bytes() {
             self.response_started.notified().await;
@@ -425,8 +426,9 @@
         }
     }
 
-    /// Shuts the sending side down and waits until the other side has closed. That ends the call for both sides: the endpoint
-    /// disregards a response that crosses the shutdown, and counting it here would leave the message without an end.
+    /// Shuts the sending side down and waits until the other side has closed, discarding what still arrives. That ends the call
+    /// for both sides: the endpoint counts a response that crosses the shutdown as not given. If the courier took it for a
+    /// delivery, the message would never be delivered or reported as failed.
     pub async fn shutdown_and_drain(&self) -> io::Result<()> {
         SockRef::from(&self.stream).shutdown(Shutdown::Write)?;
         let mut discarded = [0; 1024];
--- a/crates/gullcart/src/tracked_connection/tests.rs
+++ b/crates/gullcart/src/tracked_connection/tests.rs
@@ -1,3 +1,5 @@
+//! Tracking of the bytes of a connection.
+
 use super::*;
 
 /// A request counts as written with its last byte, however its bytes are split.
@@ -25,8 +27,8 @@
     }
 }
 
-/// A response that crosses the end of an abandoned call does not count, however it is split: the endpoint has discarded it, and
-/// a message taken as delivered by it would get no end (a lost message, seen in one of six plays of a day).
+/// A response that crosses the end of an abandoned call does not count, however it is split: the endpoint has discarded it. When
+/// it was taken for a delivery, the message was lost (in one of six plays of a day).
 #[tokio::test]
 async fn a_response_that_crosses_the_end_of_its_call_is_ignored() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/gullcart/src/update_stream.rs
+++ b/crates/gullcart/src/update_stream.rs
@@ -29,7 +29,7 @@
     Json(#[from] serde_json::Error),
     #[error("unexpected byte between two changes")]
     UnexpectedByte,
-    #[error("longer than {0} bytes")]
+    #[error("a change is longer than {0} bytes")]
     TooLong(usize),
 }
 
--- a/crates/gullcart/src/update_stream/tests.rs
+++ b/crates/gullcart/src/update_stream/tests.rs
@@ -1,3 +1,5 @@
+//! Splitting of a watch into its items, however its bytes are split.
+
 use super::*;
 use proptest::prelude::*;
 
--- a/crates/gullcart/src/upgrade.rs
+++ b/crates/gullcart/src/upgrade.rs
@@ -38,14 +38,19 @@
 /// Why a hand-over failed.
 #[derive(Debug, Error)]
 pub enum HandoverError {
+    /// The socket failed, or the other process did not answer in time.
     #[error("{0}")]
     Io(#[from] io::Error),
+    /// The state cannot be read.
     #[error("the message received is not a valid hand-over: {0}")]
     Frame(#[from] FrameError),
+    /// The other process runs as another user.
     #[error("the other process belongs to another user")]
     ForeignUser,
+    /// The other process does not follow the protocol.
     #[error("the other process sent an unexpected word")]
     UnexpectedWord,
+    /// The number of descriptors received differs from the state's.
     #[error("{0} descriptors received, but {1} announced")]
     Descriptors(usize, usize),
 }
--- a/crates/gullcart/tests/group_trials.rs
+++ b/crates/gullcart/tests/group_trials.rs
@@ -76,7 +76,7 @@
     answer_calls(world, Duration::from_millis(100), "500 Down");
     let down = answer_calls(world, Duration::from_secs(2), "500 Down");
     let letter = LETTERS[holder];
-    // The duty may have been passed on meanwhile, if this took longer than two intervals `fall` of the rules.
+    // The duty may have been passed on meanwhile, if this took longer than two collapse windows (setting `Rules.Fall`).
     let by_holder = down.iter().filter(|(id, _)| id.starts_with(letter)).count();
     println!("calls in 2 s: {:?}", calls_by_courier(&down));
     assert!(by_holder > 0 && 2 * by_holder > down.len(), "{holder}: {:?}", calls_by_courier(&down));
@@ -197,7 +197,7 @@
 
 /// Prints what belonging to a quiet group costs a courier. The environment variable `GROUP_COSTS` sets the number of runs.
 #[test]
-fn what_a_quiet_group_costs() {
+fn print_the_costs_of_a_quiet_group() {
     let times = std::env::var("GROUP_COSTS").ok().and_then(|times| times.parse().ok()).unwrap_or(0);
     for _ in 0..times {
         for is_in_group in [true, false] {
--- a/crates/gullcart/tests/stale_answers.rs
+++ b/crates/gullcart/tests/stale_answers.rs
@@ -65,7 +65,7 @@
         loop {
             match world.call_or_notice() {
                 Seen::Call(call) => {
-                    assert_eq!(call.id, id, "the previous message got no end");
+                    assert_eq!(call.id, id, "the previous message was neither delivered nor reported");
                     if let Served::Delivered = repeater.serve(call, &answer, &mut client) {
                         break;
                     }
