--- a/crates/gullcart/src/config.rs
+++ b/crates/gullcart/src/config.rs
@@ -31,7 +31,7 @@
     /// Limits on the process's resources.
     pub limits: Limits,
     /// The list of endpoints known when the file was written.
-    pub known: Update,
+    pub known: ListingUpdate,
     /// The settings, read by the package `cloverstile`.
     pub settings: serde_json::Value,
 }
--- a/crates/gullcart/src/discovery.rs
+++ b/crates/gullcart/src/discovery.rs
@@ -134,7 +134,7 @@
         // An agent with an older list than the previous one must not revert a drain.
         if list.rev >= *rev {
             let new_rev = list.rev;
-            events.send(Input::Listed(Update { all: true, ..list })).await;
+            events.send(Input::Listed(ListingUpdate { all: true, ..list })).await;
             *rev = new_rev;
         }
         *needs_full_list = false;
@@ -191,7 +191,7 @@
     connection: &mut Connection,
     request: Request<Full<Bytes>>,
     max_list_bytes: MaxListBytes,
-) -> Result<Update, AgentError> {
+) -> Result<ListingUpdate, AgentError> {
     let response = connection.send_request(request).await?;
     if response.status() != StatusCode::OK {
         return Err(AgentError::Status(response.status()));
--- a/crates/gullcart/src/group.rs
+++ b/crates/gullcart/src/group.rs
@@ -56,7 +56,7 @@
     /// A membership that has not been joined yet.
     pub fn new(settings: Settings, state: &Path) -> Self {
         GroupMembership {
-            max_members: settings.room(),
+            max_members: settings.member_capacity(),
             settings: Rc::new(RefCell::new(settings)),
             folder: state.join("group"),
             handle: Rc::default(),
@@ -67,18 +67,18 @@
 
     /// What the group of these settings takes from the courier's limits.
     pub fn resources(settings: &Settings) -> GroupResources {
-        GroupResources { disk_bytes: settings.disk, descriptors: settings.sockets() }
+        GroupResources { disk_bytes: settings.disk_bytes, descriptors: settings.max_descriptors() }
     }
 
     /// Joins the group, or resumes the membership of a process that handed it over.
     pub fn join(&self, given: &[u8]) {
-        let given = Given::read(given).filter(|_| !given.is_empty());
+        let given = GroupHandover::decode(given).filter(|_| !given.is_empty());
         self.start_member(given);
         let membership = self.clone();
         let rejoin_task = tokio::task::spawn_local(async move {
             loop {
                 sleep(CHECK_INTERVAL).await;
-                let is_over = membership.handle.borrow().as_ref().is_none_or(Handle::is_over);
+                let is_over = membership.handle.borrow().as_ref().is_none_or(Handle::is_finished);
                 if is_over {
                     // Dropped first, as the previous thread holds the folder.
                     membership.handle.replace(None);
@@ -93,7 +93,7 @@
     }
 
     /// Starts the group's thread. A failure is logged, and the courier goes on without a group.
-    fn start_member(&self, given: Option<Given>) {
+    fn start_member(&self, given: Option<GroupHandover>) {
         let settings = self.settings.borrow().clone();
         match start(settings, &self.folder, given) {
             Ok(handle) => {
@@ -105,7 +105,7 @@
 
     /// Applies a new settings file, as far as its changes are possible while the process runs.
     pub fn apply_settings(&self, settings: Settings) {
-        match roster::change(&self.settings.borrow(), &settings, self.max_members) {
+        match roster::diff(&self.settings.borrow(), &settings, self.max_members) {
             Err(error) => {
                 return error!(%error, "cannot apply the new settings of the group; it stays as it was")
             }
@@ -121,7 +121,7 @@
     /// The trial duties that this courier has asked for.
     pub fn requested_duties(&self) -> Vec<DestinationId> {
         let handle = self.handle.borrow();
-        let wants = handle.as_ref().map(Handle::wants).unwrap_or_default();
+        let wants = handle.as_ref().map(Handle::requested_duties).unwrap_or_default();
         wants.iter().filter_map(destination_of).collect()
     }
 
@@ -129,11 +129,12 @@
     pub fn duty_view(&self, now: Time, destination: DestinationId) -> Option<DutyView> {
         let handle = self.handle.borrow();
         let (handle, duty) = (handle.as_ref()?, trial_duty(destination)?);
-        let Look { other_until, told: agreed_report } = handle.look(&duty)?;
+        let DutyObservation { held_elsewhere_until: other_until, note: agreed_report } =
+            handle.observe(&duty)?;
         // The group's clock runs on while the machine sleeps, unlike the courier's, so the remaining time is computed anew each
         // time.
         let boot_time = boot_now();
-        let holder = match (handle.holds(&duty), other_until) {
+        let holder = match (handle.held_lease(&duty), other_until) {
             (Some((epoch, left)), _) => Holder::Me { epoch: epoch.0, until: now + left },
             (None, Some(until)) if until > boot_time => Holder::Other { until: now + (until - boot_time) },
             (None, _) => Holder::Nobody,
@@ -151,14 +152,14 @@
         let handle = self.handle.borrow();
         let Some(handle) = handle.as_ref() else { return };
         let is_queued = match request {
-            TrialWish::Want(destination) => trial_duty(destination).map(|duty| handle.want(duty)),
-            TrialWish::GiveUp(destination) => trial_duty(destination).map(|duty| handle.give_up(duty)),
+            TrialWish::Want(destination) => trial_duty(destination).map(|duty| handle.request(duty)),
+            TrialWish::GiveUp(destination) => trial_duty(destination).map(|duty| handle.release(duty)),
             TrialWish::PassOn(destination, rest) => {
-                trial_duty(destination).map(|duty| handle.pass_on(duty, rest))
+                trial_duty(destination).map(|duty| handle.yield_duty(duty, rest))
             }
             TrialWish::Tell(destination, report) => trial_duty(destination)
-                .zip(Words::new(&report))
-                .map(|(duty, payload)| handle.tell(duty, payload)),
+                .zip(Payload::new(&report))
+                .map(|(duty, payload)| handle.publish_note(duty, payload)),
         };
         if is_queued != Some(true) {
             warn!("a request to the group was dropped: it is invalid, or too many requests are pending");
@@ -200,7 +201,7 @@
     pub async fn hand_over(&self) -> Vec<u8> {
         match self.detach() {
             Some(handle) => {
-                handle.give_away(HANDOVER_TIMEOUT).await.map_or_else(Vec::new, |given| given.write())
+                handle.hand_over(HANDOVER_TIMEOUT).await.map_or_else(Vec::new, |given| given.encode())
             }
             None => Vec::new(),
         }
--- a/crates/gullcart/src/update_stream.rs
+++ b/crates/gullcart/src/update_stream.rs
@@ -39,7 +39,7 @@
     /// The end of a line outside of a change: it shows that the watch is alive.
     KeepAlive,
     /// A change. It ends with its last brace, so that it may span several lines.
-    Change(Update),
+    Change(ListingUpdate),
 }
 
 /// Splits a stream into its items. Each byte is scanned once, however the stream is cut into parts.
--- a/crates/gullcart/tests/group.rs
+++ b/crates/gullcart/tests/group.rs
@@ -41,7 +41,7 @@
     // A killed process starts a new incarnation.
     couriers[leader] = couriers[leader].take().map(Courier::kill_and_restart);
     let after = group.until(leader, "the restarted courier votes", |status| status.votes);
-    assert_eq!(after.life, before.life + 1);
+    assert_eq!(after.incarnation, before.incarnation + 1);
     // The others elect a leader after it has ended.
     let begun = Instant::now();
     let mut ending = couriers[leader].take().unwrap();
@@ -66,7 +66,7 @@
     assert_eq!(client.enqueue("a1", "0", "salary", 1, b"x"), "+OK");
     group.worlds[0].call().answer("200 OK", "");
     drop(occupied);
-    group.until(0, "its member answers", |status| status.reached.is_empty() && !status.votes);
+    group.until(0, "its member answers", |status| status.reachable_members.is_empty() && !status.votes);
     // The earlier connection was closed as idle.
     assert_eq!(courier.client().enqueue("a2", "0", "salary", 1, b"x"), "+OK");
     group.worlds[0].call().answer("200 OK", "");
