--- a/crates/cloverstile-wirehost/src/host.rs
+++ b/crates/cloverstile-wirehost/src/host.rs
@@ -1,4 +1,4 @@
-//! Instance table: records to events of the module, its actions to replies. Translates only.
+//! Table of courier instances. Translates wire records to events and actions to wire replies.
 
 use crate::wire::{Entry, FinishedRecord, Record, Reply, WireError};
 use cloverstile::*;
@@ -6,137 +6,149 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::time::Duration;
 
+/// Flag of an accept record: a courier that died held the message before.
+const FROM_DEAD_COURIER: u8 = 16;
+
+/// A courier, and the positions of the known values in load reports.
 struct Instance {
     courier: Courier,
-    left_at: Option<usize>,
-    limit_at: Option<usize>,
+    remaining_share_index: Option<usize>,
+    limit_index: Option<usize>,
 }
 
-/// All instances of this process, and the numbered lists that they refer to.
+/// All courier instances of this process, and the numbered endpoint lists that records refer to.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u16, Instance>,
-    sheets: BTreeMap<u16, Vec<Endpoint>>,
+    endpoint_lists: BTreeMap<u16, Vec<Endpoint>>,
 }
 
-/// A batch that cannot be carried out.
+/// Why a batch cannot be processed.
 #[derive(Debug, thiserror::Error)]
 pub enum HostError {
-    #[error("instance {who}: {error}")]
-    Setting { who: u16, error: SettingError },
+    /// An instance has invalid settings.
+    #[error("instance {instance}: {error}")]
+    Setting { instance: u16, error: SettingError },
+    /// A record has an invalid value.
     #[error(transparent)]
     Wire(#[from] WireError),
 }
 
 impl Host {
-    /// Hands the records of a batch to their instances and returns what these do.
+    /// Passes the records of a batch to their instances, lets each affected instance decide once, and returns the replies.
     pub fn run(&mut self, clock: u64, records: Vec<Record>) -> Result<Vec<Reply>, HostError> {
         let now = Time(clock);
-        let mut touched = Vec::new();
+        let mut affected = Vec::new();
         let mut replies = Vec::new();
         for record in records {
-            let Some((who, event)) = self.translate(record)? else {
+            let Some((id, event)) = self.translate(record)? else {
                 continue;
             };
-            if let Some(instance) = self.instances.get_mut(&who) {
-                if !touched.contains(&who) {
-                    touched.push(who);
+            if let Some(instance) = self.instances.get_mut(&id) {
+                if !affected.contains(&id) {
+                    affected.push(id);
                 }
-                guarded(who, &mut replies, || instance.courier.handle(now, event));
+                catch_panic(id, &mut replies, || instance.courier.handle(now, event));
             }
         }
         let mut actions = Vec::new();
-        for who in touched {
-            let Some(instance) = self.instances.get_mut(&who) else {
+        for id in affected {
+            let Some(instance) = self.instances.get_mut(&id) else {
                 continue;
             };
-            guarded(who, &mut replies, || instance.courier.decide(now, &mut actions));
-            replies.extend(actions.drain(..).map(|action| reply(who, action)));
+            catch_panic(id, &mut replies, || instance.courier.decide(now, &mut actions));
+            replies.extend(actions.drain(..).map(|action| reply(id, action)));
         }
         Ok(replies)
     }
 
-    /// The event of a record, or none where the record concerns the table alone.
+    /// The event of a record and its instance, or `None` if the record only changes the tables.
     fn translate(&mut self, record: Record) -> Result<Option<(u16, Event)>, HostError> {
         Ok(Some(match record {
-            Record::NewInstance { who, nonce, config } => {
-                let Parsed { settings, left_at, limit_at, .. } =
-                    parse_settings(&config).map_err(|error| HostError::Setting { who, error })?;
-                let courier = Courier::new(settings, nonce);
-                self.instances.insert(who, Instance { courier, left_at, limit_at });
+            Record::NewInstance { instance, seed, settings } => {
+                let ParsedSettings { settings, remaining_share_index, limit_index, .. } =
+                    parse_settings(&settings).map_err(|error| HostError::Setting { instance, error })?;
+                let courier = Courier::new(settings, seed);
+                self.instances.insert(instance, Instance { courier, remaining_share_index, limit_index });
                 return Ok(None);
             }
-            Record::Teardown { who } => {
-                self.instances.remove(&who);
+            Record::RemoveInstance { instance } => {
+                self.instances.remove(&instance);
                 return Ok(None);
             }
-            Record::Sheet { slot, entries } => {
+            Record::EndpointList { slot, entries } => {
                 let entries = entries.iter().map(endpoint).collect::<Result<_, _>>()?;
-                self.sheets.insert(slot, entries);
+                self.endpoint_lists.insert(slot, entries);
                 return Ok(None);
             }
-            Record::Members { who, slot, kind, .. } => {
-                let entries = || self.sheets.get(&slot).cloned().unwrap_or_default();
+            Record::ListingChanged { instance, slot, kind, .. } => {
+                let list = || self.endpoint_lists.get(&slot).cloned().unwrap_or_default();
                 let listing = match kind {
-                    0 => Listing::Changes(entries()),
-                    1 | 2 => Listing::Whole(entries()),
+                    0 => Listing::Changes(list()),
+                    1 | 2 => Listing::Whole(list()),
                     3 => Listing::Failed,
-                    other => return Err(unknown("Kind", u32::from(other))),
+                    other => return Err(unknown_value("Kind", u32::from(other))),
                 };
-                (who, Event::Listed(listing))
+                (instance, Event::Listed(listing))
             }
-            Record::Accept { who, call, profile, dest, key, deadline, opts, owner, .. } => {
+            Record::Accept {
+                instance, message, class, destination, key, deadline, options, tenant, ..
+            } => {
                 let accepted = Accepted {
-                    id: MessageId(call),
-                    class: ClassId(profile),
-                    destination: DestinationId(dest as u32),
+                    id: MessageId(message),
+                    class: ClassId(class),
+                    destination: DestinationId(destination as u32),
                     key: (key != 0).then_some(OrderKey(key)),
                     deadline: Time(deadline),
-                    from_dead_courier: opts & 16 != 0,
-                    tenant: TenantId(owner),
+                    from_dead_courier: options & FROM_DEAD_COURIER != 0,
+                    tenant: TenantId(tenant),
                 };
-                (who, Event::Accept(accepted))
+                (instance, Event::Accept(accepted))
             }
-            Record::ProbeDone { who, code, delay, endpoint, .. } => {
+            Record::Probed { instance, code, latency, endpoint, .. } => {
                 let outcome = outcome(code, 0)?;
                 let endpoint = EndpointId(endpoint);
-                (who, Event::Probed { endpoint, outcome, latency: Duration::from_nanos(delay) })
+                (instance, Event::Probed { endpoint, outcome, latency: Duration::from_nanos(latency) })
             }
-            Record::ClientGone { who, call } => (who, Event::ClientGone(MessageId(call))),
-            Record::FirstByte { who, call, .. } => (who, Event::FirstByte(MessageId(call))),
-            Record::Finished(record) => (record.who, self.finished(&record)?),
-            Record::TickDue { who, cookie } => (who, Event::TickDue(cookie)),
-            Record::NoteFrom { who, from, msg } => (who, Event::Note { from, text: msg }),
+            Record::ClientGone { instance, message } => (instance, Event::ClientGone(MessageId(message))),
+            Record::FirstByte { instance, message, .. } => (instance, Event::FirstByte(MessageId(message))),
+            Record::Finished(record) => (record.instance, self.finished(&record)?),
+            Record::TimerExpired { instance, token } => (instance, Event::TimerExpired(token)),
+            Record::Note { instance, from, text } => (instance, Event::Note { from, text }),
         }))
     }
 
     fn finished(&self, record: &FinishedRecord) -> Result<Event, HostError> {
-        let instance = self.instances.get(&record.who);
-        let value = |at: Option<usize>| at.and_then(|at| record.report.get(at)).map(|v| f64::from(*v));
-        let left = value(instance.and_then(|i| i.left_at));
-        let limit = value(instance.and_then(|i| i.limit_at));
+        let instance = self.instances.get(&record.instance);
+        let value =
+            |index: Option<usize>| index.and_then(|index| record.report.get(index)).map(|v| f64::from(*v));
+        let remaining_share = value(instance.and_then(|i| i.remaining_share_index));
+        let limit = value(instance.and_then(|i| i.limit_index));
         Ok(Event::Finished(Finished {
-            message: MessageId(record.call),
+            message: MessageId(record.message),
             endpoint: EndpointId(record.endpoint),
-            attempt: record.trial,
+            attempt: record.attempt,
             outcome: outcome(record.code, record.detail)?,
-            latency: Duration::from_nanos(record.delay),
+            latency: Duration::from_nanos(record.latency),
             complete: record.complete,
-            allowance: left.zip(limit).map(|(left, limit)| Allowance { left, limit }),
+            limit_report: remaining_share
+                .zip(limit)
+                .map(|(remaining_share, limit)| LimitReport { remaining_share, limit }),
         }))
     }
 }
 
-/// Runs a step of the module; its panic becomes a reply with the text.
-fn guarded(who: u16, replies: &mut Vec<Reply>, step: impl FnOnce()) {
+/// Runs a call into a courier. A panic becomes a reply with its message.
+fn catch_panic(instance: u16, replies: &mut Vec<Reply>, step: impl FnOnce()) {
     if let Err(cause) = catch_unwind(AssertUnwindSafe(step)) {
         let text = cause.downcast_ref::<&str>().map(|s| (*s).to_owned());
         let text = text.or_else(|| cause.downcast_ref::<String>().cloned());
-        replies.push(Reply::Panic { who, words: text.unwrap_or_else(|| "panic without a text".to_owned()) });
+        replies
+            .push(Reply::Panic { instance, text: text.unwrap_or_else(|| "panic without a text".to_owned()) });
     }
 }
 
-fn unknown(field: &'static str, value: u32) -> HostError {
+fn unknown_value(field: &'static str, value: u32) -> HostError {
     HostError::Wire(WireError::Value { at: 0, field, value })
 }
 
@@ -144,13 +156,13 @@
     Ok(match code {
         100 => Outcome::Ok,
         301 => Outcome::Error,
-        302 => Outcome::Full((detail > 0).then(|| Duration::from_millis(u64::from(detail)))),
+        302 => Outcome::Rejected((detail > 0).then(|| Duration::from_millis(u64::from(detail)))),
         303 => Outcome::Timeout,
         304 => Outcome::ConnectFailed,
         305 => Outcome::Reset,
         306 => Outcome::Cancelled,
-        307 => Outcome::Moot,
-        other => return Err(unknown("Code", u32::from(other))),
+        307 => Outcome::NotSent,
+        other => return Err(unknown_value("Code", u32::from(other))),
     })
 }
 
@@ -164,7 +176,7 @@
             3 => Mode::Ready,
             1 => Mode::Draining,
             2 => Mode::Gone,
-            other => return Err(unknown("Mode", u32::from(other))),
+            other => return Err(unknown_value("Mode", u32::from(other))),
         },
         weight: f64::from(entry.weight),
     })
@@ -174,24 +186,29 @@
     u64::try_from(span.as_nanos()).unwrap_or(u64::MAX)
 }
 
-/// A time-out of zero means none on the wire, so the shortest one is a nanosecond.
-fn reply(who: u16, action: Action) -> Reply {
+/// The wire record of an action. A timeout of zero would mean no timeout on the wire, so the minimum is a nanosecond.
+fn reply(instance: u16, action: Action) -> Reply {
     match action {
-        // Nothing lies between a route and its sending on the simulator's wire.
-        Action::Route { message, endpoint, try_for, send_by: _ } => {
-            Reply::Route { who, call: message.0, endpoint: endpoint.0, try_for: nanos(try_for).max(1) }
+        // The simulator sends a routed message at once, so `send_by` cannot be exceeded.
+        Action::Route { message, endpoint, timeout, send_by: _ } => Reply::Route {
+            instance,
+            message: message.0,
+            endpoint: endpoint.0,
+            timeout: nanos(timeout).max(1),
+        },
+        Action::Return { message, retry_after } => {
+            Reply::Return { instance, message: message.0, retry_after: nanos(retry_after) }
         }
-        Action::Busy { message, after } => Reply::Busy { who, call: message.0, stay_away: nanos(after) },
-        Action::ReportFailure { message } => Reply::ReportFailure { who, call: message.0 },
-        Action::StopAttempt { message, attempt } => {
-            Reply::StopAttempt { who, call: message.0, trial: attempt }
+        Action::ReportFailure { message } => Reply::ReportFailure { instance, message: message.0 },
+        Action::CancelAttempt { message, attempt } => {
+            Reply::CancelAttempt { instance, message: message.0, attempt }
         }
-        Action::Wake { after, token } => Reply::After { who, after: nanos(after), cookie: token },
-        Action::CloseIdle { endpoint } => Reply::CloseIdle { who, endpoint: endpoint.0 },
-        Action::Probe { endpoint } => Reply::SoundOut { who, endpoint: endpoint.0 },
-        Action::Tell { to, text } => Reply::Tell { who, peer: to.unwrap_or(u16::MAX), msg: text },
-        Action::Log { text } => Reply::Log { who, words: text },
-        Action::KeepInformed { active } => Reply::KeepInformed { who, active },
-        Action::Refresh => Reply::Refresh { who },
+        Action::SetTimer { after, token } => Reply::SetTimer { instance, after: nanos(after), token },
+        Action::CloseIdle { endpoint } => Reply::CloseIdle { instance, endpoint: endpoint.0 },
+        Action::Probe { endpoint } => Reply::Probe { instance, endpoint: endpoint.0 },
+        Action::SendNote { to, text } => Reply::SendNote { instance, peer: to.unwrap_or(u16::MAX), text },
+        Action::Log { text } => Reply::Log { instance, text },
+        Action::SubscribeListing { active } => Reply::SubscribeListing { instance, active },
+        Action::RefreshListing => Reply::RefreshListing { instance },
     }
 }
--- a/crates/cloverstile-wirehost/src/lib.rs
+++ b/crates/cloverstile-wirehost/src/lib.rs
@@ -1,4 +1,5 @@
-//! The decision module on the wire of the operators' simulator: many instances in one process, one reply for each batch.
+//! Adapter between the decisions of `cloverstile` and the wire protocol of the operators' simulator. One process hosts
+//! many courier instances; each batch of records gets one reply.
 #![forbid(unsafe_code)]
 
 pub mod host;
--- a/crates/cloverstile-wirehost/src/wire.rs
+++ b/crates/cloverstile-wirehost/src/wire.rs
@@ -1,129 +1,123 @@
-//! Frame codec: bytes to records and back. Big-endian, no padding; see the users' wire page.
+//! Codec of the simulator's wire protocol: batches of records to the host, replies from it. All numbers are big-endian,
+//! without padding; times are in nanoseconds. Field names in errors are those of the protocol description.
 
 use thiserror::Error;
 
-/// What is wrong with a frame, and where in it (bytes from the start of its body).
+/// What is wrong with a batch. `at` is the offset in bytes from the start of the frame's body.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum WireError {
+    /// The body ends within a field.
     #[error("byte {at}: {field} is cut short")]
     Short { at: usize, field: &'static str },
+    /// A record of an unknown type.
     #[error("byte {at}: record {index} has the unknown code {code}")]
     Code { at: usize, index: u32, code: u8 },
+    /// A field with an unknown value.
     #[error("byte {at}: {field} has the unknown value {value}")]
     Value { at: usize, field: &'static str, value: u32 },
+    /// Bytes after the last record.
     #[error("byte {at}: {left} bytes left over after the last record")]
     Left { at: usize, left: usize },
+    /// Settings that are not UTF-8.
     #[error("byte {at}: the settings are not UTF-8 text")]
     Text { at: usize },
 }
 
-/// An entry of a numbered list.
+/// An entry of an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     pub endpoint: u32,
     pub zone: u8,
     pub kind: u16,
+    /// Destination of the endpoint.
     pub cell: u16,
     pub mode: u8,
     pub weight: f32,
+    /// When the endpoint started.
     pub up_since: u64,
 }
 
-/// A record of a batch.
+/// A record of a batch. `instance` is the courier instance that it is for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
-    NewInstance {
-        who: u16,
-        nonce: u64,
-        config: String,
-    },
-    Sheet {
-        slot: u16,
-        entries: Vec<Entry>,
-    },
-    Members {
-        who: u16,
+    /// Creates an instance.
+    NewInstance { instance: u16, seed: u64, settings: String },
+    /// Stores an endpoint list under a number (`slot`).
+    EndpointList { slot: u16, entries: Vec<Entry> },
+    /// Service discovery sent an update.
+    ListingChanged {
+        instance: u16,
+        /// Number of the endpoint list.
         slot: u16,
         generation: u32,
+        /// 0: changed entries, 1 or 2: the complete listing, 3: not available.
         kind: u8,
     },
+    /// A message was accepted.
     Accept {
-        who: u16,
-        call: u32,
-        profile: u8,
-        dest: f32,
+        instance: u16,
+        message: u32,
+        class: u8,
+        destination: f32,
         key: u64,
         deadline: u64,
-        hint: u64,
-        opts: u8,
-        owner: u32,
-    },
-    Teardown {
-        who: u16,
-    },
-    ProbeDone {
-        who: u16,
-        code: u16,
-        delay: u64,
-        endpoint: u32,
-        report: Vec<f32>,
-    },
-    ClientGone {
-        who: u16,
-        call: u32,
-    },
-    FirstByte {
-        who: u16,
-        call: u32,
-        endpoint: u32,
-        trial: u16,
-        delay: u64,
+        weight_hint: u64,
+        options: u8,
+        tenant: u32,
     },
+    /// Removes an instance.
+    RemoveInstance { instance: u16 },
+    /// A probe ended.
+    Probed { instance: u16, code: u16, latency: u64, endpoint: u32, report: Vec<f32> },
+    /// The client withdrew a message.
+    ClientGone { instance: u16, message: u32 },
+    /// The answer of a streamed message has begun.
+    FirstByte { instance: u16, message: u32, endpoint: u32, attempt: u16, latency: u64 },
+    /// An attempt ended.
     Finished(FinishedRecord),
-    TickDue {
-        who: u16,
-        cookie: u64,
-    },
-    NoteFrom {
-        who: u16,
-        from: u32,
-        msg: Vec<u8>,
-    },
+    /// A timer expired.
+    TimerExpired { instance: u16, token: u64 },
+    /// A note from another courier.
+    Note { instance: u16, from: u32, text: Vec<u8> },
 }
 
-/// The end of an attempt, as it stands on the wire.
+/// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FinishedRecord {
-    pub who: u16,
-    pub call: u32,
+    pub instance: u16,
+    pub message: u32,
     pub code: u16,
-    pub delay: u64,
+    pub latency: u64,
     pub complete: bool,
     pub endpoint: u32,
-    pub trial: u16,
+    pub attempt: u16,
+    /// Depends on the code; for a rejection the retry-after time in milliseconds, or zero.
     pub detail: u32,
+    /// Values of the destination's load report.
     pub report: Vec<f32>,
 }
 
-/// A record of a reply.
+/// A record of a reply; see [`cloverstile::Action`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    Route { who: u16, call: u32, endpoint: u32, try_for: u64 },
-    Busy { who: u16, call: u32, stay_away: u64 },
-    ReportFailure { who: u16, call: u32 },
-    StopAttempt { who: u16, call: u32, trial: u16 },
-    After { who: u16, after: u64, cookie: u64 },
-    SoundOut { who: u16, endpoint: u32 },
-    CloseIdle { who: u16, endpoint: u32 },
-    Tell { who: u16, peer: u16, msg: Vec<u8> },
-    Log { who: u16, words: String },
-    Panic { who: u16, words: String },
-    KeepInformed { who: u16, active: bool },
-    Refresh { who: u16 },
+    Route { instance: u16, message: u32, endpoint: u32, timeout: u64 },
+    Return { instance: u16, message: u32, retry_after: u64 },
+    ReportFailure { instance: u16, message: u32 },
+    CancelAttempt { instance: u16, message: u32, attempt: u16 },
+    SetTimer { instance: u16, after: u64, token: u64 },
+    Probe { instance: u16, endpoint: u32 },
+    CloseIdle { instance: u16, endpoint: u32 },
+    SendNote { instance: u16, peer: u16, text: Vec<u8> },
+    Log { instance: u16, text: String },
+    Panic { instance: u16, text: String },
+    SubscribeListing { instance: u16, active: bool },
+    RefreshListing { instance: u16 },
 }
 
+/// Reads fields from the body of a frame.
 struct Reader<'a> {
     body: &'a [u8],
+    /// Offset of the next field.
     at: usize,
 }
 
@@ -185,78 +179,78 @@
         if code == 110 {
             let slot = self.u16("Slot")?;
             let count = self.u32("NodesList count")?;
-            // Grown as entries are read: a count that does not fit ends in an error, not in an allocation.
+            // Grows as entries are read: a wrong count ends in an error, not in a large allocation.
             let entries = (0..count).map(|_| self.entry()).collect::<Result<_, _>>()?;
-            return Ok(Record::Sheet { slot, entries });
+            return Ok(Record::EndpointList { slot, entries });
         }
         if !matches!(code, 10 | 20 | 30 | 40 | 50 | 60 | 70 | 80 | 90 | 100) {
             return Err(WireError::Code { at, index, code });
         }
-        let who = self.u16("Who")?;
+        let instance = self.u16("Who")?;
         Ok(match code {
             10 => {
-                let nonce = self.u64("Nonce64")?;
+                let seed = self.u64("Nonce64")?;
                 let count = self.u32("Config count")? as usize;
                 let at = self.at;
                 let text = self.take(count, "Config")?;
-                let config = std::str::from_utf8(text).map_err(|_| WireError::Text { at })?.to_owned();
-                Record::NewInstance { who, nonce, config }
+                let settings = std::str::from_utf8(text).map_err(|_| WireError::Text { at })?.to_owned();
+                Record::NewInstance { instance, seed, settings }
             }
-            20 => Record::Members {
-                who,
+            20 => Record::ListingChanged {
+                instance,
                 slot: self.u16("Slot")?,
                 generation: self.u32("Generation")?,
                 kind: self.u8("Kind")?,
             },
             30 => Record::Accept {
-                who,
-                call: self.u32("Call")?,
-                profile: self.u8("Profile")?,
-                dest: self.f32("Dest")?,
+                instance,
+                message: self.u32("Call")?,
+                class: self.u8("Profile")?,
+                destination: self.f32("Dest")?,
                 key: self.u64("Key")?,
                 deadline: self.u64("ClientDeadline")?,
-                hint: self.u64("WeightHint")?,
-                opts: self.u8("Opts")?,
-                owner: self.u32("Owner")?,
+                weight_hint: self.u64("WeightHint")?,
+                options: self.u8("Opts")?,
+                tenant: self.u32("Owner")?,
             },
             40 => Record::FirstByte {
-                who,
-                call: self.u32("Call")?,
+                instance,
+                message: self.u32("Call")?,
                 endpoint: self.u32("Endpoint")?,
-                trial: self.u16("Trial")?,
-                delay: self.u64("DelaySeen")?,
+                attempt: self.u16("Trial")?,
+                latency: self.u64("DelaySeen")?,
             },
             50 => Record::Finished(FinishedRecord {
-                who,
-                call: self.u32("Call")?,
+                instance,
+                message: self.u32("Call")?,
                 code: self.u16("Code")?,
-                delay: self.u64("DelaySeen")?,
+                latency: self.u64("DelaySeen")?,
                 complete: self.u8("Complete")? != 0,
                 endpoint: self.u32("Endpoint")?,
-                trial: self.u16("Trial")?,
+                attempt: self.u16("Trial")?,
                 detail: self.u32("Detail")?,
                 report: self.report()?,
             }),
-            60 => Record::ClientGone { who, call: self.u32("Call")? },
-            70 => Record::TickDue { who, cookie: self.u64("Cookie")? },
-            80 => Record::ProbeDone {
-                who,
+            60 => Record::ClientGone { instance, message: self.u32("Call")? },
+            70 => Record::TimerExpired { instance, token: self.u64("Cookie")? },
+            80 => Record::Probed {
+                instance,
                 code: self.u16("Code")?,
-                delay: self.u64("DelaySeen")?,
+                latency: self.u64("DelaySeen")?,
                 endpoint: self.u32("Endpoint")?,
                 report: self.report()?,
             },
             90 => {
                 let from = self.u32("From")?;
                 let count = usize::from(self.u16("Msg count")?);
-                Record::NoteFrom { who, from, msg: self.take(count, "Msg")?.to_vec() }
+                Record::Note { instance, from, text: self.take(count, "Msg")?.to_vec() }
             }
-            _ => Record::Teardown { who },
+            _ => Record::RemoveInstance { instance },
         })
     }
 }
 
-/// Reads the body of a batch (what comes after its length): the clock and the records.
+/// Reads the body of a batch (without its length): the clock and the records.
 pub fn read_batch(body: &[u8]) -> Result<(u64, Vec<Record>), WireError> {
     let mut reader = Reader { body, at: 0 };
     let clock = reader.u64("clock")?;
@@ -271,6 +265,7 @@
     }
 }
 
+/// Appends a text of at most 64 KiB with its length.
 fn put_text(out: &mut Vec<u8>, text: &[u8]) {
     let count = text.len().min(usize::from(u16::MAX));
     out.extend((count as u16).to_be_bytes());
@@ -279,66 +274,66 @@
 
 /// Appends one record of a reply.
 pub fn write_reply(out: &mut Vec<u8>, reply: &Reply) {
-    let mut head = |code: u8, who: &u16| {
+    let mut head = |code: u8, instance: &u16| {
         out.push(code);
-        out.extend(who.to_be_bytes());
+        out.extend(instance.to_be_bytes());
     };
     match reply {
-        Reply::Route { who, call, endpoint, try_for } => {
-            head(10, who);
-            out.extend(call.to_be_bytes());
+        Reply::Route { instance, message, endpoint, timeout } => {
+            head(10, instance);
+            out.extend(message.to_be_bytes());
             out.extend(endpoint.to_be_bytes());
-            out.extend(try_for.to_be_bytes());
+            out.extend(timeout.to_be_bytes());
         }
-        Reply::Busy { who, call, stay_away } => {
-            head(20, who);
-            out.extend(call.to_be_bytes());
-            out.extend(stay_away.to_be_bytes());
+        Reply::Return { instance, message, retry_after } => {
+            head(20, instance);
+            out.extend(message.to_be_bytes());
+            out.extend(retry_after.to_be_bytes());
         }
-        Reply::ReportFailure { who, call } => {
-            head(30, who);
-            out.extend(call.to_be_bytes());
+        Reply::ReportFailure { instance, message } => {
+            head(30, instance);
+            out.extend(message.to_be_bytes());
         }
-        Reply::StopAttempt { who, call, trial } => {
-            head(40, who);
-            out.extend(call.to_be_bytes());
-            out.extend(trial.to_be_bytes());
+        Reply::CancelAttempt { instance, message, attempt } => {
+            head(40, instance);
+            out.extend(message.to_be_bytes());
+            out.extend(attempt.to_be_bytes());
         }
-        Reply::After { who, after, cookie } => {
-            head(50, who);
+        Reply::SetTimer { instance, after, token } => {
+            head(50, instance);
             out.extend(after.to_be_bytes());
-            out.extend(cookie.to_be_bytes());
+            out.extend(token.to_be_bytes());
         }
-        Reply::SoundOut { who, endpoint } => {
-            head(60, who);
+        Reply::Probe { instance, endpoint } => {
+            head(60, instance);
             out.extend(endpoint.to_be_bytes());
         }
-        Reply::CloseIdle { who, endpoint } => {
-            head(70, who);
+        Reply::CloseIdle { instance, endpoint } => {
+            head(70, instance);
             out.extend(endpoint.to_be_bytes());
         }
-        Reply::Tell { who, peer, msg } => {
-            head(80, who);
+        Reply::SendNote { instance, peer, text } => {
+            head(80, instance);
             out.extend(peer.to_be_bytes());
-            put_text(out, msg);
+            put_text(out, text);
         }
-        Reply::Log { who, words } => {
-            head(90, who);
-            put_text(out, words.as_bytes());
+        Reply::Log { instance, text } => {
+            head(90, instance);
+            put_text(out, text.as_bytes());
         }
-        Reply::Panic { who, words } => {
-            head(100, who);
-            put_text(out, words.as_bytes());
+        Reply::Panic { instance, text } => {
+            head(100, instance);
+            put_text(out, text.as_bytes());
         }
-        Reply::KeepInformed { who, active } => {
-            head(110, who);
+        Reply::SubscribeListing { instance, active } => {
+            head(110, instance);
             out.push(u8::from(*active));
         }
-        Reply::Refresh { who } => head(120, who),
+        Reply::RefreshListing { instance } => head(120, instance),
     }
 }
 
-/// A whole reply frame: its length and its records.
+/// A complete reply frame: length and records.
 pub fn write_frame(replies: &[Reply]) -> Vec<u8> {
     let mut out = vec![0; 4];
     for reply in replies {
--- a/crates/cloverstile-wirehost/tests/wire.rs
+++ b/crates/cloverstile-wirehost/tests/wire.rs
@@ -47,18 +47,18 @@
     let (clock, records) = read_batch(&body).unwrap();
     assert_eq!(clock, 0x1_f568_bf90);
     let accept = Record::Accept {
-        who: 3,
-        call: 0x5d3a_91c4,
-        profile: 0,
-        dest: 57.0,
+        instance: 3,
+        message: 0x5d3a_91c4,
+        class: 0,
+        destination: 57.0,
         key: 0x91f0_3b7c_55d2_0a64,
         deadline: 0x2_03b6_db90,
-        hint: 12_000_000,
-        opts: 1,
-        owner: 0,
+        weight_hint: 12_000_000,
+        options: 1,
+        tenant: 0,
     };
-    let tick = Record::TickDue { who: 3, cookie: 77 };
-    assert_eq!(records, [accept, tick, Record::ClientGone { who: 5, call: 0x0e6f_2b19 }]);
+    let tick = Record::TimerExpired { instance: 3, token: 77 };
+    assert_eq!(records, [accept, tick, Record::ClientGone { instance: 5, message: 0x0e6f_2b19 }]);
 }
 
 #[test]
@@ -80,21 +80,21 @@
         up_since,
     };
     let entries = vec![entry(0x0312_4a07, 1.0, 0), entry(0x2c90_11f2, 1.5, 0x1_6b96_9d00)];
-    assert_eq!(records[0], Record::Sheet { slot: 0, entries });
-    assert_eq!(records[1], Record::Members { who: 3, slot: 0, generation: 41, kind: 2 });
+    assert_eq!(records[0], Record::EndpointList { slot: 0, entries });
+    assert_eq!(records[1], Record::ListingChanged { instance: 3, slot: 0, generation: 41, kind: 2 });
     let Record::Finished(finished) = &records[2] else { panic!("{records:?}") };
-    assert_eq!((finished.code, finished.delay, finished.complete), (100, 18_500_000, true));
+    assert_eq!((finished.code, finished.latency, finished.complete), (100, 18_500_000, true));
     assert_eq!(finished.report, [0.4, 1.25]);
 }
 
 #[test]
 fn actions_of_the_wire_page() {
-    let words = "two servers known".to_owned();
+    let text = "two servers known".to_owned();
     let replies = [
-        Reply::Route { who: 3, call: 0x5d3a_91c4, endpoint: 0x0312_4a07, try_for: 80_000_000 },
-        Reply::After { who: 3, after: 500_000_000, cookie: 77 },
-        Reply::Log { who: 5, words },
-        Reply::Tell { who: 3, peer: 0xffff, msg: b"hi 7".to_vec() },
+        Reply::Route { instance: 3, message: 0x5d3a_91c4, endpoint: 0x0312_4a07, timeout: 80_000_000 },
+        Reply::SetTimer { instance: 3, after: 500_000_000, token: 77 },
+        Reply::Log { instance: 5, text },
+        Reply::SendNote { instance: 3, peer: 0xffff, text: b"hi 7".to_vec() },
     ];
     let expected = hex("00000047
         0a 0003 5d3a91c4 03124a07 0000000004c4b400
@@ -107,14 +107,14 @@
 #[test]
 fn every_other_action_has_its_bytes() {
     let cases = [
-        (Reply::Busy { who: 1, call: 2, stay_away: 3 }, "14 0001 00000002 0000000000000003"),
-        (Reply::ReportFailure { who: 1, call: 2 }, "1e 0001 00000002"),
-        (Reply::StopAttempt { who: 1, call: 2, trial: 3 }, "28 0001 00000002 0003"),
-        (Reply::SoundOut { who: 1, endpoint: 2 }, "3c 0001 00000002"),
-        (Reply::CloseIdle { who: 1, endpoint: 2 }, "46 0001 00000002"),
-        (Reply::Panic { who: 1, words: "x".to_owned() }, "64 0001 0001 78"),
-        (Reply::KeepInformed { who: 1, active: true }, "6e 0001 01"),
-        (Reply::Refresh { who: 1 }, "78 0001"),
+        (Reply::Return { instance: 1, message: 2, retry_after: 3 }, "14 0001 00000002 0000000000000003"),
+        (Reply::ReportFailure { instance: 1, message: 2 }, "1e 0001 00000002"),
+        (Reply::CancelAttempt { instance: 1, message: 2, attempt: 3 }, "28 0001 00000002 0003"),
+        (Reply::Probe { instance: 1, endpoint: 2 }, "3c 0001 00000002"),
+        (Reply::CloseIdle { instance: 1, endpoint: 2 }, "46 0001 00000002"),
+        (Reply::Panic { instance: 1, text: "x".to_owned() }, "64 0001 0001 78"),
+        (Reply::SubscribeListing { instance: 1, active: true }, "6e 0001 01"),
+        (Reply::RefreshListing { instance: 1 }, "78 0001"),
     ];
     for (reply, bytes) in cases {
         let mut out = Vec::new();
@@ -128,18 +128,18 @@
     let cases = [
         (
             "0a 0001 0000000000000002 00000003 613d62",
-            Record::NewInstance { who: 1, nonce: 2, config: "a=b".into() },
+            Record::NewInstance { instance: 1, seed: 2, settings: "a=b".into() },
         ),
-        ("64 0001", Record::Teardown { who: 1 }),
+        ("64 0001", Record::RemoveInstance { instance: 1 }),
         (
             "50 0001 012f 0000000000000002 00000003 01 3f800000",
-            Record::ProbeDone { who: 1, code: 303, delay: 2, endpoint: 3, report: vec![1.0] },
+            Record::Probed { instance: 1, code: 303, latency: 2, endpoint: 3, report: vec![1.0] },
         ),
         (
             "28 0001 00000002 00000003 0004 0000000000000005",
-            Record::FirstByte { who: 1, call: 2, endpoint: 3, trial: 4, delay: 5 },
+            Record::FirstByte { instance: 1, message: 2, endpoint: 3, attempt: 4, latency: 5 },
         ),
-        ("5a 0001 00000002 0002 6869", Record::NoteFrom { who: 1, from: 2, msg: b"hi".to_vec() }),
+        ("5a 0001 00000002 0002 6869", Record::Note { instance: 1, from: 2, text: b"hi".to_vec() }),
     ];
     for (bytes, record) in cases {
         let bytes = hex(bytes);
@@ -156,10 +156,10 @@
 #[test]
 fn bad_input_ends_with_one_plain_line() {
     let bad_setting = {
-        let config = b"Balancers=two";
+        let settings = b"Balancers=two";
         let mut record = hex("0a 0001 0000000000000002");
-        record.extend((config.len() as u32).to_be_bytes());
-        record.extend(config);
+        record.extend((settings.len() as u32).to_be_bytes());
+        record.extend(settings);
         frame(9, &[record])
     };
     let cases = [
@@ -182,27 +182,35 @@
 
 #[test]
 fn unknown_settings_are_skipped_and_lists_follow_their_sheet() {
-    let config =
+    let settings =
         "Balancers=3\nLanes.count=1\nLanes.0.Effect=read_like\nNew.Thing=1,2\nFamilyInfo.KindBatch=1,4\n";
-    let parsed = cloverstile::parse_settings(config).unwrap();
+    let parsed = cloverstile::parse_settings(settings).unwrap();
     assert_eq!(parsed.settings.couriers, 3);
-    assert_eq!(parsed.settings.kinds[1].batch, 4);
+    assert_eq!(parsed.settings.kinds[1].max_batch, 4);
     // A sheet's number taken over later in a batch does not touch what referred to it before.
     let sheet = |endpoint| {
         let entry = Entry { endpoint, zone: 0, kind: 0, cell: 1, mode: 3, weight: 9.0, up_since: 0 };
-        Record::Sheet { slot: 0, entries: vec![entry] }
+        Record::EndpointList { slot: 0, entries: vec![entry] }
+    };
+    let members = |instance| Record::ListingChanged { instance, slot: 0, generation: 1, kind: 2 };
+    let start = |instance| Record::NewInstance { instance, seed: 1, settings: settings.to_owned() };
+    let (key, weight_hint, options, tenant, deadline) = (0, 0, 0, 0, 60_000_000_000);
+    let accept = |instance| Record::Accept {
+        instance,
+        message: 5,
+        class: 0,
+        destination: 1.0,
+        key,
+        deadline,
+        weight_hint,
+        options,
+        tenant,
     };
-    let members = |who| Record::Members { who, slot: 0, generation: 1, kind: 2 };
-    let start = |who| Record::NewInstance { who, nonce: 1, config: config.to_owned() };
-    let (key, hint, opts, owner, deadline) = (0, 0, 0, 0, 60_000_000_000);
-    let accept =
-        |who| Record::Accept { who, call: 5, profile: 0, dest: 1.0, key, deadline, hint, opts, owner };
     let mut host = host::Host::default();
     let batch = vec![start(1), start(2), sheet(10), members(1), sheet(20), members(2), accept(1), accept(2)];
     let replies = host.run(50_000_000_000, batch).unwrap();
-    let routed = |who, to| {
-        let is =
-            |r: &&Reply| matches!(r, Reply::Route { who: w, endpoint, .. } if (*w, *endpoint) == (who, to));
+    let routed = |instance, to| {
+        let is = |r: &&Reply| matches!(r, Reply::Route { instance: w, endpoint, .. } if (*w, *endpoint) == (instance, to));
         replies.iter().filter(is).count()
     };
     assert_eq!((routed(1, 10), routed(2, 20)), (1, 1));
--- a/crates/cloverstile/examples/turn_cost.rs
+++ b/crates/cloverstile/examples/turn_cost.rs
@@ -29,9 +29,9 @@
         let settings = Settings {
             classes: vec![class.clone()],
             call_slots: 64,
-            most_held: 2_000_000,
-            send_cap: 1000,
-            answers_take_time: true,
+            max_held: 2_000_000,
+            max_attempts: 1000,
+            acknowledged_answers: true,
             ..Settings::default()
         };
         let now = Time::ZERO + Duration::from_secs(10_000);
@@ -69,16 +69,16 @@
 
     fn out_of_service(&mut self) {
         for destination in 0..self.destinations {
-            let outage = Outage {
+            let outage = OutageRecord {
                 destination: DestinationId(destination),
                 endpoint: None,
                 since: self.now - Duration::from_secs(5),
                 evidence: 6,
-                lost: Some(true),
-                returned: None,
-                share: 1.0,
+                calls_lost: Some(true),
+                slow_start_since: None,
+                served_rate: 1.0,
             };
-            self.courier.handle(self.now, Event::Recalled(outage));
+            self.courier.handle(self.now, Event::OutageRestored(outage));
         }
     }
 
@@ -89,8 +89,9 @@
         self.courier.handle(self.now, Event::ClientGone(MessageId(self.accepted / 2)));
         for (message, endpoint) in self.begun.drain(..) {
             if let Some(outcome) = self.outcome {
-                let (attempt, latency, complete, allowance) = (0, STEP, false, None);
-                let finished = Finished { message, endpoint, attempt, outcome, latency, complete, allowance };
+                let (attempt, latency, complete, limit_report) = (0, STEP, false, None);
+                let finished =
+                    Finished { message, endpoint, attempt, outcome, latency, complete, limit_report };
                 self.courier.handle(self.now, Event::Finished(finished));
             }
         }
--- a/crates/cloverstile/src/choice.rs
+++ b/crates/cloverstile/src/choice.rs
@@ -1,301 +1,260 @@
-//! Every decision of a courier. Types, events and actions are in `interface.rs`, what it keeps in mind in
-//! `books.rs`; nothing is decided there.
+//! All decisions of a courier: when a message is sent, to which endpoint, and when it gets its final answer.
+//! Types, events and actions are in `interface.rs`, the state in `state.rs`.
 //!
-//! The ordinary path: a message waits in the queue of its destination; a free call slot goes to the waiting
-//! destination with the fewest calls out; a message whose attempt may have run goes again under its one key,
-//! inside group, window and attempt limit, after a full-jitter exponential gap. All else guards that path.
+//! The common case: a message waits in the queue of its destination. A free call slot goes to the waiting
+//! destination with the fewest calls in flight. A message whose attempt may have run is sent again with the
+//! same idempotency key, within its dedup scope, repeat window and attempt limit, after exponential backoff
+//! with full jitter. Everything else keeps overload and outages of partners from spreading.
 
-use crate::books::*;
-use crate::due::DueDestinations;
 use crate::interface::*;
-use crate::ready::Queues;
-use serde::{Deserialize, Serialize};
+use crate::state::*;
 use std::cmp::Reverse;
-use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-mod carried;
-mod looking;
+mod evaluation;
+mod handover;
+mod indexing;
 mod margins;
-mod placing;
-mod standing;
+mod status;
 #[cfg(test)]
 mod tests;
-pub use standing::{Hold, Standing};
-
-// ---- Tuned values ----
-
-/// First gap before a repeat, as a part of the class's aim: short enough to leave time for several on time.
-const BACKOFF_BASE_OF_AIM: f64 = 0.05;
-/// Longest gap before a repeat, as a part of the class's aim: a repeat rarely pays if it waits longer.
-const BACKOFF_CAP_OF_AIM: f64 = 0.7;
-/// A keyed message is not resent in the last part of its window: the call must still arrive inside it.
-const WINDOW_MARGIN: f64 = 0.1;
-/// Latency assumed before the first answer, as a part of the shortest aim.
-const FIRST_LATENCY_OF_AIM: f64 = 0.1;
-/// Least weight of the newest latency in the running mean; the first few weigh more.
-const LATENCY_GAIN: f64 = 0.15;
-/// Time-out of a repeatable attempt, in latencies (mean and deviation) of its destination ...
+pub use status::{DestinationStatus, WaitReason};
+
+// ---- Tuned constants. `_AIMS` are multiples of an aim, `_WINDOWS` of the collapse window. ----
+
+/// Backoff before the first repeat: short enough to fit several repeats into the aim.
+const BACKOFF_BASE_AIMS: f64 = 0.05;
+/// Maximum backoff: a repeat that waits longer rarely pays off.
+const MAX_BACKOFF_AIMS: f64 = 0.7;
+/// Share of the repeat window at its end in which nothing is resent, so that the call still arrives within
+/// it.
+const REPEAT_WINDOW_MARGIN: f64 = 0.1;
+/// Latency assumed before the first answer, in shortest aims.
+const INITIAL_LATENCY_AIMS: f64 = 0.1;
+/// Minimum weight of a new sample in the average latency.
+const MIN_LATENCY_GAIN: f64 = 0.15;
+/// Timeout of a repeatable attempt, in latencies (mean plus deviation) of its route, and its bounds in aims.
 const TIMEOUT_LATENCIES: f64 = 4.0;
-/// ... and at least this part of the aim, at most this multiple of it.
-const TIMEOUT_AIMS: (f64, f64) = (0.5, 3.0);
-/// A call is stalled when it was not answered for so many latencies ...
+const MIN_TIMEOUT_AIMS: f64 = 0.5;
+const MAX_TIMEOUT_AIMS: f64 = 3.0;
+/// Time without an answer after which a call counts as stalled, in latencies of its route, ...
 const STALL_LATENCIES: f64 = 3.0;
-/// ... and at least for this part of the shortest aim: short pauses of a partner pass unnoticed.
-const STALL_AIM: f64 = 0.25;
-/// An unsafe call gets so many times that patience before it is called off: what it carries is lost then.
-const UNSAFE_PATIENCE: u32 = 2;
-/// First gap between trial calls, as a part of the fall window, and the longest one; both are jittered.
-const TRIAL_GAPS_OF_FALL: (f64, f64) = (0.1, 0.6);
-/// Own demand counts towards the fall budget up to so many times what was served here before.
-const DEMAND_OF_SERVED: f64 = 1.5;
-/// With fewer messages than this over a cold return's length a courier is light: it may send so many in a
-/// deadline, whatever its part, lest its messages run out untried; many such couriers share one destination.
-const LIGHT: f64 = 2.0;
-const LIGHT_FLOOR: f64 = 0.5;
-/// After a refusal its next call comes by chance within so many calls of its pace more, for they are many.
-const LIGHT_SPREAD: f64 = 4.0;
-/// After a restart into what may be an outage its first call comes by chance within so many.
-const RESTART_SPREAD: f64 = 3.0;
-/// Shortest part of a gap that chance may leave: who failed together must not come back together.
-const TRIAL_JITTER_FROM: f64 = 0.25;
-/// A spell without success shorter than this part of the fall window needs no slow start.
-const BLIP_OF_FALL: f64 = 0.6;
-/// Evidence that opens a spell, and what each outcome adds: no connection says that it is down, a lost call
-/// or an error hints at it (two in a row, as a light courier has few), single refusals are everyday life.
-const SPELL_AFTER: u32 = 6;
+/// and its minimum in shortest aims: short pauses of a partner must not count.
+const MIN_STALL_AIMS: f64 = 0.25;
+/// Stall timeouts after which an unrepeatable call is cancelled: its messages are lost then.
+const UNSAFE_CANCEL_STALLS: u32 = 2;
+/// First and longest gap between trial calls, before jitter.
+const FIRST_TRIAL_GAP_WINDOWS: f64 = 0.1;
+const MAX_TRIAL_GAP_WINDOWS: f64 = 0.6;
+/// Own demand counts towards the collapse budget up to this multiple of the rate served before.
+const MAX_DEMAND_PER_SERVED: f64 = 1.5;
+/// Messages per warm-up time below which a courier has low traffic. It may then make this many calls per
+/// deadline whatever its share of the budget: otherwise its messages would expire without an attempt.
+const LOW_TRAFFIC_MESSAGES: f64 = 2.0;
+const LOW_TRAFFIC_CALLS_PER_DEADLINE: f64 = 0.5;
+/// Random delay of the next call after a rejection at low traffic, in calls at the allowed rate: there are
+/// many such couriers for one destination.
+const LOW_TRAFFIC_SPREAD_CALLS: f64 = 4.0;
+/// Random delay of the first call after a restart during a possible outage, in calls at the allowed rate.
+const RESTART_SPREAD_CALLS: f64 = 3.0;
+/// Minimum jitter factor of a trial gap: couriers that failed together must not retry together.
+const MIN_TRIAL_JITTER: f64 = 0.25;
+/// An outage shorter than this is not followed by a slow start.
+const SHORT_OUTAGE_WINDOWS: f64 = 0.6;
+/// Evidence from which on a route is in an outage, and how much each failure adds. A failed connection is
+/// proof. Two lost calls or errors are enough, as a courier with low traffic sees few. Single rejections are
+/// normal.
+const OUTAGE_EVIDENCE: u32 = 6;
 const EVIDENCE_NO_CONNECTION: u32 = 6;
 const EVIDENCE_LOST: u32 = 3;
-const EVIDENCE_REFUSED: u32 = 1;
-/// Part of the fall budget that is used: refused calls, batches and chance need the rest, ...
-const FALL_BUDGET_USED: f64 = 0.8;
-/// ... and many couriers so much more: those with little traffic of their own have even parts all the same.
-const FALL_BUDGET_UNEVEN: f64 = 0.05;
-/// So few couriers are even enough.
-const FEW: f64 = 4.0;
-/// On `full` the rate falls to this part of what was sent of late, at most once in `CUT_EVERY`: twice without
-/// a success, then to the part of the fall budget, as it may be an outage, or all may have to slow down.
+const EVIDENCE_REJECTED: u32 = 1;
+/// Share of the collapse budget that is used. Rejected calls, batches and random variation need the rest.
+const COLLAPSE_BUDGET_USED: f64 = 0.8;
+/// Further share left unused when there are many couriers: those with low traffic get a fair share
+/// regardless.
+const COLLAPSE_BUDGET_RESERVE: f64 = 0.05;
+/// Up to this many couriers no such reserve is needed.
+const FEW_COURIERS: f64 = 4.0;
+/// Factors applied to the recent call rate on rejections, at most one per interval. After two cuts without a
+/// success the rate falls to the collapse budget: it may be an outage, or all couriers may have to slow down.
 const RATE_CUTS: [f64; 3] = [0.75, 0.5, 0.0];
-const CUT_EVERY: Duration = Duration::from_millis(500);
-/// Growth of a rate that binds with each answer, as a part of itself or of one call an aim: with the cuts it
-/// settles where a fixed part of the calls is refused, however many couriers share the limit.
+const RATE_CUT_INTERVAL: Duration = Duration::from_millis(500);
+/// Growth of a limiting rate per answer, as a share of itself or of one call per aim if that is less.
+/// Together with the cuts, a fixed share of the calls is rejected however many couriers share the limit.
 const RATE_GROWTH: f64 = 0.25;
-/// A refusal with more than this share of the limit left, as told, is not for the limit.
-const ROOM_LEFT: f64 = 0.3;
-/// The share of a limit that is to be left, where it is told. The pace leans by so much of what is left
-/// beyond it, and its base follows by so much of it a second: the share is told late, and whoever follows it
-/// faster meets what all others did with the same news.
-const KEPT_LEFT: f64 = 0.4;
-const LEFT_LEAN: f64 = 0.5;
-const LEFT_GROWTH_A_S: f64 = 0.5;
-/// An even part of a told limit that no cut goes below, but the last: with all couriers there, it is kept.
-const EVEN_PART: f64 = 0.9;
-/// A new route starts at so many even parts of its limit: many at the whole of it would send many times that.
-const START_PARTS: f64 = 2.0;
-/// What was sent of late: calls over about so many seconds.
-const LATE_S: f64 = 1.0;
-/// Tokens that may be saved up, in seconds of the rate; one call at least.
+/// A rejection with a larger share of the advertised limit unused is not due to the limit.
+const REJECTED_WITH_ROOM: f64 = 0.3;
+/// Share of an advertised limit to leave unused. The allowed rate changes by `REMAINING_GAIN` of the
+/// deviation, the base rate by `REMAINING_GROWTH_PER_S` of it per second. Reports are delayed: faster control
+/// would add to the reaction of all other couriers to the same report.
+const TARGET_REMAINING: f64 = 0.4;
+const REMAINING_GAIN: f64 = 0.5;
+const REMAINING_GROWTH_PER_S: f64 = 0.5;
+/// Fair shares of the limit below which only the last rate cut goes: all couriers at this rate stay within
+/// it.
+const FAIR_SHARE_USED: f64 = 0.9;
+/// Rate of a new route: if many couriers started at the whole limit, they would exceed it many times.
+const INITIAL_FAIR_SHARES: f64 = 2.0;
+/// Time over which recent calls are counted.
+const RECENT_CALLS_S: f64 = 1.0;
+/// Size of the token bucket in seconds of the rate; at least one call.
 const BURST_S: f64 = 0.4;
-/// Part of a tenant's quota assumed to be this courier's, in even parts; traffic is not even.
-const QUOTA_PART: f64 = 1.25;
-/// An endpoint in another zone is chosen only with so many calls fewer out than the ones here.
-const FAR_CALLS: usize = 2;
-/// Weight of what waiting for one more aim would lose, against the worth itself.
-const WAITING_LOSS: f64 = 2.0;
-/// Calls out to a destination in a spell, as a part of the free slots; one at least.
-const TRIAL_SLOTS: f64 = 0.25;
-/// Share of the messages that may be held above which the least worth are shed, or not taken on.
-const SHED_ABOVE: f64 = 0.93;
-/// Weight of the newest loss or answer on an idle connection in the risk that such are dropped unseen.
-const REAPED_GAIN: f64 = 0.15;
-/// Risk from which on idle connections are closed before use: by an unsafe message, which would be lost, and
-/// by one that can be repeated, which would only be late.
-const REAPED_RISKS: (f64, f64) = (0.03, 0.25);
-/// ... beyond so many times the risk of a call on a new connection, which chance moves too.
-const REAPED_OTHER: f64 = 2.0;
-/// A connection in use until this part of the shortest aim ago was not idle: what it loses has other causes.
-const REAPED_LEAST_AIM: f64 = 0.1;
-/// Connections idle for this part of the shortest time that lost a call are trusted.
-const REAPED_MARGIN: f64 = 0.7;
-/// While idle connections are closed, one is tried so many of the shortest aim after the last loss.
-const REAPED_CHECK_AIMS: f64 = 4.0;
-
-// ---- State ----
-
-/// A courier: records events in `handle`, acts in `decide`.
-#[derive(Default, Serialize, Deserialize)]
-pub struct Courier {
-    #[serde(skip)]
-    settings: Settings,
-    #[serde(skip)]
-    rng: fastrand::Rng,
-    addresses: BTreeMap<EndpointId, Address>,
-    routes: BTreeMap<RouteId, Route>,
-    /// Messages not answered, by destination. Rebuilt from `messages` in a hand-over.
-    #[serde(skip)]
-    queues: Queues,
-    #[serde(skip)]
-    due: DueDestinations,
-    messages: BTreeMap<MessageId, Message>,
-    /// Messages taken so far.
-    arrivals: u64,
-    /// What is left of each tenant's share, and since when.
-    shares: BTreeMap<TenantId, (f64, Time)>,
-    open: usize,
-    deadlines: BTreeSet<(Time, MessageId)>,
-    /// Messages in their turn, with their arrivals.
-    keys: BTreeMap<OrderKey, BTreeSet<(u64, MessageId)>>,
-    rests: BTreeMap<OrderKey, Time>,
-    calls: BTreeMap<u64, Call>,
-    last_call: u64,
-    /// Latency over all destinations: what one that was never called is assumed to need.
-    usual: Latency,
-    reaping: Reaping,
-    /// After a restart no order key is used before this: any of them may have had a call out.
-    keys_rest: Time,
-    /// When this courier ends, if that is known.
-    closing: Option<Time>,
-    wake: Option<(Time, u64)>,
-    token: u64,
-    /// What is to be done, until `decide` hands it over.
-    #[serde(skip)]
-    actions: Vec<Action>,
-}
+/// Part of a tenant's quota that this courier grants: more than a fair share, as traffic is uneven.
+const QUOTA_FAIR_SHARES: f64 = 1.25;
+/// Calls in flight by which an endpoint in another zone must be ahead of a local one to be chosen.
+const REMOTE_ZONE_CALLS: usize = 2;
+/// Weight in the priority of the worth lost by waiting for one more aim.
+const WAITING_LOSS_WEIGHT: f64 = 2.0;
+/// Share of the free slots that calls to a destination in an outage may use; at least one call.
+const TRIAL_SLOT_SHARE: f64 = 0.25;
+/// Share of `max_held` from which on messages of the least worth are shed or rejected.
+const SHED_ABOVE_SHARE: f64 = 0.93;
+/// Weight of a new sample in the risk that idle connections are dropped without notice.
+const IDLE_DROP_GAIN: f64 = 0.15;
+/// Risk from which on idle connections are closed before use: by an unrepeatable message, which would be
+/// lost, and by a repeatable one, which would only be late.
+const MAX_IDLE_RISK_UNSAFE: f64 = 0.03;
+const MAX_IDLE_RISK_REPEATABLE: f64 = 0.25;
+/// Added to that: this multiple of the risk on new connections, which varies randomly.
+const IDLE_DROP_BASELINES: f64 = 2.0;
+/// A connection used more recently than this, in shortest aims, is not idle: its losses have other causes.
+const MIN_IDLE_AIMS: f64 = 0.1;
+/// Connections idle for up to this share of the shortest idle time that lost a call are used.
+const TRUSTED_IDLE_SHARE: f64 = 0.7;
+/// While idle connections are closed, one is tried this many shortest aims after the last loss.
+const IDLE_DROP_CHECK_AIMS: f64 = 4.0;
+
+// ---- Interface ----
 
 impl Courier {
-    /// A courier that knows only its settings; `seed` is its one source of chance.
+    /// A courier without endpoints and messages. All random decisions derive from `seed`.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let first = shortest_aim(&settings) * FIRST_LATENCY_OF_AIM;
-        let usual = Latency { mean: first, deviation: first, samples: 0 };
-        Courier { settings, rng: fastrand::Rng::with_seed(seed), usual, ..Courier::default() }
+        let first = shortest_aim_seconds(&settings) * INITIAL_LATENCY_AIMS;
+        let overall_latency = LatencyEstimate { mean: first, deviation: first, samples: 0 };
+        Courier { settings, rng: fastrand::Rng::with_seed(seed), overall_latency, ..Courier::default() }
     }
 
-    /// Records one event. Call [`Courier::decide`] after the last one of a batch.
+    /// Records an event. Call [`Courier::decide`] after the last event of a batch.
     pub fn handle(&mut self, now: Time, event: Event) {
-        self.touch_all_of(&event);
+        self.mark_due_for(&event);
         match event {
             Event::Listed(listing) => self.on_listing(now, listing),
             Event::Suspended(id) => {
-                if let Some(address) = self.addresses.get_mut(&id) {
-                    address.suspended = true;
+                if let Some(endpoint) = self.endpoints.get_mut(&id) {
+                    endpoint.suspended = true;
                 }
             }
             Event::Reinstated(id) => self.on_reinstated(now, id),
             Event::Accept(message) => self.on_accept(now, message),
             Event::Restored(message) => self.on_restored(now, message),
-            Event::Recalled(outage) => self.on_recalled(now, outage),
-            Event::Heard(id) => {
+            Event::OutageRestored(record) => self.on_outage_restored(now, record),
+            Event::AnswerAcknowledged(id) => {
                 if let Some(message) = self.messages.get_mut(&id) {
-                    message.unheard = false;
+                    message.unacknowledged = false;
                 }
-                self.forget_if_over(now, id);
+                self.forget_if_final(now, id);
             }
-            Event::Trials(to, trials) => {
-                if let Some(route) = self.routes.get_mut(&RouteId(to, None)) {
-                    route.trials = trials;
+            Event::TrialOwnerChanged(destination, owner) => {
+                if let Some(route) = self.routes.get_mut(&RouteId(destination, None)) {
+                    route.trial_owner = owner;
                 }
             }
-            Event::Learnt(to, news) => self.on_learnt(now, to, news),
-            Event::Closing(at) => self.closing = Some(at),
+            Event::PeerReported(destination, report) => self.on_peer_report(now, destination, report),
+            Event::ShutdownAt(at) => self.shutdown_at = Some(at),
             Event::Finished(finished) => self.on_finished(now, finished),
             Event::ClientGone(id) => self.close(now, id),
-            Event::TickDue(token) => self.wake = self.wake.filter(|(_, set)| *set != token),
+            Event::TimerExpired(token) => self.timer = self.timer.filter(|(_, set)| *set != token),
             Event::FirstByte(_) | Event::Probed { .. } | Event::Note { .. } => {}
         }
     }
 
-    /// When a client does well to come again with a message for this destination: what waits there has to go
-    /// out first, and a told wait to pass.
-    pub fn come_back(&mut self, now: Time, to: DestinationId) -> Duration {
-        let aim = Duration::from_secs_f64(shortest_aim(&self.settings));
-        let waiting = self.queues.held(to) as f64;
-        let routes: Vec<RouteId> = self.routes.range(routes_of(to)).map(|(id, _)| *id).collect();
-        let pace: f64 = routes.iter().map(|id| self.pace(now, *id)).sum();
-        let wait = routes.iter().map(|id| self.routes[id].told_wait - now).min().unwrap_or_default();
-        self.due.mark_changed(to);
-        let backlog = Duration::from_secs_f64((waiting / pace.max(0.001)).min(aim.as_secs_f64()));
-        wait.max(backlog).clamp(aim.mul_f64(BACKOFF_BASE_OF_AIM), aim.mul_f64(BACKOFF_CAP_OF_AIM))
+    /// Suggested delay before a client enqueues another message for this destination: the backlog has to be
+    /// sent first, and the retry-after time of the destination has to pass.
+    pub fn retry_after(&mut self, now: Time, destination: DestinationId) -> Duration {
+        let aim = Duration::from_secs_f64(shortest_aim_seconds(&self.settings));
+        let waiting = self.queues.open_messages(destination) as f64;
+        let routes: Vec<RouteId> = self.routes.range(routes_of(destination)).map(|(id, _)| *id).collect();
+        let rate: f64 = routes.iter().map(|id| self.allowed_rate(now, *id)).sum();
+        let wait = routes.iter().map(|id| self.routes[id].retry_after_until - now).min().unwrap_or_default();
+        self.due.mark_outage_changed(destination);
+        let backlog = Duration::from_secs_f64((waiting / rate.max(0.001)).min(aim.as_secs_f64()));
+        wait.max(backlog).clamp(aim.mul_f64(BACKOFF_BASE_AIMS), aim.mul_f64(MAX_BACKOFF_AIMS))
     }
 
-    /// Acts on all that was recorded.
+    /// Appends the actions that follow from the events recorded so far.
     pub fn decide(&mut self, now: Time, actions: &mut Vec<Action>) {
-        self.answer_due(now);
+        self.answer_expired(now);
         self.shed(now);
-        let mut next = self.note_stalls(now);
-        self.free_pinned_slot(now);
-        self.send_ready(now, &mut next);
-        self.set_wake(now, next);
+        let mut next = self.mark_stalled_calls(now);
+        self.cancel_stalled_call(now);
+        self.fill_free_slots(now, &mut next);
+        self.set_timer(now, next);
         actions.append(&mut self.actions);
     }
 
     // ---- Events ----
 
     fn on_listing(&mut self, now: Time, listing: Listing) {
-        let (entries, mut over): (Vec<Endpoint>, Vec<EndpointId>) = match listing {
+        let (entries, mut removed): (Vec<Endpoint>, Vec<EndpointId>) = match listing {
             Listing::Failed => return,
             Listing::Changes(entries) => (entries, Vec::new()),
             Listing::Whole(entries) => {
-                // What a whole list does not name is gone: it gets nothing new from now on.
-                self.addresses.values_mut().for_each(|address| address.entry.mode = Mode::Gone);
-                (entries, self.addresses.keys().copied().collect())
+                // Endpoints that are not in a complete listing are gone.
+                self.endpoints.values_mut().for_each(|endpoint| endpoint.entry.mode = Mode::Gone);
+                (entries, self.endpoints.keys().copied().collect())
             }
         };
-        over.extend(entries.iter().map(|entry| entry.id));
+        removed.extend(entries.iter().map(|entry| entry.id));
         for entry in entries {
-            if entry.mode == Mode::Gone && !self.addresses.contains_key(&entry.id) {
+            if entry.mode == Mode::Gone && !self.endpoints.contains_key(&entry.id) {
                 continue;
             }
-            let weight = self.weight_of(&entry);
-            let usual = self.usual;
-            let an_aim = shortest_aim(&self.settings).recip();
-            let start = match self.settings.weights {
-                WeightSource::Silent => weight,
-                _ => (weight * START_PARTS / couriers(&self.settings)).max(an_aim).min(weight),
+            let limit = self.listed_limit(&entry);
+            let latency = self.overall_latency;
+            let call_per_aim = shortest_aim_seconds(&self.settings).recip();
+            let rate = match self.settings.weight_source {
+                WeightSource::Unspecified => limit,
+                _ => {
+                    (limit * INITIAL_FAIR_SHARES / courier_count(&self.settings)).max(call_per_aim).min(limit)
+                }
             };
-            let batch = self.settings.kinds.get(usize::from(entry.kind.0)).map_or(1, |k| k.batch.max(1));
-            let here = self.route_of(&entry);
-            // One that is given to another destination serves that one alone.
-            let before =
-                self.addresses.get(&entry.id).map(|a| self.route_of(&a.entry)).filter(|r| *r != here);
-            if let Some(route) = before.and_then(|before| self.routes.get_mut(&before)) {
+            let max_batch =
+                self.settings.kinds.get(usize::from(entry.kind.0)).map_or(1, |k| k.max_batch.max(1));
+            let route_id = self.route_of(&entry);
+            // An endpoint that moved to another destination leaves its previous route.
+            let known = self.endpoints.get(&entry.id);
+            let previous = known.map(|known| self.route_of(&known.entry)).filter(|id| *id != route_id);
+            if let Some(route) = previous.and_then(|previous| self.routes.get_mut(&previous)) {
                 route.endpoints.retain(|endpoint| *endpoint != entry.id);
             }
-            let route = self.routes.entry(here).or_insert_with(|| {
-                let (rate, tokens, filled, latency, last_answer) = (start, 1.0, now, usual, now);
-                let (left, told_at, listed) = (KEPT_LEFT, now, weight);
-                let route = Route { rate, tokens, filled, latency, last_answer, left, ..Route::default() };
-                Route { weight, listed, told_at, ..route }
-            });
-            route.batch = batch;
-            // What answers told stands until the list says something new.
-            if route.listed != weight {
-                route.listed = weight;
-                route.set_limit(weight);
+            let new_route = || Route::new(now, limit, rate, TARGET_REMAINING, latency);
+            let route = self.routes.entry(route_id).or_insert_with(new_route);
+            route.max_batch = max_batch;
+            // An advertised limit stays valid until the listing changes.
+            if route.listed_limit != limit {
+                route.listed_limit = limit;
+                route.set_limit(limit);
             }
-            if let Some(known) = self.addresses.get_mut(&entry.id) {
+            if let Some(known) = self.endpoints.get_mut(&entry.id) {
                 known.entry = entry;
-                if before.is_some() {
+                if previous.is_some() {
                     route.endpoints.push(known.entry.id);
                 }
                 continue;
             }
             route.endpoints.push(entry.id);
-            let (id, preference, avoid_until) = (entry.id, self.rng.u32(..), Time::ZERO);
-            let (calls_out, failures, used, suspended, cold) = (0, 0, None, false, None);
-            let address =
-                Address { entry, calls_out, preference, failures, avoid_until, used, suspended, cold };
-            self.addresses.insert(id, address);
+            self.endpoints.insert(entry.id, EndpointState::new(entry, self.rng.u32(..)));
         }
-        let is_over = |a: &Address| a.entry.mode == Mode::Gone && a.calls_out == 0;
-        over.retain(|id| self.addresses.get(id).is_some_and(is_over));
-        over.into_iter().for_each(|id| self.forget_address(id));
+        let is_unused = |e: &EndpointState| e.entry.mode == Mode::Gone && e.calls_in_flight == 0;
+        removed.retain(|id| self.endpoints.get(id).is_some_and(is_unused));
+        removed.into_iter().for_each(|id| self.forget_endpoint(id));
     }
 
-    /// Forgets an endpoint that is gone and has no call out. What was learnt of its destination stays, except
-    /// where it was a route of its own.
-    fn forget_address(&mut self, id: EndpointId) {
-        let Some(address) = self.addresses.remove(&id) else { return };
-        let route_id = self.route_of(&address.entry);
+    /// Forgets an endpoint that is gone and has no calls in flight. The state of its destination is kept,
+    /// unless the endpoint was a route of its own.
+    fn forget_endpoint(&mut self, id: EndpointId) {
+        let Some(endpoint) = self.endpoints.remove(&id) else { return };
+        let route_id = self.route_of(&endpoint.entry);
         if let Some(route) = self.routes.get_mut(&route_id) {
             route.endpoints.retain(|endpoint| *endpoint != id);
             if route_id.1.is_some() {
@@ -304,954 +263,997 @@
         }
     }
 
-    /// An endpoint that was out by hand comes back cold. Beside others it gets its own part of the fall
-    /// budget, and they the rest; alone it is the destination that returns.
+    /// A reinstated endpoint is cold. If its route has warm endpoints, it gets a fair part of the collapse
+    /// budget and they get the other calls; otherwise the whole route makes a slow start.
     fn on_reinstated(&mut self, now: Time, id: EndpointId) {
-        let Some(route_id) = self.addresses.get(&id).map(|a| self.route_of(&a.entry)) else { return };
-        let Some(address) = self.addresses.get_mut(&id).filter(|a| a.suspended) else { return };
+        let Some(route_id) = self.endpoints.get(&id).map(|e| self.route_of(&e.entry)) else { return };
+        let Some(endpoint) = self.endpoints.get_mut(&id).filter(|a| a.suspended) else { return };
         let Some(route) = self.routes.get_mut(&route_id) else { return };
-        (address.suspended, address.cold, address.failures) = (false, Some(now), 0);
-        // By chance, as all couriers may hear of it at one moment.
-        address.avoid_until = now + route.cold_gap(now, &self.settings, 0.0).mul_f64(self.rng.f64());
-        let warm = |a: &Address| a.is_open() && a.cold.is_none();
-        if !route.endpoints.iter().filter_map(|id| self.addresses.get(id)).any(warm) {
-            (route.returned, route.filled, route.tokens) = (Some(now), now, 0.0);
+        endpoint.suspended = false;
+        endpoint.cold_since = Some(now);
+        endpoint.failures = 0;
+        // Random, as all couriers may learn of it at the same time.
+        let interval = route.cold_endpoint_interval(now, &self.settings, 0.0);
+        endpoint.avoid_until = now + interval.mul_f64(self.rng.f64());
+        let is_warm = |e: &EndpointState| e.is_open() && e.cold_since.is_none();
+        if !route.endpoints.iter().filter_map(|id| self.endpoints.get(id)).any(is_warm) {
+            route.slow_start_since = Some(now);
+            route.refilled_at = now;
+            route.tokens = 0.0;
         }
     }
 
-    fn on_accept(&mut self, now: Time, taken: Accepted) {
-        let Some(class) = self.settings.classes.get(usize::from(taken.class.0)) else { return };
-        let id = taken.id;
-        let born = taken.deadline - class.deadline;
-        // A keyed message of a courier that died may have run there at any time since it was handed in. Where
-        // that seems to lie ahead the clock was put back since, and when it was cannot be told.
-        let may_have_run = taken.from_dead_courier && class.effect == Effect::Keyed;
-        let ran = Some(born).filter(|born| *born <= now).unwrap_or(Time::ZERO);
-        if let (true, Some(key)) = (class.in_order, taken.key) {
-            self.keys.entry(key).or_default().insert((self.arrivals, id));
-        }
-        self.deadlines.insert((taken.deadline, id));
-        self.queues.join(taken.destination);
-        self.open += 1;
-        for (_, route) in self.routes.range_mut(routes_of(taken.destination)) {
-            route.demand.rate(now, cold_s(&self.settings), 1.0);
-        }
-        let over_share = self.is_over_share(now, taken.tenant);
-        let mut message = Message::new(now, taken, self.arrivals, born, over_share);
-        message.maybe_ran = may_have_run.then_some((ran, None));
-        self.arrivals += 1;
+    fn on_accept(&mut self, now: Time, accepted: Accepted) {
+        let Some(class) = self.settings.classes.get(usize::from(accepted.class.0)) else { return };
+        let id = accepted.id;
+        let enqueued_at = accepted.deadline - class.deadline;
+        // A keyed message of a courier that died may have run there at any time since it was enqueued. If
+        // that is in the future, the clock was set back and the time is unknown.
+        let may_have_run = accepted.from_dead_courier && class.effect == Effect::Keyed;
+        let ran_at = Some(enqueued_at).filter(|at| *at <= now).unwrap_or(Time::ZERO);
+        if let (true, Some(key)) = (class.in_order, accepted.key) {
+            self.key_queues.entry(key).or_default().insert((self.accepted_count, id));
+        }
+        self.deadlines.insert((accepted.deadline, id));
+        self.queues.add_message(accepted.destination);
+        self.open_messages += 1;
+        for (_, route) in self.routes.range_mut(routes_of(accepted.destination)) {
+            route.demand.add_and_rate(now, warm_up_seconds(&self.settings), 1.0);
+        }
+        let over_quota = self.is_over_quota(now, accepted.tenant);
+        let mut message = Message::new(now, accepted, self.accepted_count, enqueued_at, over_quota);
+        message.may_have_run = may_have_run.then_some((ran_at, None));
+        self.accepted_count += 1;
         let end = self.last_send(&message);
         self.messages.insert(id, message);
-        self.place(now, id);
-        // What ran too long ago, in a courier that died, is answered at once.
+        self.reindex(now, id);
+        // If its repeat window is already over, it is answered at once.
         self.deadlines.extend(end.map(|end| (end.max(now), id)));
     }
 
-    /// Takes a message up again after a restart. Calls that were out then broke with the old process at the
-    /// latest, so that keys rest from now on.
+    /// Continues a message after a restart. Calls of the previous process ended by now at the latest, so
+    /// order keys are blocked for the settling time from now on.
     fn on_restored(&mut self, now: Time, restored: Restored) {
-        let id = restored.taken.id;
-        let rest = now + self.settings.rules.order_settle;
-        if self.keys_rest != rest {
-            self.keys_rest = rest;
-            self.place_fronts(now);
+        let id = restored.accepted.id;
+        let blocked_until = now + self.settings.rules.order_settle;
+        if self.all_keys_blocked_until != blocked_until {
+            self.all_keys_blocked_until = blocked_until;
+            self.reindex_first_of_all_keys(now);
         }
-        self.on_accept(now, restored.taken);
+        self.on_accept(now, restored.accepted);
         let Some(message) = self.messages.get_mut(&id) else { return };
         message.attempts = restored.attempts;
-        message.maybe_ran = message.maybe_ran.or(restored.maybe_ran);
+        message.may_have_run = message.may_have_run.or(restored.may_have_run);
         if restored.answered {
-            message.unheard = true;
+            message.unacknowledged = true;
             self.close(now, id);
         } else if let Some(end) = self.messages.get(&id).and_then(|m| self.last_send(m)) {
             self.deadlines.insert((end.max(now), id));
         }
-        self.place(now, id);
+        self.reindex(now, id);
     }
 
-    fn on_recalled(&mut self, now: Time, outage: Outage) {
+    fn on_outage_restored(&mut self, now: Time, record: OutageRecord) {
         let (settings, chance) = (&self.settings, self.rng.f64());
-        let Some(route) = self.routes.get_mut(&RouteId(outage.destination, outage.endpoint)) else { return };
-        (route.last_answer, route.evidence) = (outage.since, outage.evidence);
-        // Of which kind that was is not written down; it ends with the first success.
-        route.doubtful = outage.evidence >= EVIDENCE_LOST;
-        (route.returned, route.share) = (outage.returned, outage.share);
-        // Who is started again beside others must not come back with them, each with a call saved up.
-        route.tokens = if outage.evidence > 0 { 0.5 - chance * RESTART_SPREAD } else { 0.0 };
-        if let Some(lost) = outage.lost {
-            route.spell = Some(Spell { began: outage.since, failed: true, lost, ..Spell::default() });
-            route.plan_trial(now, settings, chance);
+        let Some(route) = self.routes.get_mut(&RouteId(record.destination, record.endpoint)) else { return };
+        route.last_success = record.since;
+        route.outage_evidence = record.evidence;
+        // The record does not say what the evidence was. The next success resets it.
+        route.unanswered_call = record.evidence >= EVIDENCE_LOST;
+        route.slow_start_since = record.slow_start_since;
+        route.served_rate = record.served_rate;
+        // Couriers that restart together must not each start with a saved call.
+        route.tokens = if record.evidence > 0 { 0.5 - chance * RESTART_SPREAD_CALLS } else { 0.0 };
+        if let Some(calls_lost) = record.calls_lost {
+            let (began, confirmed) = (record.since, true);
+            route.outage = Some(OutageState { began, confirmed, calls_lost, ..OutageState::default() });
+            route.schedule_trial(now, settings, chance);
         }
     }
 
-    /// Another courier tried for all: it counts as if this one had, but for what this one saw since.
-    fn on_learnt(&mut self, now: Time, to: DestinationId, news: News) {
+    /// Treats the result of another courier's trial call like an own one, unless this courier has newer
+    /// results.
+    fn on_peer_report(&mut self, now: Time, destination: DestinationId, report: PeerReport) {
         let (settings, chance) = (&self.settings, self.rng.f64());
-        let blip = settings.rules.fall.mul_f64(BLIP_OF_FALL);
-        let Some(route) = self.routes.get_mut(&RouteId(to, None)) else { return };
-        match news {
-            News::Wait(until) if until - now > blip => {
-                route.told_wait = route.told_wait.max(until);
-                route.shut(now, settings, chance);
+        let short_outage = settings.rules.collapse_window.mul_f64(SHORT_OUTAGE_WINDOWS);
+        let Some(route) = self.routes.get_mut(&RouteId(destination, None)) else { return };
+        match report {
+            PeerReport::RetryAfter(until) if until - now > short_outage => {
+                route.retry_after_until = route.retry_after_until.max(until);
+                route.close_until_retry_after(now, settings, chance);
             }
-            News::Wait(_) => {}
-            News::Served(at) => {
-                if route.spell.as_ref().is_some_and(|spell| spell.began < at) {
-                    route.back(at, blip);
-                    route.last_answer = at;
+            PeerReport::RetryAfter(_) => {}
+            PeerReport::Served(at) => {
+                if route.outage.as_ref().is_some_and(|outage| outage.began < at) {
+                    route.end_outage(at, short_outage);
+                    route.last_success = at;
                 }
             }
         }
     }
 
-    /// Whether a tenant is past its quota. The quota is for all couriers together, and what others take of it
-    /// cannot be seen: what passes the part assumed to be this courier's counts as beyond.
-    fn is_over_share(&mut self, now: Time, tenant: TenantId) -> bool {
+    /// Whether a tenant exceeds its quota. The quota is shared by all couriers, whose use of it is unknown
+    /// here: this courier grants a fixed part of it.
+    fn is_over_quota(&mut self, now: Time, tenant: TenantId) -> bool {
         let Some(quota) = self.settings.tenants.get(tenant.0 as usize).map(|t| t.quota) else { return false };
-        let part = (QUOTA_PART / couriers(&self.settings)).min(1.0);
-        let (left, since) = self.shares.entry(tenant).or_insert((quota * part, now));
+        let part = (QUOTA_FAIR_SHARES / courier_count(&self.settings)).min(1.0);
+        let (left, since) = self.quotas.entry(tenant).or_insert((quota * part, now));
         *left = (*left + (now - *since).as_secs_f64() * quota * part).min(quota * part);
         *since = now;
-        let over = *left < 1.0;
-        if !over {
+        let is_over = *left < 1.0;
+        if !is_over {
             *left -= 1.0;
         }
-        over
+        is_over
     }
 
     fn on_finished(&mut self, now: Time, finished: Finished) {
-        // A wait binds from the batch that tells it, whichever message of a call brings it, and whatever
-        // became of that message.
-        if let Outcome::Full(Some(wait)) = finished.outcome {
-            let route = self.addresses.get(&finished.endpoint).map(|a| self.route_of(&a.entry));
+        // A retry-after time applies at once, whichever message of a call reports it, even if the message is
+        // gone.
+        if let Outcome::Rejected(Some(wait)) = finished.outcome {
+            let route = self.endpoints.get(&finished.endpoint).map(|e| self.route_of(&e.entry));
             if let Some(route) = route.and_then(|id| self.routes.get_mut(&id)) {
-                route.told_wait = route.told_wait.max(now + wait);
+                route.retry_after_until = route.retry_after_until.max(now + wait);
             }
         }
         let Some(message) = self.messages.get_mut(&finished.message) else { return };
-        let Some(call_id) = message.out.take() else { return };
+        let Some(call_id) = message.in_flight_call.take() else { return };
         let Some(call) = self.calls.get_mut(&call_id) else { return };
-        let class = &self.settings.classes[usize::from(message.taken.class.0)];
+        let class = &self.settings.classes[usize::from(message.accepted.class.0)];
         let never_ran = matches!(
             finished.outcome,
-            Outcome::Full(_) | Outcome::ConnectFailed | Outcome::Moot | Outcome::Spent
+            Outcome::Rejected(_) | Outcome::ConnectFailed | Outcome::NotSent | Outcome::AttemptsExhausted
         );
-        if finished.outcome == Outcome::Spent {
-            message.attempts = self.settings.send_cap;
+        if finished.outcome == Outcome::AttemptsExhausted {
+            message.attempts = self.settings.max_attempts;
         }
-        if !never_ran && message.maybe_ran.is_none() {
-            message.maybe_ran = Some((call.sent, call.zone.known()));
+        if !never_ran && message.may_have_run.is_none() {
+            message.may_have_run = Some((call.sent_at, call.zone.known()));
         }
-        // Half of what is left of a short window at the most, or the repeat would not fit.
-        let window = window_left(now, class, message.maybe_ran.map(|(first, _)| first));
-        let gap = growing_gap(class.aim, BACKOFF_BASE_OF_AIM, message.attempts)
-            .min(class.aim.mul_f64(BACKOFF_CAP_OF_AIM).min(window / 2));
+        // At most half of the remaining repeat window, so that the repeat fits into a short one.
+        let window = resend_time_left(now, class, message.may_have_run.map(|(first, _)| first));
+        let gap = exponential_backoff(class.aim, BACKOFF_BASE_AIMS, message.attempts)
+            .min(class.aim.mul_f64(MAX_BACKOFF_AIMS).min(window / 2));
         message.not_before = now + gap.mul_f64(self.rng.f64());
-        // A call that may still be running lets its key rest before the next message of the key.
+        // An attempt that may still be running blocks its order key for a while.
         let unsettled = !never_ran && !matches!(finished.outcome, Outcome::Ok | Outcome::Error);
-        if let (true, true, Some(key)) = (unsettled, class.in_order, message.taken.key) {
-            self.rests.retain(|_, until| *until > now);
-            self.rests.insert(key, now + margins::key_rest(&self.settings));
+        if let (true, true, Some(key)) = (unsettled, class.in_order, message.accepted.key) {
+            self.keys_blocked_until.retain(|_, until| *until > now);
+            self.keys_blocked_until.insert(key, now + margins::key_block_time(&self.settings));
         }
-        // Only a call's last outcome counts for the route: its messages share one fate.
-        call.unanswered -= 1;
-        if call.unanswered == 0 {
+        // Only the last outcome of a call updates the route, as its messages share their fate.
+        call.pending_outcomes -= 1;
+        if call.pending_outcomes == 0 {
             if let Some(call) = self.calls.remove(&call_id) {
                 self.end_call(now, call_id, call, &finished);
             }
         }
         if finished.complete {
-            if finished.outcome == Outcome::Ok && !self.is_surely_in_time(now, finished.message) {
-                self.await_hearing(finished.message);
+            if finished.outcome == Outcome::Ok && !self.is_certainly_in_time(now, finished.message) {
+                self.await_acknowledgement(finished.message);
             }
             self.close(now, finished.message);
         } else if let Some(end) = self.messages.get(&finished.message).and_then(|m| self.last_send(m)) {
-            // What can never be sent again is answered at once: it would only fill what may be held and keep
-            // its order key from the messages behind it.
+            // A message that can never be sent again is answered at once: it would only take up room and
+            // block the messages behind it in its order key.
             self.deadlines.insert((end.max(now), finished.message));
         }
-        self.place(now, finished.message);
-        self.forget_if_over(now, finished.message);
+        self.reindex(now, finished.message);
+        self.forget_if_final(now, finished.message);
     }
 
-    /// Until when a message may be sent again, if that ends before its deadline.
+    /// Last time at which a message may be sent; `None` if only its deadline limits it.
     fn last_send(&self, message: &Message) -> Option<Time> {
         let class = self.class(message);
-        match (message.maybe_ran, class.effect) {
-            _ if message.attempts >= self.settings.send_cap => Some(Time::ZERO),
+        match (message.may_have_run, class.effect) {
+            _ if message.attempts >= self.settings.max_attempts => Some(Time::ZERO),
             (Some(_), Effect::Unsafe) => Some(Time::ZERO),
             (Some((first, _)), Effect::Keyed) => Some(window_end(class, first)),
             _ => None,
         }
     }
 
-    /// Frees the slot of a call and lets address, connections and route learn from its outcome.
+    /// Frees the slot of a call and updates endpoint, idle drop estimate and route with its outcome.
     fn end_call(&mut self, now: Time, id: u64, call: Call, finished: &Finished) {
         if let Some(route) = self.routes.get_mut(&call.route) {
-            route.out.remove(&id);
+            route.calls_in_flight.remove(&id);
         }
         let lost = matches!(finished.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled);
-        let reaped =
-            lost && self.reaping.risk > 0.0 && call.idle.is_some_and(|idle| idle >= self.reaping.idle);
+        // Lost because its idle connection had probably been dropped: says nothing about the endpoint.
+        let dropped = lost
+            && self.idle_drops.risk > 0.0
+            && call.connection_idle.is_some_and(|idle| idle >= self.idle_drops.shortest_lost_idle);
         if !(lost && call.stalled) {
-            self.learn_of_idle(now, call.idle, lost, finished.outcome == Outcome::Ok);
+            self.update_idle_drops(now, call.connection_idle, lost, finished.outcome == Outcome::Ok);
         }
         let rules = &self.settings.rules;
-        if let Some(address) = self.addresses.get_mut(&call.to) {
-            address.calls_out = address.calls_out.saturating_sub(1);
+        if let Some(endpoint) = self.endpoints.get_mut(&call.endpoint) {
+            endpoint.calls_in_flight = endpoint.calls_in_flight.saturating_sub(1);
             match finished.outcome {
-                Outcome::Ok => (address.used, address.failures) = (Some(now), 0),
-                Outcome::Full(_) => address.used = Some(now),
-                _ if reaped => {}
+                Outcome::Ok => (endpoint.last_used, endpoint.failures) = (Some(now), 0),
+                Outcome::Rejected(_) => endpoint.last_used = Some(now),
+                _ if dropped => {}
                 Outcome::ConnectFailed | Outcome::Timeout | Outcome::Reset | Outcome::Error => {
-                    address.failures += 1;
-                    let gap = growing_gap(rules.fall, TRIAL_GAPS_OF_FALL.0, address.failures).min(rules.cold);
-                    address.avoid_until = now + gap.mul_f64(self.rng.f64());
+                    endpoint.failures += 1;
+                    let window = rules.collapse_window;
+                    let gap = exponential_backoff(window, FIRST_TRIAL_GAP_WINDOWS, endpoint.failures);
+                    endpoint.avoid_until = now + gap.min(rules.warm_up).mul_f64(self.rng.f64());
                 }
-                Outcome::Spoilt | Outcome::Cancelled | Outcome::Moot | Outcome::Spent => {}
+                Outcome::Malformed | Outcome::Cancelled | Outcome::NotSent | Outcome::AttemptsExhausted => {}
             }
-            if address.calls_out == 0 && address.entry.mode == Mode::Gone {
-                self.forget_address(call.to);
+            if endpoint.calls_in_flight == 0 && endpoint.entry.mode == Mode::Gone {
+                self.forget_endpoint(call.endpoint);
             }
         }
-        if !reaped {
-            self.learn(now, finished, &call);
+        if !dropped {
+            self.update_route(now, finished, &call);
         }
     }
 
-    /// A loss on an idle connection speaks for connections that are dropped unseen, an answer on one that was
-    /// idle as long speaks against it.
-    fn learn_of_idle(&mut self, now: Time, idle: Option<Duration>, lost: bool, answered: bool) {
+    /// A loss on an idle connection raises the risk that such connections are dropped without notice, an
+    /// answer on one that was idle for as long lowers it. Losses on other connections give the baseline risk.
+    fn update_idle_drops(&mut self, now: Time, idle: Option<Duration>, lost: bool, answered: bool) {
         let Some(idle) =
-            idle.filter(|idle| idle.as_secs_f64() > shortest_aim(&self.settings) * REAPED_LEAST_AIM)
+            idle.filter(|idle| idle.as_secs_f64() > shortest_aim_seconds(&self.settings) * MIN_IDLE_AIMS)
         else {
             if lost || answered {
-                self.reaping.other += REAPED_GAIN * (f64::from(u8::from(lost)) - self.reaping.other);
+                let baseline = &mut self.idle_drops.baseline_risk;
+                *baseline += IDLE_DROP_GAIN * (f64::from(u8::from(lost)) - *baseline);
             }
             return;
         };
-        let reaping = &mut self.reaping;
+        let drops = &mut self.idle_drops;
         if lost {
-            reaping.idle = if reaping.risk > 0.0 { reaping.idle.min(idle) } else { idle };
-            reaping.risk += REAPED_GAIN * (1.0 - reaping.risk);
-            reaping.next_check =
-                now + Duration::from_secs_f64(shortest_aim(&self.settings) * REAPED_CHECK_AIMS);
-        } else if answered && idle >= reaping.idle {
-            reaping.risk -= REAPED_GAIN * reaping.risk;
-            reaping.next_check = now;
-            if reaping.risk < REAPED_RISKS.0 {
-                reaping.risk = 0.0;
+            drops.shortest_lost_idle =
+                if drops.risk > 0.0 { drops.shortest_lost_idle.min(idle) } else { idle };
+            drops.risk += IDLE_DROP_GAIN * (1.0 - drops.risk);
+            drops.next_check =
+                now + Duration::from_secs_f64(shortest_aim_seconds(&self.settings) * IDLE_DROP_CHECK_AIMS);
+        } else if answered && idle >= drops.shortest_lost_idle {
+            drops.risk -= IDLE_DROP_GAIN * drops.risk;
+            drops.next_check = now;
+            if drops.risk < MAX_IDLE_RISK_UNSAFE {
+                drops.risk = 0.0;
             }
         }
     }
 
-    // ---- Health and pace ----
+    // ---- Route health and rate ----
 
-    /// Health and pace of a route, from the outcome of one call.
-    fn learn(&mut self, now: Time, finished: &Finished, call: &Call) {
+    /// Updates limit, rate, latency and outage state of a route with the outcome of a call.
+    fn update_route(&mut self, now: Time, finished: &Finished, call: &Call) {
         let (settings, chance) = (&self.settings, self.rng.f64());
-        let waiting = self.queues.held(call.route.0) as f64;
+        let waiting = self.queues.open_messages(call.route.0) as f64;
         let Some(route) = self.routes.get_mut(&call.route) else { return };
-        let told = finished.allowance.filter(|a| a.limit > 0.0);
-        if let Some(told) = told {
-            route.set_limit(told.limit);
-            route.left = told.left.clamp(0.0, 1.0);
-            let passed = (now - route.told_at).as_secs_f64().min(1.0);
-            let growth = LEFT_GROWTH_A_S * passed * (route.left - KEPT_LEFT);
-            if route.bound || growth < 0.0 {
+        let report = finished.limit_report.filter(|report| report.limit > 0.0);
+        if let Some(report) = report {
+            route.set_limit(report.limit);
+            route.remaining_share = report.remaining_share.clamp(0.0, 1.0);
+            let elapsed = (now - route.limit_reported_at).as_secs_f64().min(1.0);
+            let growth = REMAINING_GROWTH_PER_S * elapsed * (route.remaining_share - TARGET_REMAINING);
+            if route.rate_bound || growth < 0.0 {
                 route.rate *= 1.0 + growth;
             }
             if finished.outcome == Outcome::Ok {
-                route.rate = route.rate.max(route.even_part(settings));
+                route.rate = route.rate.max(route.fair_share(settings));
             }
-            route.told_at = now;
+            route.limit_reported_at = now;
         }
-        // A pace beyond the whole limit is none.
-        if settings.weights != WeightSource::Silent {
-            route.rate = route.rate.min(route.weight);
+        // A single courier never needs more than the whole limit.
+        if settings.weight_source != WeightSource::Unspecified {
+            route.rate = route.rate.min(route.limit);
         }
-        // A time-out is a sample too, of at least its length: else it would stay too short all through a slow
-        // spell, and each repeat would meet the first call still running.
+        // A timeout is a latency sample too: otherwise timeouts would stay too short while the partner is
+        // slow, and each repeat would arrive while the first call is still running.
         if matches!(finished.outcome, Outcome::Ok | Outcome::Timeout | Outcome::Cancelled) {
             if route.latency.samples == 0 {
-                route.latency = Latency { samples: 0, ..self.usual };
+                route.latency = LatencyEstimate { samples: 0, ..self.overall_latency };
             }
-            route.latency.learn(finished.latency, LATENCY_GAIN);
-        }
-        // With a success since it was sent, a lost call says nothing of the route. Nor do errors and resets
-        // while an endpoint is left that did not fail; silence does, as a hang mostly takes all.
-        let sound = |a: &Address| a.is_open() && a.failures == 0;
-        let alone = call.sent >= route.last_answer;
-        let one_sound = route.endpoints.iter().filter_map(|id| self.addresses.get(id)).any(sound);
-        let all_sick = alone && !one_sound;
-        let blip = settings.rules.fall.mul_f64(BLIP_OF_FALL);
+            route.latency.add_sample(finished.latency, MIN_LATENCY_GAIN);
+        }
+        // A lost call is no evidence if the route has served a call since it was sent. Errors and resets are
+        // no evidence either while another endpoint works; missing answers are, as a hang mostly affects all.
+        let is_healthy = |e: &EndpointState| e.is_open() && e.failures == 0;
+        let no_success_since = call.sent_at >= route.last_success;
+        let one_healthy = route.endpoints.iter().filter_map(|id| self.endpoints.get(id)).any(is_healthy);
+        let all_failing = no_success_since && !one_healthy;
+        let short_outage = settings.rules.collapse_window.mul_f64(SHORT_OUTAGE_WINDOWS);
         match finished.outcome {
             Outcome::Ok => {
-                self.usual.learn(finished.latency, LATENCY_GAIN);
-                let served = route.served.rate(now, cold_s(settings), 0.0);
-                let sick = route.spell.is_some() || route.returned.is_some();
-                route.share = if sick { served.max(route.share) } else { served };
-                route.served.count += 1.0;
-                // A destination that gave no success for a while may be cold: it gets a slow start. Couriers
-                // that saw only the end of an outage are covered by counting from the last success.
-                route.back(now, blip);
-                if route.bound && told.is_none() {
-                    route.rate += RATE_GROWTH * route.rate.min(shortest_aim(settings).recip());
+                self.overall_latency.add_sample(finished.latency, MIN_LATENCY_GAIN);
+                let served = route.served_calls.add_and_rate(now, warm_up_seconds(settings), 0.0);
+                let recovering = route.outage.is_some() || route.slow_start_since.is_some();
+                route.served_rate = if recovering { served.max(route.served_rate) } else { served };
+                route.served_calls.count += 1.0;
+                // After some time without a success the destination may be cold and gets a slow start.
+                // Counting from the last success covers couriers that saw only the end of an outage.
+                route.end_outage(now, short_outage);
+                if route.rate_bound && report.is_none() {
+                    route.rate += RATE_GROWTH * route.rate.min(shortest_aim_seconds(settings).recip());
                 }
-                route.last_answer = now;
+                route.last_success = now;
                 return;
             }
-            // Shut, and told until when: all whom the door refused come back at one moment. So the slow start
-            // begins there, by chance, and nothing is saved up behind the door.
-            Outcome::Full(Some(wait)) if wait > blip => {
-                route.shut(now, settings, chance);
+            // Closed for a given time: all rejected couriers would return at once. The slow start begins at
+            // that time, with a random delay, and no tokens are saved up before.
+            Outcome::Rejected(Some(wait)) if wait > short_outage => {
+                route.close_until_retry_after(now, settings, chance);
                 return;
             }
-            Outcome::Full(_) => {
-                // Refused though there is room inside the limit: it is shut or hangs with its queue full.
-                let room = told.is_some_and(|told| told.left > ROOM_LEFT);
-                route.evidence += if room { EVIDENCE_LOST } else { EVIDENCE_REFUSED };
-                if now - route.last_cut > CUT_EVERY {
-                    let cut = RATE_CUTS[route.cuts.min(RATE_CUTS.len() - 1)];
-                    route.cuts += 1;
-                    let even = route.even_part(settings);
-                    let late = if told.is_some() {
-                        // What waits here waits at each other courier too.
-                        even * (1.0 + 1.0 / waiting.max(1.0))
+            Outcome::Rejected(_) => {
+                // Rejected although the limit is not used up: the destination is closed, or hangs with a full
+                // queue.
+                let room = report.is_some_and(|report| report.remaining_share > REJECTED_WITH_ROOM);
+                route.outage_evidence += if room { EVIDENCE_LOST } else { EVIDENCE_REJECTED };
+                if now - route.last_rate_cut > RATE_CUT_INTERVAL {
+                    let cut = RATE_CUTS[route.rate_cuts.min(RATE_CUTS.len() - 1)];
+                    route.rate_cuts += 1;
+                    let fair_share = route.fair_share(settings);
+                    let recent = if report.is_some() {
+                        // Every other courier has a backlog too.
+                        fair_share * (1.0 + 1.0 / waiting.max(1.0))
                     } else {
-                        // A clump must not wait at the pace of usual days until it has run out; where a call
-                        // carries many, what waits goes together, and a call an aim is enough.
-                        let an_aim = shortest_aim(settings).recip();
-                        let alone = route.batch <= 1;
-                        let (waiting, most) = if alone { (waiting, f64::MAX) } else { (0.0, an_aim) };
-                        let late = route.sent.rate(now, LATE_S, 0.0).min(most);
-                        let own = route.demand.rate(now, cold_s(settings), 0.0);
-                        late.max(own).max(route.weight / couriers(settings)).max(waiting * an_aim)
+                        // A burst must not expire because it waits at the usual rate: the backlog counts.
+                        // Where a call carries several messages they go together, and one call per aim is
+                        // enough.
+                        let call_per_aim = shortest_aim_seconds(settings).recip();
+                        let single = route.max_batch <= 1;
+                        let (waiting, max) = if single { (waiting, f64::MAX) } else { (0.0, call_per_aim) };
+                        let sent = route.sent_calls.add_and_rate(now, RECENT_CALLS_S, 0.0).min(max);
+                        let demand = route.demand.add_and_rate(now, warm_up_seconds(settings), 0.0);
+                        sent.max(demand)
+                            .max(route.limit / courier_count(settings))
+                            .max(waiting * call_per_aim)
                     };
-                    let slowest = route.fall_part(now, settings, 0.0);
-                    let least = if cut > 0.0 { slowest.max(even) } else { slowest };
-                    route.rate = (cut * route.rate.min(late)).max(least.min(route.rate));
-                    route.last_cut = now;
+                    let budget = route.collapse_budget(now, settings, 0.0);
+                    let min = if cut > 0.0 { budget.max(fair_share) } else { budget };
+                    route.rate = (cut * route.rate.min(recent)).max(min.min(route.rate));
+                    route.last_rate_cut = now;
                 }
-                // By chance, as all that were refused together would come back together.
-                let spread = if route.is_light(now, settings) { LIGHT_SPREAD } else { 1.0 };
+                // Random, as couriers that were rejected together would otherwise return together.
+                let spread =
+                    if route.has_low_traffic(now, settings) { LOW_TRAFFIC_SPREAD_CALLS } else { 1.0 };
                 route.tokens = route.tokens.min(0.5 - chance * spread);
-                // Nothing is saved up behind a told wait either: it ends for all at one moment.
-                route.filled = route.filled.max(route.told_wait);
+                // No tokens are saved up before the retry-after time, which ends for all couriers at once.
+                route.refilled_at = route.refilled_at.max(route.retry_after_until);
             }
-            Outcome::Error | Outcome::Reset if all_sick => route.evidence += EVIDENCE_LOST,
-            // It is up, and may yet be failing most calls.
-            Outcome::Spoilt if alone => route.evidence += EVIDENCE_REFUSED,
-            Outcome::ConnectFailed if all_sick => route.evidence += EVIDENCE_NO_CONNECTION,
-            Outcome::ConnectFailed if alone => route.evidence += EVIDENCE_REFUSED,
-            Outcome::Timeout | Outcome::Cancelled if alone => {
-                route.evidence += EVIDENCE_LOST;
-                route.doubtful = true;
+            Outcome::Error | Outcome::Reset if all_failing => route.outage_evidence += EVIDENCE_LOST,
+            // The endpoint is up, but may be failing most calls.
+            Outcome::Malformed if no_success_since => route.outage_evidence += EVIDENCE_REJECTED,
+            Outcome::ConnectFailed if all_failing => route.outage_evidence += EVIDENCE_NO_CONNECTION,
+            Outcome::ConnectFailed if no_success_since => route.outage_evidence += EVIDENCE_REJECTED,
+            Outcome::Timeout | Outcome::Cancelled if no_success_since => {
+                route.outage_evidence += EVIDENCE_LOST;
+                route.unanswered_call = true;
             }
             _ => {}
         }
-        if route.evidence >= SPELL_AFTER || (route.spell.is_some() && route.evidence >= EVIDENCE_LOST) {
-            let spell = route.spell.get_or_insert(Spell { began: route.last_answer, ..Spell::default() });
-            spell.failed = true;
-            spell.lost |= !matches!(finished.outcome, Outcome::Full(_));
-            spell.answers = match finished.outcome {
+        let needed = if route.outage.is_some() { EVIDENCE_LOST } else { OUTAGE_EVIDENCE };
+        if route.outage_evidence >= needed {
+            let began = route.last_success;
+            let outage = route.outage.get_or_insert(OutageState { began, ..OutageState::default() });
+            outage.confirmed = true;
+            outage.calls_lost |= !matches!(finished.outcome, Outcome::Rejected(_));
+            outage.fails_fast = match finished.outcome {
                 Outcome::Error => true,
                 Outcome::ConnectFailed => finished.latency < settings.connect_timeout / 2,
                 _ => false,
             };
-            // A slow start goes on behind a short spell, and begins anew behind a long one.
-            route.plan_trial(now, settings, chance);
+            // A slow start continues after a short outage and starts over after a long one.
+            route.schedule_trial(now, settings, chance);
         }
     }
 
-    /// Marks the calls that have been silent for too long, and says when the next one will have been.
-    fn note_stalls(&mut self, now: Time) -> Option<Time> {
+    /// Marks the calls that have become stalled. Returns when the next call will be.
+    fn mark_stalled_calls(&mut self, now: Time) -> Option<Time> {
         let mut next = None;
         for id in self.calls.iter().filter(|(_, call)| !call.stalled).map(|(id, _)| *id).collect::<Vec<_>>() {
-            let at = self.calls[&id].sent + self.stall_patience(self.calls[&id].route);
+            let at = self.calls[&id].sent_at + self.stall_timeout(self.calls[&id].route);
             if at > now {
-                earliest(&mut next, Some(at));
+                keep_earliest(&mut next, Some(at));
             } else if let Some(call) = self.calls.get_mut(&id) {
                 call.stalled = true;
-                let idle = call.idle;
-                self.learn_of_idle(now, idle, true, false);
+                let idle = call.connection_idle;
+                self.update_idle_drops(now, idle, true, false);
             }
         }
         next
     }
 
-    fn stall_patience(&self, id: RouteId) -> Duration {
-        let usual = self.routes.get(&id).map_or(0.0, |route| route.latency.times(STALL_LATENCIES));
-        Duration::from_secs_f64(usual.max(shortest_aim(&self.settings) * STALL_AIM))
+    fn stall_timeout(&self, id: RouteId) -> Duration {
+        let expected = self.routes.get(&id).map_or(0.0, |route| route.latency.scaled(STALL_LATENCIES));
+        Duration::from_secs_f64(expected.max(shortest_aim_seconds(&self.settings) * MIN_STALL_AIMS))
     }
 
-    /// When a route may take one more call: now, later, or only after some outcome (none).
-    fn route_free_at(&mut self, now: Time, id: RouteId) -> Option<Time> {
-        let stall = self.stall_patience(id);
-        let slots_free = self.slots_free();
-        let rate = self.pace(now, id);
-        // What was silent for so long while others were answered was lost by itself, on its connection: it
-        // tells nothing of the route, and must not hold its trials up until it times out.
+    /// When a route may get its next call; `None` if not before some call in flight ends.
+    fn next_call_at(&mut self, now: Time, id: RouteId) -> Option<Time> {
+        let stall_timeout = self.stall_timeout(id);
+        let free_slots = self.free_slots();
+        let rate = self.allowed_rate(now, id);
+        // A call that stalled while others were answered was lost with its connection. It says nothing about
+        // the route and must not delay trial calls until it times out.
         let route = self.routes.get(&id)?;
-        let (mut oldest, mut alone, mut silent, mut live) = (None, 0, 0, 0);
-        for call in route.out.iter().filter_map(|call| self.calls.get(call)) {
+        let (mut oldest, mut unanswered, mut stalled, mut live) = (None, 0, 0, 0);
+        for call in route.calls_in_flight.iter().filter_map(|call| self.calls.get(call)) {
             live += usize::from(!call.stalled);
-            if call.sent + stall >= route.last_answer {
-                oldest = oldest.or(Some(call.sent));
-                alone += 1;
-                silent += usize::from(call.stalled);
+            if call.sent_at + stall_timeout >= route.last_success {
+                oldest = oldest.or(Some(call.sent_at));
+                unanswered += 1;
+                stalled += usize::from(call.stalled);
             }
         }
         let route = self.routes.get_mut(&id)?;
-        if route.told_wait > now {
-            return Some(route.told_wait);
+        if route.retry_after_until > now {
+            return Some(route.retry_after_until);
         }
-        if self.closing.is_some_and(|end| now + stall > end) {
+        if self.shutdown_at.is_some_and(|end| now + stall_timeout > end) {
             return None;
         }
-        // Hung or dead destinations answer nothing: the silence itself opens the circuit, long before a
-        // time-out would, so that only few calls are risked.
-        if let (None, Some(sent)) = (&route.spell, oldest) {
-            if now - sent.max(route.last_answer) > stall {
-                let (began, next_trial) = (route.last_answer.min(sent), now + stall);
-                route.spell = Some(Spell { began, next_trial, lost: true, ..Spell::default() });
+        // A hung or dead destination does not answer at all: an outage is suspected after the stall timeout,
+        // long before the calls time out, so that few calls are risked.
+        if let (None, Some(sent)) = (&route.outage, oldest) {
+            if now - sent.max(route.last_success) > stall_timeout {
+                let (began, next_trial) = (route.last_success.min(sent), now + stall_timeout);
+                let outage = OutageState { began, next_trial, calls_lost: true, ..OutageState::default() };
+                route.outage = Some(outage);
             }
         }
-        if let Some(spell) = &mut route.spell {
-            if let Trials::Elsewhere(until) = route.trials {
+        if let Some(outage) = &mut route.outage {
+            if let TrialOwner::OtherCourier(until) = route.trial_owner {
                 if now < until {
                     return Some(until);
                 }
             }
-            // Trials that hang must not gather until they pin the slots of the healthy; but one that was lost
-            // by itself must not keep the others back until it times out.
-            let room = |slots: usize| ((slots as f64 * TRIAL_SLOTS) as usize).max(1);
-            let may = alone - silent < room(slots_free) && alone < room(self.settings.call_slots);
-            spell.only_fit = alone >= room(slots_free);
-            return may.then_some(spell.next_trial);
-        }
-        // Bulkhead: no destination has more calls out than slots are left for all others. Stalled ones do not
-        // count, or lost calls here and there would hold up each other's destinations with slots left.
-        if live > 0 && live >= slots_free.max(1) {
+            // Unanswered trial calls must not accumulate and occupy the slots of healthy destinations. But a
+            // single lost call must not delay the other trial calls until it times out.
+            let max_trials = |slots: usize| ((slots as f64 * TRIAL_SLOT_SHARE) as usize).max(1);
+            let is_allowed = unanswered - stalled < max_trials(free_slots)
+                && unanswered < max_trials(self.settings.call_slots);
+            outage.repeatable_only = unanswered >= max_trials(free_slots);
+            return is_allowed.then_some(outage.next_trial);
+        }
+        // Bulkhead: no destination has more calls in flight than there are free slots. Stalled calls do not
+        // count: a few lost calls would otherwise block their destinations while slots are free.
+        if live > 0 && live >= free_slots.max(1) {
             return None;
         }
-        let burst = if route.returned.is_some() { 1.0 } else { (rate * BURST_S).max(1.0) };
-        let passed = (now - route.filled).as_secs_f64();
-        route.tokens = (route.tokens + passed * rate).min(burst);
-        route.filled = now;
-        route.bound = route.tokens < 1.0;
-        if route.bound {
+        let burst = if route.slow_start_since.is_some() { 1.0 } else { (rate * BURST_S).max(1.0) };
+        let elapsed = (now - route.refilled_at).as_secs_f64();
+        route.tokens = (route.tokens + elapsed * rate).min(burst);
+        route.refilled_at = now;
+        route.rate_bound = route.tokens < 1.0;
+        if route.rate_bound {
             return Some(now + Duration::from_secs_f64(((1.0 - route.tokens) / rate).clamp(0.001, 10.0)));
         }
         Some(now)
     }
 
-    /// Calls a second that this courier may send a route now.
-    fn pace(&mut self, now: Time, id: RouteId) -> f64 {
+    /// Calls a second that this courier may currently send to a route.
+    fn allowed_rate(&mut self, now: Time, id: RouteId) -> f64 {
         let Some(route) = self.routes.get_mut(&id) else { return 1.0 };
-        let lean = 1.0 + LEFT_LEAN * (route.left - KEPT_LEFT);
-        let Some(returned) = route.returned else {
-            let rate = route.rate * lean;
-            // A lost call may be all that a courier with few of them sees of an outage.
-            return if route.doubtful { route.fall_part(now, &self.settings, 0.0).min(rate) } else { rate };
+        let adjustment = 1.0 + REMAINING_GAIN * (route.remaining_share - TARGET_REMAINING);
+        let Some(slow_start_since) = route.slow_start_since else {
+            let rate = route.rate * adjustment;
+            // A single lost call may be all that a courier with low traffic sees of an outage.
+            if route.unanswered_call {
+                return route.collapse_budget(now, &self.settings, 0.0).min(rate);
+            }
+            return rate;
         };
-        let warmth = (now - returned).as_secs_f64() / cold_s(&self.settings);
+        let warmth = (now - slow_start_since).as_secs_f64() / warm_up_seconds(&self.settings);
         if warmth >= 1.0 {
-            // Nothing was saved up for the usual pace: the slow one ends for all at one moment.
-            (route.returned, route.filled) = (None, now);
+            // No tokens are saved up for the normal rate, as the slow start ends for all couriers at once.
+            route.slow_start_since = None;
+            route.refilled_at = now;
             return route.rate;
         }
-        route.fall_part(now, &self.settings, warmth).min(route.rate)
+        route.collapse_budget(now, &self.settings, warmth).min(route.rate)
     }
 
-    // ---- Choice ----
-
-    /// Fills free slots: each to the waiting destination with fewest live calls; of those with equally many,
-    /// to the one whose best message is worth most for its time. `next` tells when to look again.
-    fn send_ready(&mut self, now: Time, next: &mut Option<Time>) {
-        self.place_outdated(now);
-        let mut ready: Vec<Ready> = Vec::new();
-        if self.slots_free() > 0 {
-            for to in self.due.at(now) {
-                ready.extend(self.look(now, to, next));
+    // ---- Selection and sending ----
+
+    /// Assigns each free slot to the ready destination with the fewest live calls; among equals, to the one
+    /// whose best message has the highest value. Lowers `next` to the time when a further destination may be
+    /// ready.
+    fn fill_free_slots(&mut self, now: Time, next: &mut Option<Time>) {
+        self.reindex_outdated(now);
+        let mut ready: Vec<ReadyDestination> = Vec::new();
+        if self.free_slots() > 0 {
+            for destination in self.due.due_at(now) {
+                ready.extend(self.evaluate(now, destination, next));
             }
-            earliest(next, self.due.next());
+            keep_earliest(next, self.due.next_due());
         }
-        while self.slots_free() > 0 {
-            let order = |a: &Ready, b: &Ready| a.calls.cmp(&b.calls).then(b.value.total_cmp(&a.value));
-            let Some(place) = (0..ready.len()).min_by(|a, b| order(&ready[*a], &ready[*b])) else { break };
-            // Slots have gone since: what was free may not be so now.
-            let to = ready.swap_remove(place).to;
-            let Some((route, endpoint, message, _)) = self.candidate(now, to, next) else { continue };
-            self.send_call(now, route, endpoint, message);
-            ready.extend(self.ready(now, to, next));
+        while self.free_slots() > 0 {
+            let order = |a: &ReadyDestination, b: &ReadyDestination| {
+                a.live_calls.cmp(&b.live_calls).then(b.value.total_cmp(&a.value))
+            };
+            let Some(best) = (0..ready.len()).min_by(|a, b| order(&ready[*a], &ready[*b])) else { break };
+            // Evaluated again, as the calls sent since then have taken slots.
+            let destination = ready.swap_remove(best).destination;
+            let Some(candidate) = self.candidate(now, destination, next) else { continue };
+            self.send_call(now, candidate.route, candidate.endpoint, candidate.message);
+            ready.extend(self.ready_destination(now, destination, next));
         }
     }
 
-    /// Calls that may still be answered: what was lost by itself must not cost its destination the turn too.
-    fn calls_to(&self, destination: DestinationId) -> usize {
-        let calls = self.routes.range(routes_of(destination)).flat_map(|(_, route)| &route.out);
+    /// Calls in flight to a destination without stalled ones: lost calls must not cost it its turn.
+    fn live_calls_to(&self, destination: DestinationId) -> usize {
+        let calls = self.routes.range(routes_of(destination)).flat_map(|(_, route)| &route.calls_in_flight);
         calls.filter(|id| self.calls.get(id).is_some_and(|call| !call.stalled)).count()
     }
 
-    /// The best message of a destination that may be sent now, by which route and endpoint, and its worth for
-    /// the time that a slot is taken; if none, `next` tells when that may be.
-    fn candidate(&mut self, now: Time, to: DestinationId, next: &mut Option<Time>) -> Option<Candidate> {
+    /// The best message of a destination that may be sent now. If there is none, lowers `next` to the time
+    /// when there may be one.
+    fn candidate(
+        &mut self,
+        now: Time,
+        destination: DestinationId,
+        next: &mut Option<Time>,
+    ) -> Option<Candidate> {
         #[cfg(test)]
         tests::note_examined();
-        for route in self.routes.range(routes_of(to)).map(|(id, _)| *id).collect::<Vec<_>>() {
-            let free = self.route_free_at(now, route);
-            if free.is_none_or(|at| at > now) {
-                earliest(next, free);
+        for route in self.routes.range(routes_of(destination)).map(|(id, _)| *id).collect::<Vec<_>>() {
+            let next_call = self.next_call_at(now, route);
+            if next_call.is_none_or(|at| at > now) {
+                keep_earliest(next, next_call);
                 continue;
             }
-            let Some((message, worth)) = self.pick(now, route, next) else { continue };
-            let Some(endpoint) = self.address_for(now, route, message) else { continue };
-            let takes = self.routes[&route].latency.mean.max(0.001);
-            return Some((route, endpoint, message, worth / takes));
+            let Some((message, priority)) = self.best_message(now, route, next) else { continue };
+            let Some(endpoint) = self.select_endpoint(now, route, message) else { continue };
+            let slot_seconds = self.routes[&route].latency.mean.max(0.001);
+            return Some(Candidate { route, endpoint, message, value: priority / slot_seconds });
         }
         None
     }
 
-    /// The waiting message of most worth that may be sent now. A trial goes by whether it may be repeated and
-    /// has attempts to spare; what is not so is risked at the slow gaps only.
-    fn pick(&self, now: Time, route: RouteId, next: &mut Option<Time>) -> Option<(MessageId, f64)> {
-        let spell = self.routes.get(&route).and_then(|r| r.spell.as_ref());
+    /// The message with the highest priority that may be sent now, and its priority. In an outage, messages
+    /// that are fit for trial calls come first; others are risked only at the slower unrepeatable trial
+    /// times.
+    fn best_message(&self, now: Time, route: RouteId, next: &mut Option<Time>) -> Option<(MessageId, f64)> {
+        let outage = self.routes.get(&route).and_then(|r| r.outage.as_ref());
         let queue = self.queues.get(route.0)?;
-        earliest(next, queue.next_ready_at());
+        keep_earliest(next, queue.next_ready_at());
         let mut best: Option<(bool, f64, Reverse<u64>, MessageId)> = None;
         for (group, rank) in queue.best_of_groups() {
-            let fit = spell.is_none() || group.fits_trial;
-            if !fit && spell.is_some_and(|s| s.only_fit) {
+            let fit = outage.is_none() || group.fits_trial;
+            if !fit && outage.is_some_and(|outage| outage.repeatable_only) {
                 continue;
             }
-            if let Some(at) = spell.map(|s| s.next_risk).filter(|at| !fit && *at > now) {
-                earliest(next, Some(at));
+            if let Some(at) = outage.map(|o| o.next_unrepeatable_trial).filter(|at| !fit && *at > now) {
+                keep_earliest(next, Some(at));
                 continue;
             }
             let Some(message) = self.messages.get(&rank.message) else { continue };
-            // Of equals the one that came first.
-            let found = (fit, self.worth(now, message), Reverse(rank.arrival), rank.message);
+            // Among equals the one that was accepted first.
+            let found = (fit, self.priority(now, message), Reverse(rank.ordinal), rank.message);
             if best.is_none_or(|best| found > best) {
                 best = Some(found);
             }
         }
-        best.map(|(_, worth, _, id)| (id, worth))
+        best.map(|(_, priority, _, id)| (id, priority))
     }
 
-    /// Whether a message serves for a trial: it may be repeated, and has attempts to spare.
+    /// Whether a message can serve as a trial call: it is repeatable and has attempts to spare.
     fn fits_trial(&self, message: &Message) -> bool {
-        // A trial spends an attempt: half of them are kept for the return.
-        message.attempts * 2 <= self.settings.send_cap && self.repeatable(message)
+        // Trial calls use up attempts: half of them are kept for the time after the outage.
+        message.attempts * 2 <= self.settings.max_attempts && self.is_repeatable(message)
     }
 
     fn class(&self, message: &Message) -> &Class {
         #[cfg(test)]
         tests::note_examined();
-        &self.settings.classes[usize::from(message.taken.class.0)]
+        &self.settings.classes[usize::from(message.accepted.class.0)]
     }
 
-    fn repeatable(&self, message: &Message) -> bool {
+    fn is_repeatable(&self, message: &Message) -> bool {
         self.class(message).effect != Effect::Unsafe
     }
 
-    /// The one gate for every send: when this message may be sent; none if not before some event, or never.
+    /// When a message may be sent; `None` if never or not before some event. Every send passes this check.
     fn sendable_at(&self, now: Time, message: &Message) -> Option<Time> {
-        if message.closed || message.out.is_some() || self.last_send(message).is_some_and(|end| now > end) {
+        let is_too_late = || self.last_send(message).is_some_and(|end| now > end);
+        if message.closed || message.in_flight_call.is_some() || is_too_late() {
             return None;
         }
         let class = self.class(message);
         let mut at = message.not_before;
-        if let (true, Some(key)) = (class.in_order, message.taken.key) {
-            if self.keys.get(&key)?.first()?.1 != message.taken.id {
+        if let (true, Some(key)) = (class.in_order, message.accepted.key) {
+            if self.key_queues.get(&key)?.first()?.1 != message.accepted.id {
                 return None;
             }
-            at = at.max(self.keys_rest);
-            // The rest after an unsettled attempt binds the next messages of the key, not the same one.
+            at = at.max(self.all_keys_blocked_until);
+            // An attempt that may still be running blocks later messages of its key, not its own message.
             if message.attempts == 0 {
-                at = at.max(self.rests.get(&key).copied().unwrap_or(Time::ZERO));
+                at = at.max(self.keys_blocked_until.get(&key).copied().unwrap_or(Time::ZERO));
             }
         }
         Some(at)
     }
 
-    /// Worth still to be won, and what of it waiting would lose: on time before late, what is about to be
-    /// late before what is fresh, and what is about to run out before what may wait.
-    fn worth(&self, now: Time, message: &Message) -> f64 {
-        let (age, aim) = ((now - message.born).as_secs_f64(), self.class(message).aim.as_secs_f64());
-        let (value, ahead) = (self.value(message, age), self.value(message, age + aim));
-        self.full_worth(message) * ((1.0 + WAITING_LOSS) * value - WAITING_LOSS * ahead)
+    /// Worth that can still be earned, weighted with the worth that waiting would lose: messages on time go
+    /// before late ones, those about to be late before fresh ones, and those about to expire before those
+    /// that can wait.
+    fn priority(&self, now: Time, message: &Message) -> f64 {
+        let (age, aim) = ((now - message.enqueued_at).as_secs_f64(), self.class(message).aim.as_secs_f64());
+        let (now_share, ahead) = (self.worth_share(message, age), self.worth_share(message, age + aim));
+        self.full_worth(message) * ((1.0 + WAITING_LOSS_WEIGHT) * now_share - WAITING_LOSS_WEIGHT * ahead)
     }
 
     fn full_worth(&self, message: &Message) -> f64 {
-        let share = if message.over_share { self.settings.over_share_worth } else { 1.0 };
+        let share = if message.over_quota { self.settings.over_quota_worth } else { 1.0 };
         self.class(message).worth * share
     }
 
-    /// Share of its full worth that a message has at an age, in seconds. It never rises.
-    fn value(&self, message: &Message, age: f64) -> f64 {
-        // A repeat that must go before its window ends has nothing left after that.
-        let last = self.last_send(message).map(|end| (end - message.born).as_secs_f64());
+    /// Share of its full worth that a message earns when sent at an age in seconds. Never increases with age.
+    fn worth_share(&self, message: &Message, age: f64) -> f64 {
+        // A repeat is worth nothing once its repeat window is over.
+        let last = self.last_send(message).map(|end| (end - message.enqueued_at).as_secs_f64());
         let class = self.class(message);
         let (aim, span) = (class.aim.as_secs_f64(), class.deadline.as_secs_f64());
         if age > span || last.is_some_and(|end| age > end) {
             return 0.0;
         }
         match self.settings.decay {
-            Decay::Line => {
+            Decay::Linear => {
                 let late = ((age - aim) / (span - aim).max(0.001)).max(0.0);
                 1.0 - (1.0 - class.late_share) * late
             }
-            Decay::Halves => (1.0 - age / aim).min(0.0).exp2().max(class.late_share),
+            Decay::Halving => (1.0 - age / aim).min(0.0).exp2().max(class.late_share),
         }
     }
 
-    /// The address of a route with the fewest calls out, sick ones last; inside the group of a repeat. Ties
-    /// go by a preference drawn once: where each courier has few calls, all would pick the same one.
-    fn address_for(&self, now: Time, id: RouteId, message: MessageId) -> Option<EndpointId> {
+    /// The endpoint of a route with the fewest calls in flight, failing ones last, within the dedup scope of
+    /// a repeat. Ties are broken by a random preference: couriers with few calls would otherwise all pick the
+    /// same.
+    fn select_endpoint(&self, now: Time, id: RouteId, message: MessageId) -> Option<EndpointId> {
         let message = self.messages.get(&message)?;
         let class = self.class(message);
-        let zone = match (class.effect, class.group, message.maybe_ran) {
-            (Effect::Keyed, Group::Zone, Some((_, zone))) => Some(zone?),
+        let zone = match (class.effect, class.dedup_scope, message.may_have_run) {
+            (Effect::Keyed, DedupScope::Zone, Some((_, zone))) => Some(zone?),
             _ => None,
         };
         let endpoints = self.routes.get(&id)?.endpoints.iter();
         endpoints
-            .filter_map(|endpoint| self.addresses.get(endpoint))
-            .filter(|a| a.is_open() && zone.is_none_or(|z| a.entry.zone == z))
-            .min_by_key(|a| {
-                let far = self.settings.zone.is_some_and(|here| here != a.entry.zone);
-                let calls = a.calls_out + if far { FAR_CALLS } else { 0 };
-                (a.avoid_until > now, calls, a.failures, a.preference)
+            .filter_map(|id| self.endpoints.get(id))
+            .filter(|e| e.is_open() && zone.is_none_or(|zone| e.entry.zone == zone))
+            .min_by_key(|e| {
+                let is_remote = self.settings.zone.is_some_and(|own_zone| own_zone != e.entry.zone);
+                let calls = e.calls_in_flight + if is_remote { REMOTE_ZONE_CALLS } else { 0 };
+                (e.avoid_until > now, calls, e.failures, e.preference)
             })
-            .map(|a| a.entry.id)
+            .map(|e| e.entry.id)
     }
 
-    /// One call: the message that was picked and, where a call may carry more, others that wait.
-    fn send_call(&mut self, now: Time, id: RouteId, to: EndpointId, first: MessageId) {
-        let idle = self.idle_connection(now, to, first);
-        let Some(address) = self.addresses.get_mut(&to) else { return };
-        address.calls_out += 1;
-        let zone = address.entry.zone;
-        let Some(route) = self.routes.get_mut(&id) else { return };
-        // A cold endpoint beside warm ones is passed over until its part of the fall budget has room again.
-        address.cold = address.cold.filter(|since| now - *since < self.settings.rules.cold);
-        if let Some(since) = address.cold {
-            let warmth = (now - since).as_secs_f64() / cold_s(&self.settings);
-            let gap = route.cold_gap(now, &self.settings, warmth);
-            address.avoid_until = now + gap.mul_f64(0.5 + self.rng.f64());
+    /// Sends a call with a message and, where calls may carry several, with further waiting messages.
+    fn send_call(&mut self, now: Time, route_id: RouteId, endpoint_id: EndpointId, first: MessageId) {
+        let connection_idle = self.connection_idle_time(now, endpoint_id, first);
+        let Some(endpoint) = self.endpoints.get_mut(&endpoint_id) else { return };
+        endpoint.calls_in_flight += 1;
+        let zone = endpoint.entry.zone;
+        let Some(route) = self.routes.get_mut(&route_id) else { return };
+        // A cold endpoint next to warm ones is avoided until its part of the collapse budget allows the next
+        // call.
+        endpoint.cold_since = endpoint.cold_since.filter(|since| now - *since < self.settings.rules.warm_up);
+        if let Some(since) = endpoint.cold_since {
+            let warmth = (now - since).as_secs_f64() / warm_up_seconds(&self.settings);
+            let gap = route.cold_endpoint_interval(now, &self.settings, warmth);
+            endpoint.avoid_until = now + gap.mul_f64(0.5 + self.rng.f64());
         }
         route.tokens -= 1.0;
-        route.sent.rate(now, LATE_S, 1.0);
-        let mut room = route.batch;
-        if let Some(spell) = &mut route.spell {
-            spell.trials += 1;
-            // What is only refused comes back unharmed, so that a trial may carry all that a call can.
-            if spell.lost {
-                room = 1;
+        route.sent_calls.add_and_rate(now, RECENT_CALLS_S, 1.0);
+        let mut max_batch = route.max_batch;
+        if let Some(outage) = &mut route.outage {
+            outage.trials += 1;
+            // If calls were only rejected, a trial call may carry a full batch: its messages are not lost.
+            if outage.calls_lost {
+                max_batch = 1;
             }
         }
-        route.plan_trial(now, &self.settings, self.rng.f64());
-        self.last_call += 1;
-        route.out.insert(self.last_call);
-        let mut carried = Vec::new();
+        route.schedule_trial(now, &self.settings, self.rng.f64());
+        self.last_call_id += 1;
+        route.calls_in_flight.insert(self.last_call_id);
+        let mut messages = Vec::new();
         let mut next = Some(first);
         while let Some(message) = next {
-            let try_for = self.time_out(now, id, message);
+            let timeout = self.attempt_timeout(now, route_id, message);
             let send_by = self.messages.get(&message).and_then(|m| self.last_send(m));
             if let Some(m) = self.messages.get_mut(&message) {
                 m.attempts += 1;
-                m.out = Some(self.last_call);
-                self.actions.push(Action::Route { message, endpoint: to, try_for, send_by });
+                m.in_flight_call = Some(self.last_call_id);
+                self.actions.push(Action::Route { message, endpoint: endpoint_id, timeout, send_by });
             }
-            self.place(now, message);
-            carried.push(message);
-            next = if carried.len() == room { None } else { self.pick(now, id, &mut None).map(|(m, _)| m) };
-        }
-        let (route, sent, unanswered, stalled, called_off) = (id, now, carried.len(), false, false);
-        let call = Call { route, to, zone, sent, carried, unanswered, idle, stalled, called_off };
-        self.calls.insert(self.last_call, call);
+            self.reindex(now, message);
+            messages.push(message);
+            let best =
+                if messages.len() == max_batch { None } else { self.best_message(now, route_id, &mut None) };
+            next = best.map(|(message, _)| message);
+        }
+        let call = Call::new(now, route_id, endpoint_id, zone, messages, connection_idle);
+        self.calls.insert(self.last_call_id, call);
     }
 
-    /// How long the connection has been idle that the next call to an endpoint would use. Where idle ones are
-    /// dropped unseen, they are closed first; now and then one is tried, with a message that can be repeated.
-    fn idle_connection(&mut self, now: Time, to: EndpointId, first: MessageId) -> Option<Duration> {
-        let address = self.addresses.get(&to)?;
-        let idle = now - address.used.filter(|used| now - *used < self.settings.conn_idle)?;
-        // With calls out, a second connection may have been idle for longer than was seen.
-        let alone = address.calls_out == 0;
-        let repeatable = self.messages.get(&first).is_some_and(|m| self.repeatable(m));
-        let bearable = if repeatable { REAPED_RISKS.1 } else { REAPED_RISKS.0 };
-        let reaping = &mut self.reaping;
-        let short = alone && idle < reaping.idle.mul_f64(REAPED_MARGIN);
-        if reaping.risk < bearable + reaping.other * REAPED_OTHER || short {
-            return alone.then_some(idle);
-        }
-        if repeatable && alone && idle >= reaping.idle && now >= reaping.next_check {
-            reaping.next_check =
-                now + Duration::from_secs_f64(shortest_aim(&self.settings) * REAPED_CHECK_AIMS);
+    /// How long the connection of the next call to an endpoint has been idle; `None` for a new or shared one.
+    /// If idle connections are likely to be dropped, they are closed first; occasionally one is tried with a
+    /// repeatable message.
+    fn connection_idle_time(&mut self, now: Time, id: EndpointId, first: MessageId) -> Option<Duration> {
+        let endpoint = self.endpoints.get(&id)?;
+        let timeout = self.settings.connection_idle_timeout;
+        let idle = now - endpoint.last_used.filter(|last_used| now - *last_used < timeout)?;
+        // With calls in flight, a second connection may have been idle for longer than known.
+        let is_only_call = endpoint.calls_in_flight == 0;
+        let repeatable = self.messages.get(&first).is_some_and(|m| self.is_repeatable(m));
+        let max_risk = if repeatable { MAX_IDLE_RISK_REPEATABLE } else { MAX_IDLE_RISK_UNSAFE };
+        let drops = &mut self.idle_drops;
+        let is_trusted = is_only_call && idle < drops.shortest_lost_idle.mul_f64(TRUSTED_IDLE_SHARE);
+        if drops.risk < max_risk + drops.baseline_risk * IDLE_DROP_BASELINES || is_trusted {
+            return is_only_call.then_some(idle);
+        }
+        if repeatable && is_only_call && idle >= drops.shortest_lost_idle && now >= drops.next_check {
+            drops.next_check =
+                now + Duration::from_secs_f64(shortest_aim_seconds(&self.settings) * IDLE_DROP_CHECK_AIMS);
             return Some(idle);
         }
-        self.actions.push(Action::CloseIdle { endpoint: to });
+        self.actions.push(Action::CloseIdle { endpoint: id });
         None
     }
 
-    /// Follows the destination's own latency. An attempt that could not be followed by another gets all the
-    /// time that the message has: its time-out would be final.
-    fn time_out(&self, now: Time, id: RouteId, message: MessageId) -> Duration {
+    /// Timeout of the next attempt, from the latency of its route. The last possible attempt gets all the
+    /// time that is left, as its timeout would be final.
+    fn attempt_timeout(&self, now: Time, id: RouteId, message: MessageId) -> Duration {
         let Some(m) = self.messages.get(&message) else { return Duration::ZERO };
         let class = self.class(m);
-        let left = m.taken.deadline - now;
+        let left = m.accepted.deadline - now;
         let Some(route) = self.routes.get(&id) else { return left };
-        let usual = route.latency.times(TIMEOUT_LATENCIES);
+        let expected = route.latency.scaled(TIMEOUT_LATENCIES);
         let aim = class.aim.as_secs_f64();
-        let mut span = Duration::from_secs_f64(usual.clamp(aim * TIMEOUT_AIMS.0, aim * TIMEOUT_AIMS.1));
-        let first = m.maybe_ran.map_or(now, |(first, _)| first);
-        // A window too short for that leaves room for a repeat, if a usual answer comes in half of it.
-        let window = window_left(now, class, Some(first));
-        if m.maybe_ran.is_none() && Duration::from_secs_f64(usual) < window / 2 {
-            span = span.min(window / 2);
-        }
-        let last =
-            m.attempts + 1 >= self.settings.send_cap || class.effect == Effect::Unsafe || span > window;
-        let span = if last { left } else { span };
-        span.min(left)
+        let (min, max) = (aim * MIN_TIMEOUT_AIMS, aim * MAX_TIMEOUT_AIMS);
+        let mut timeout = Duration::from_secs_f64(expected.clamp(min, max));
+        let first = m.may_have_run.map_or(now, |(first, _)| first);
+        // Leaves time for a repeat in a short window, if an answer can be expected in half of it.
+        let window = resend_time_left(now, class, Some(first));
+        if m.may_have_run.is_none() && Duration::from_secs_f64(expected) < window / 2 {
+            timeout = timeout.min(window / 2);
+        }
+        let is_last = m.attempts + 1 >= self.settings.max_attempts
+            || class.effect == Effect::Unsafe
+            || timeout > window;
+        let timeout = if is_last { left } else { timeout };
+        timeout.min(left)
     }
 
-    /// All slots taken while messages wait: the oldest call that hangs is called off, an unsafe one later.
-    fn free_pinned_slot(&mut self, now: Time) {
-        if !self.settings.cancel || self.slots_free() > 0 || self.open <= self.calls.len() {
+    /// Cancels the oldest stalled call if messages wait and no slot is free. Unrepeatable calls get more
+    /// time.
+    fn cancel_stalled_call(&mut self, now: Time) {
+        if !self.settings.cancel || self.free_slots() > 0 || self.open_messages <= self.calls.len() {
             return;
         }
-        let hanging = |call: &Call| {
-            let mut carried = call.carried.iter().filter_map(|m| self.messages.get(m));
-            let safe = carried.all(|m| self.repeatable(m));
-            let patience = self.stall_patience(call.route) * if safe { 1 } else { UNSAFE_PATIENCE };
-            !call.called_off && now - call.sent > patience
+        let hangs = |call: &Call| {
+            let mut messages = call.messages.iter().filter_map(|m| self.messages.get(m));
+            let repeatable = messages.all(|m| self.is_repeatable(m));
+            let timeout = self.stall_timeout(call.route) * if repeatable { 1 } else { UNSAFE_CANCEL_STALLS };
+            !call.cancelled && now - call.sent_at > timeout
         };
-        let Some(id) = self.calls.iter().find(|(_, call)| hanging(call)).map(|(id, _)| *id) else { return };
+        let Some(id) = self.calls.iter().find(|(_, call)| hangs(call)).map(|(id, _)| *id) else { return };
         let Some(call) = self.calls.get_mut(&id) else { return };
-        call.called_off = true;
-        for message in &call.carried {
-            if let Some(m) = self.messages.get(message).filter(|m| m.out == Some(id)) {
+        call.cancelled = true;
+        for message in &call.messages {
+            if let Some(m) = self.messages.get(message).filter(|m| m.in_flight_call == Some(id)) {
                 self.actions
-                    .push(Action::StopAttempt { message: *message, attempt: (m.attempts - 1) as u16 });
+                    .push(Action::CancelAttempt { message: *message, attempt: (m.attempts - 1) as u16 });
             }
         }
     }
 
-    // ---- Answers ----
+    // ---- Final answers ----
 
-    /// The final answer that a message may be given now; none while an attempt may still deliver it.
-    fn permitted_answer(&mut self, now: Time, id: MessageId) -> Option<Action> {
+    /// The final answer that an open message may get now. It is returned only if it certainly did not run, or
+    /// if repeats do no harm.
+    fn final_answer(&mut self, now: Time, id: MessageId) -> Option<Action> {
         let message = self.messages.get(&id).filter(|m| !m.closed)?;
-        let to = message.taken.destination;
-        let refusable = match self.class(message).effect {
+        let destination = message.accepted.destination;
+        let returnable = match self.class(message).effect {
             Effect::Safe => true,
-            _ => message.maybe_ran.is_none() && message.out.is_none(),
+            _ => message.may_have_run.is_none() && message.in_flight_call.is_none(),
         };
-        Some(if refusable {
-            Action::Busy { message: id, after: self.come_back(now, to) }
+        Some(if returnable {
+            Action::Return { message: id, retry_after: self.retry_after(now, destination) }
         } else {
             Action::ReportFailure { message: id }
         })
     }
 
-    fn answer(&mut self, now: Time, id: MessageId) {
-        let action = self.permitted_answer(now, id);
+    fn give_final_answer(&mut self, now: Time, id: MessageId) {
+        let action = self.final_answer(now, id);
         if action.is_some() {
-            self.await_hearing(id);
+            self.await_acknowledgement(id);
         }
         self.actions.extend(action);
         self.close(now, id);
     }
 
-    /// Every message has a deadline that answers it in time; one that is out is left half of the slack.
-    fn answer_due(&mut self, now: Time) {
+    /// Gives expired messages their final answer. A call in flight gets half of the answer slack in addition.
+    fn answer_expired(&mut self, now: Time) {
         while let Some(&(due, id)) = self.deadlines.first().filter(|(due, _)| *due <= now) {
             self.deadlines.remove(&(due, id));
             let Some(message) = self.messages.get(&id).filter(|m| !m.closed) else { continue };
-            let last_call = message.taken.deadline + self.settings.rules.answer_slack / 2;
-            if message.out.is_some() && now < last_call {
-                self.deadlines.insert((last_call, id));
+            let extended = message.accepted.deadline + self.settings.rules.answer_slack / 2;
+            if message.in_flight_call.is_some() && now < extended {
+                self.deadlines.insert((extended, id));
             } else {
-                self.answer(now, id);
+                self.give_final_answer(now, id);
             }
         }
     }
 
-    /// Whether a message of a class may be taken on: nearly full, the rest is for those of most worth.
+    /// Whether a message of a class may be accepted. The last free places are reserved for the classes of
+    /// most worth.
     pub fn admits(&self, class: ClassId) -> bool {
-        let most = self.settings.classes.iter().map(|c| c.worth).fold(0.0, f64::max);
+        let max_worth = self.settings.classes.iter().map(|c| c.worth).fold(0.0, f64::max);
         let worth = self.settings.classes.get(usize::from(class.0)).map_or(0.0, |c| c.worth);
-        self.open < if worth < most { self.nearly_full() } else { self.settings.most_held }
+        self.open_messages < if worth < max_worth { self.shed_threshold() } else { self.settings.max_held }
     }
 
-    fn nearly_full(&self) -> usize {
-        (self.settings.most_held as f64 * SHED_ABOVE) as usize
+    fn shed_threshold(&self) -> usize {
+        (self.settings.max_held as f64 * SHED_ABOVE_SHARE) as usize
     }
 
-    /// Where no door asks first, the least worth go before new messages are turned away unseen.
+    /// Returns the messages of the lowest priority when `max_held` is nearly reached, unless the caller
+    /// checks [`Courier::admits`] first, as it does where answers are acknowledged.
     fn shed(&mut self, now: Time) {
-        let most = if self.settings.answers_take_time { usize::MAX } else { self.nearly_full() };
-        while self.open > most {
+        let max_open = if self.settings.acknowledged_answers { usize::MAX } else { self.shed_threshold() };
+        while self.open_messages > max_open {
             let least = self
                 .messages
                 .values()
-                .filter(|m| !m.closed && m.out.is_none())
-                .map(|m| (self.worth(now, m), m.taken.id))
+                .filter(|m| !m.closed && m.in_flight_call.is_none())
+                .map(|m| (self.priority(now, m), m.accepted.id))
                 .min_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
             let Some((_, id)) = least else { return };
-            self.answer(now, id);
+            self.give_final_answer(now, id);
         }
     }
 
+    /// Closes a message that got its final answer, was delivered or was withdrawn.
     fn close(&mut self, now: Time, id: MessageId) {
         if let Some(message) = self.messages.get_mut(&id).filter(|m| !m.closed) {
             message.closed = true;
-            self.open -= 1;
-            self.deadlines.remove(&(message.taken.deadline, id));
-            let to = message.taken.destination;
-            self.place(now, id);
-            self.queues.leave(to);
+            self.open_messages -= 1;
+            self.deadlines.remove(&(message.accepted.deadline, id));
+            let destination = message.accepted.destination;
+            self.reindex(now, id);
+            self.queues.remove_message(destination);
         }
-        self.forget_if_over(now, id);
+        self.forget_if_final(now, id);
     }
 
-    /// A message is forgotten once it is answered and has nothing out; until then its key stays taken.
-    fn forget_if_over(&mut self, now: Time, id: MessageId) {
-        if self.messages.get(&id).is_none_or(|m| !m.closed || m.unheard || m.out.is_some()) {
+    /// Forgets a closed message and releases its order key, unless it has a call in flight or an
+    /// unacknowledged answer.
+    fn forget_if_final(&mut self, now: Time, id: MessageId) {
+        if self.messages.get(&id).is_none_or(|m| !m.closed || m.unacknowledged || m.in_flight_call.is_some())
+        {
             return;
         }
         let Some(message) = self.messages.remove(&id) else { return };
-        let Some(key) = message.taken.key else { return };
-        if let Some(turn) = self.keys.get_mut(&key) {
-            turn.remove(&(message.arrival, id));
-            if turn.is_empty() {
-                self.keys.remove(&key);
+        let Some(key) = message.accepted.key else { return };
+        if let Some(queue) = self.key_queues.get_mut(&key) {
+            queue.remove(&(message.ordinal, id));
+            if queue.is_empty() {
+                self.key_queues.remove(&key);
             }
-            self.place_front(now, key);
+            self.reindex_first_of_key(now, key);
         }
     }
 
-    // ---- Settings and timers ----
-
-    fn route_of(&self, entry: &Endpoint) -> RouteId {
-        let apart = self.settings.kinds.get(usize::from(entry.kind.0)).is_some_and(|k| k.own_limits);
-        RouteId(entry.destination, apart.then_some(entry.id))
-    }
-
-    fn weight_of(&self, entry: &Endpoint) -> f64 {
-        match self.settings.weights {
-            WeightSource::Silent => self.settings.call_slots as f64,
-            WeightSource::Rough | WeightSource::Nominal => entry.weight.max(0.1),
-        }
-    }
-
-    fn slots_free(&self) -> usize {
-        self.settings.call_slots.saturating_sub(self.calls.len())
-    }
-
-    /// One timer is outstanding: the earliest moment at which something could be done without an event.
-    fn set_wake(&mut self, now: Time, next: Option<Time>) {
+    /// Sets a timer for the next time at which `decide` may act without an event. At most one timer is
+    /// outstanding.
+    fn set_timer(&mut self, now: Time, next: Option<Time>) {
         let due = self.deadlines.first().map(|(due, _)| *due);
         let Some(at) = [next, due].into_iter().flatten().min() else { return };
-        if self.wake.is_none_or(|(set, _)| at < set || set <= now) {
-            self.token += 1;
-            self.wake = Some((at, self.token));
-            self.actions.push(Action::Wake { after: at - now, token: self.token });
+        if self.timer.is_none_or(|(set, _)| at < set || set <= now) {
+            self.last_timer_token += 1;
+            self.timer = Some((at, self.last_timer_token));
+            self.actions.push(Action::SetTimer { after: at - now, token: self.last_timer_token });
         }
     }
 }
 
 impl Route {
-    /// Whether this courier has too few messages here for a figure of its own (`LIGHT`).
-    fn is_light(&mut self, now: Time, settings: &Settings) -> bool {
-        self.demand.rate(now, cold_s(settings), 0.0) * cold_s(settings) < LIGHT
-    }
-
-    /// A part of a limit stays that part of it when it is raised or lowered.
-    fn set_limit(&mut self, limit: f64) {
-        self.rate *= limit / self.weight.max(0.1);
-        self.weight = limit;
+    /// Whether this courier has too few messages for a meaningful demand (`LOW_TRAFFIC_MESSAGES`).
+    fn has_low_traffic(&mut self, now: Time, settings: &Settings) -> bool {
+        let warm_up = warm_up_seconds(settings);
+        self.demand.add_and_rate(now, warm_up, 0.0) * warm_up < LOW_TRAFFIC_MESSAGES
     }
 
-    /// Calls a second that leave room for as many from each other courier; none where no limit is told.
-    fn even_part(&self, settings: &Settings) -> f64 {
-        match settings.weights {
-            WeightSource::Silent => 0.0,
-            _ => EVEN_PART * self.weight / couriers(settings),
+    /// Calls a second that every courier can send without exceeding the limit; zero where the limit is
+    /// unknown.
+    fn fair_share(&self, settings: &Settings) -> f64 {
+        match settings.weight_source {
+            WeightSource::Unspecified => 0.0,
+            _ => FAIR_SHARE_USED * self.limit / courier_count(settings),
         }
     }
 
-    /// This courier's part of what all may send together, a second, so that a destination survives a return;
-    /// `warmth` runs from 0 to 1 over a cold one. It goes by what was served here before, which adds up to
-    /// what it can do (own demand does not), or by the even part. Trials, slow starts and last cuts
-    /// share this one budget.
-    fn fall_part(&mut self, now: Time, settings: &Settings, warmth: f64) -> f64 {
-        let demand = self.demand.rate(now, cold_s(settings), 0.0);
-        let light = LIGHT_FLOOR / shortest_deadline(settings);
-        let least = if self.is_light(now, settings) { light } else { 0.0 };
-        let own = demand.clamp(self.share, self.share * DEMAND_OF_SERVED);
-        // Who tries for all has all of it: nobody else uses any while the spell lasts.
-        let for_all = self.spell.is_some() && self.tries_for_all(now);
-        let part = own.max(if for_all { self.weight } else { self.weight / couriers(settings) });
-        let share = settings.rules.cold_from + (1.0 - settings.rules.cold_from) * warmth;
-        let used = FALL_BUDGET_USED - FALL_BUDGET_UNEVEN * (1.0 - (FEW / couriers(settings)).min(1.0));
-        (part * share * settings.rules.tip_multiple * used).max(least)
+    /// This courier's part of the calls per second that a returning destination survives; `warmth` goes from
+    /// 0 to 1 during its warm-up. The part is based on the rate served before, as the sum of that over all
+    /// couriers is within the capacity (the sum of their demands is not), or on the fair share. Trial calls,
+    /// slow starts and last rate cuts share this budget.
+    fn collapse_budget(&mut self, now: Time, settings: &Settings, warmth: f64) -> f64 {
+        let demand = self.demand.add_and_rate(now, warm_up_seconds(settings), 0.0);
+        let low_traffic_rate = LOW_TRAFFIC_CALLS_PER_DEADLINE / shortest_deadline_seconds(settings);
+        let min = if self.has_low_traffic(now, settings) { low_traffic_rate } else { 0.0 };
+        let own = demand.clamp(self.served_rate, self.served_rate * MAX_DEMAND_PER_SERVED);
+        // The trial owner has the whole budget: no other courier uses any during the outage.
+        let owns_trials = self.outage.is_some() && self.owns_trials(now);
+        let part = own.max(if owns_trials { self.limit } else { self.limit / courier_count(settings) });
+        let cold_share = settings.rules.cold_capacity_share;
+        let capacity_share = cold_share + (1.0 - cold_share) * warmth;
+        let many_couriers = 1.0 - (FEW_COURIERS / courier_count(settings)).min(1.0);
+        let used = COLLAPSE_BUDGET_USED - COLLAPSE_BUDGET_RESERVE * many_couriers;
+        (part * capacity_share * settings.rules.collapse_multiple * used).max(min)
     }
 
-    /// It serves again, or did then: a spell that was long enough makes for a slow start.
-    fn back(&mut self, at: Time, blip: Duration) {
-        if self.spell.take().is_some_and(|spell| spell.failed && at - spell.began > blip) {
-            (self.returned, self.tokens) = (Some(at), 0.0);
+    /// Ends the outage with a success at `at`. After a confirmed outage longer than `short_outage` a slow
+    /// start begins.
+    fn end_outage(&mut self, at: Time, short_outage: Duration) {
+        if self.outage.take().is_some_and(|outage| outage.confirmed && at - outage.began > short_outage) {
+            self.slow_start_since = Some(at);
+            self.tokens = 0.0;
         }
-        if self.doubtful {
-            self.filled = self.filled.max(at);
+        if self.unanswered_call {
+            self.refilled_at = self.refilled_at.max(at);
         }
-        (self.evidence, self.cuts, self.doubtful) = (0, 0, false);
+        self.outage_evidence = 0;
+        self.rate_cuts = 0;
+        self.unanswered_call = false;
     }
 
-    /// Shut until the told wait is over: the slow start begins there.
-    fn shut(&mut self, now: Time, settings: &Settings, chance: f64) {
-        let spread = if self.is_light(now, settings) { LIGHT_SPREAD } else { 1.0 };
-        (self.spell, self.returned) = (None, Some(self.told_wait));
-        (self.filled, self.tokens) = (self.told_wait, 1.0 - chance * spread);
+    /// No calls until the retry-after time is over; the slow start begins then.
+    fn close_until_retry_after(&mut self, now: Time, settings: &Settings, chance: f64) {
+        let spread = if self.has_low_traffic(now, settings) { LOW_TRAFFIC_SPREAD_CALLS } else { 1.0 };
+        self.outage = None;
+        self.slow_start_since = Some(self.retry_after_until);
+        self.refilled_at = self.retry_after_until;
+        self.tokens = 1.0 - chance * spread;
     }
 
-    /// Mean time between calls to one cold endpoint of several: its even part of the fall budget.
-    fn cold_gap(&mut self, now: Time, settings: &Settings, warmth: f64) -> Duration {
-        let part = self.fall_part(now, settings, warmth) / self.endpoints.len().max(1) as f64;
+    /// Mean time between calls to one cold endpoint of several, from its fair part of the collapse budget.
+    fn cold_endpoint_interval(&mut self, now: Time, settings: &Settings, warmth: f64) -> Duration {
+        let part = self.collapse_budget(now, settings, warmth) / self.endpoints.len().max(1) as f64;
         Duration::from_secs_f64(part.max(0.01).recip())
     }
 
-    /// Sets when the next trial call of a spell may go: at growing, jittered gaps, and by this courier's part
-    /// of the fall budget. Where calls are answered at once, if with errors, the budget alone paces what may
-    /// be repeated: no slot is pinned, some get through, and what waits behind growing gaps is late.
-    fn plan_trial(&mut self, now: Time, settings: &Settings, chance: f64) {
-        let own = Duration::from_secs_f64(self.fall_part(now, settings, 0.0).max(0.001).recip());
-        let for_all = self.tries_for_all(now);
-        let Some(spell) = &mut self.spell else { return };
-        let (fall, (first, longest)) = (settings.rules.fall, TRIAL_GAPS_OF_FALL);
-        let gap = growing_gap(fall, first, spell.trials).min(fall.mul_f64(longest));
-        let jitter = TRIAL_JITTER_FROM + chance * (1.0 - TRIAL_JITTER_FROM);
-        // Behind a told wait no gap runs out: who waits together must not come back together.
-        let from = now.max(self.told_wait);
-        // Where nobody answers no gap is shorter in the mean than the budget asks: 200 couriers add up.
-        spell.next_risk = from + gap.mul_f64(jitter).max(own.mul_f64(0.5 + chance));
-        // Who tries for all need not use up what many would: the first gap does for them.
-        let own = if for_all { own.max(fall.mul_f64(first)) } else { own };
-        spell.next_trial = if spell.answers { from + own.mul_f64(jitter) } else { spell.next_risk };
+    /// Sets when the next trial call in an outage may be sent: after growing, jittered gaps, within this
+    /// courier's collapse budget. Where calls fail fast, the budget alone limits repeatable messages: no slot
+    /// is blocked, some calls get through, and growing gaps would only make messages late.
+    fn schedule_trial(&mut self, now: Time, settings: &Settings, chance: f64) {
+        let budget_gap = Duration::from_secs_f64(self.collapse_budget(now, settings, 0.0).max(0.001).recip());
+        let owns_trials = self.owns_trials(now);
+        let Some(outage) = &mut self.outage else { return };
+        let window = settings.rules.collapse_window;
+        let backoff = exponential_backoff(window, FIRST_TRIAL_GAP_WINDOWS, outage.trials);
+        let gap = backoff.min(window.mul_f64(MAX_TRIAL_GAP_WINDOWS));
+        let jitter = MIN_TRIAL_JITTER + chance * (1.0 - MIN_TRIAL_JITTER);
+        // Gaps start after the retry-after time, or all couriers that wait for it would return together.
+        let from = now.max(self.retry_after_until);
+        // Where calls are not answered, the mean gap is no shorter than the budget demands, as the calls of
+        // all couriers (200, say) add up.
+        let slow_gap = gap.mul_f64(jitter).max(budget_gap.mul_f64(0.5 + chance));
+        outage.next_unrepeatable_trial = from + slow_gap;
+        // The trial owner need not use up the budget of all couriers: the first gap is short enough.
+        let min_gap = window.mul_f64(FIRST_TRIAL_GAP_WINDOWS);
+        let fast_gap = if owns_trials { budget_gap.max(min_gap) } else { budget_gap };
+        outage.next_trial = from + if outage.fails_fast { fast_gap.mul_f64(jitter) } else { slow_gap };
     }
 }
 
-/// Until when a keyed message may be resent that may first have run in an attempt sent then.
+/// Last time to resend a keyed message, given the send time of its first attempt that may have run.
 fn window_end(class: &Class, first: Time) -> Time {
-    first + class.repeat_window.mul_f64(1.0 - WINDOW_MARGIN)
+    first + class.repeat_window.mul_f64(1.0 - REPEAT_WINDOW_MARGIN)
 }
 
-/// How long a message may be repeated that may first have run then.
-fn window_left(now: Time, class: &Class, first: Option<Time>) -> Duration {
+/// How long a message may still be resent, given the send time of its first attempt that may have run.
+fn resend_time_left(now: Time, class: &Class, first: Option<Time>) -> Duration {
     match (class.effect, first) {
         (Effect::Keyed, Some(first)) => window_end(class, first) - now,
         _ => Duration::MAX,
--- a/crates/cloverstile/src/choice/carried.rs
+++ b/crates/cloverstile/src/choice/handover.rs
@@ -1,16 +1,16 @@
-//! A courier that goes on in another process. Nothing is decided here: its books are carried over as they stand.
+//! Continues a courier's state in another process. It is taken over unchanged; no decisions are made here.
 
 use super::Courier;
 use crate::interface::{MessageId, Settings};
 
 impl Courier {
-    /// Goes on with the books of the process before, under the same settings; it does not end with that process. The
-    /// outcomes of calls out then come here.
+    /// Continues with the state of the previous process under the same settings; a shutdown of that process is cancelled.
+    /// The outcomes of calls in flight have to be passed to this courier from now on.
     pub fn resumed(self, settings: Settings, seed: u64) -> Self {
         let rng = fastrand::Rng::with_seed(seed);
-        let mut courier = Courier { settings, rng, closing: None, ..self };
+        let mut courier = Courier { settings, rng, shutdown_at: None, ..self };
         courier.rebuild_queues();
-        courier.touch_everything();
+        courier.mark_all_due();
         courier
     }
 
--- a/crates/cloverstile/src/choice/tests.rs
+++ b/crates/cloverstile/src/choice/tests.rs
@@ -26,29 +26,29 @@
 
 /// What `pick` decides, by a walk over all messages of the destination in the order in which they came.
 fn walk(courier: &Courier, now: Time, route: RouteId, next: &mut Option<Time>) -> Option<(MessageId, f64)> {
-    let spell = courier.routes.get(&route).and_then(|r| r.spell.as_ref());
+    let outage = courier.routes.get(&route).and_then(|r| r.outage.as_ref());
     let mut queue: Vec<&Message> = courier.messages.values().collect();
-    queue.retain(|message| message.taken.destination == route.0 && !message.closed);
-    queue.sort_by_key(|message| message.arrival);
+    queue.retain(|message| message.accepted.destination == route.0 && !message.closed);
+    queue.sort_by_key(|message| message.ordinal);
     let mut best: Option<(bool, f64, MessageId)> = None;
     for message in queue {
         let at = courier.sendable_at(now, message);
         if at.is_none_or(|at| at > now) {
-            earliest(next, at);
+            keep_earliest(next, at);
             continue;
         }
-        let spare = message.attempts * 2 <= courier.settings.send_cap;
-        let fit = spell.is_none() || (spare && courier.repeatable(message));
-        if !fit && spell.is_some_and(|s| s.only_fit) {
+        let spare = message.attempts * 2 <= courier.settings.max_attempts;
+        let fit = outage.is_none() || (spare && courier.is_repeatable(message));
+        if !fit && outage.is_some_and(|s| s.repeatable_only) {
             continue;
         }
-        if let Some(at) = spell.map(|s| s.next_risk).filter(|at| !fit && *at > now) {
-            earliest(next, Some(at));
+        if let Some(at) = outage.map(|s| s.next_unrepeatable_trial).filter(|at| !fit && *at > now) {
+            keep_earliest(next, Some(at));
             continue;
         }
-        let worth = courier.worth(now, message);
+        let worth = courier.priority(now, message);
         if best.is_none_or(|(best_fit, most, _)| (fit, worth) > (best_fit, most)) {
-            best = Some((fit, worth, message.taken.id));
+            best = Some((fit, worth, message.accepted.id));
         }
     }
     best.map(|(_, worth, id)| (id, worth))
@@ -132,20 +132,20 @@
 }
 
 fn settings() -> impl Strategy<Value = Settings> {
-    let decay = prop_oneof![Just(Decay::Line), Just(Decay::Halves)];
-    let over_share_worth = prop_oneof![Just(0.0), Just(0.1), Just(1.0)];
+    let decay = prop_oneof![Just(Decay::Linear), Just(Decay::Halving)];
+    let over_quota_worth = prop_oneof![Just(0.0), Just(0.1), Just(1.0)];
     let classes = proptest::collection::vec(class(), 4);
     let call_slots = prop_oneof![Just(4usize), Just(16usize)];
-    (classes, decay, over_share_worth, any::<bool>(), 0u64..3, call_slots).prop_map(
-        |(classes, decay, over_share_worth, answers_take_time, settle, call_slots)| Settings {
+    (classes, decay, over_quota_worth, any::<bool>(), 0u64..3, call_slots).prop_map(
+        |(classes, decay, over_quota_worth, acknowledged_answers, settle, call_slots)| Settings {
             classes,
             decay,
-            over_share_worth,
-            answers_take_time,
+            over_quota_worth,
+            acknowledged_answers,
             tenants: vec![Tenant { quota: 3.0 }],
-            kinds: vec![Kind { batch: 1, own_limits: false }, Kind { batch: 3, own_limits: false }],
+            kinds: vec![Kind { max_batch: 1, own_limits: false }, Kind { max_batch: 3, own_limits: false }],
             call_slots,
-            send_cap: 5,
+            max_attempts: 5,
             couriers: 1,
             rules: Rules { order_settle: ms(settle * 150), ..Settings::default().rules },
             ..Settings::default()
@@ -155,8 +155,8 @@
 
 fn outcome(how: usize) -> Outcome {
     match how {
-        0 => Outcome::Full(None),
-        1 => Outcome::Full(Some(ms(700))),
+        0 => Outcome::Rejected(None),
+        1 => Outcome::Rejected(Some(ms(700))),
         2 => Outcome::Error,
         3 => Outcome::Timeout,
         4 => Outcome::ConnectFailed,
@@ -195,7 +195,7 @@
         Play { courier, now, accepted: 0 }
     }
 
-    fn taken(&mut self, class: u8, destination: u32, key: u64, early: i64, tenant: u32) -> Accepted {
+    fn accepted(&mut self, class: u8, destination: u32, key: u64, early: i64, tenant: u32) -> Accepted {
         self.accepted += 1;
         let full = self.now + self.courier.settings.classes[usize::from(class)].deadline;
         Accepted {
@@ -219,18 +219,18 @@
     fn kink(&self, message: usize, kink: usize) -> Option<Time> {
         let message = self.message(message)?;
         let class = self.courier.class(message);
-        let end = self.courier.last_send(message).unwrap_or(message.taken.deadline);
+        let end = self.courier.last_send(message).unwrap_or(message.accepted.deadline);
         let least = class.aim.mul_f64((1.0 - class.late_share.max(0.01).log2()).min(20.0));
         Some(match kink {
-            0 => message.born,
-            1 => message.born + class.aim,
-            2 => message.born + class.deadline,
-            3 => message.born + class.deadline - class.aim,
+            0 => message.enqueued_at,
+            1 => message.enqueued_at + class.aim,
+            2 => message.enqueued_at + class.deadline,
+            3 => message.enqueued_at + class.deadline - class.aim,
             4 => end,
             5 => end - class.aim,
             6 => message.not_before,
-            7 => message.born + least,
-            8 => message.born + least - class.aim,
+            7 => message.enqueued_at + least,
+            8 => message.enqueued_at + least - class.aim,
             _ => self.courier.deadlines.first()?.0,
         })
     }
@@ -243,27 +243,27 @@
                 self.now = at.map_or(self.now, |at| at.max(self.now));
             }
             Step::Accept { class, destination, key, early, tenant, again } => {
-                let taken = self.taken(class, destination, key, EARLY[early], tenant);
-                let taken = Accepted { from_dead_courier: again, ..taken };
-                self.courier.handle(self.now, Event::Accept(taken));
+                let accepted = self.accepted(class, destination, key, EARLY[early], tenant);
+                let accepted = Accepted { from_dead_courier: again, ..accepted };
+                self.courier.handle(self.now, Event::Accept(accepted));
             }
             Step::Restore { class, destination, key, attempts, ran } => {
-                let taken = self.taken(class, destination, key, 0, 0);
-                let maybe_ran = ran.map(|ago| (self.now - ms(ago), Some(ZoneId(0))));
-                let restored = Restored { taken, attempts, maybe_ran, answered: attempts == 3 };
+                let accepted = self.accepted(class, destination, key, 0, 0);
+                let may_have_run = ran.map(|ago| (self.now - ms(ago), Some(ZoneId(0))));
+                let restored = Restored { accepted, attempts, may_have_run, answered: attempts == 3 };
                 self.courier.handle(self.now, Event::Restored(restored));
             }
             Step::Finish { which, how } => self.finish(which, outcome(how)),
             Step::Gone(which) => {
-                if let Some(id) = self.message(which).map(|message| message.taken.id) {
+                if let Some(id) = self.message(which).map(|message| message.accepted.id) {
                     self.courier.handle(self.now, Event::ClientGone(id));
                 }
             }
             Step::Heard(which) => {
-                let unheard = self.courier.messages.values().filter(|message| message.unheard);
-                let ids: Vec<MessageId> = unheard.map(|message| message.taken.id).collect();
+                let unacknowledged = self.courier.messages.values().filter(|message| message.unacknowledged);
+                let ids: Vec<MessageId> = unacknowledged.map(|message| message.accepted.id).collect();
                 if !ids.is_empty() {
-                    self.courier.handle(self.now, Event::Heard(ids[which % ids.len()]));
+                    self.courier.handle(self.now, Event::AnswerAcknowledged(ids[which % ids.len()]));
                 }
             }
             Step::Resume => {
@@ -274,59 +274,59 @@
     }
 
     fn finish(&mut self, which: usize, outcome: Outcome) {
-        let out = self.courier.messages.values().filter(|message| message.out.is_some());
+        let out = self.courier.messages.values().filter(|message| message.in_flight_call.is_some());
         let out: Vec<(MessageId, u32, u64)> =
-            out.map(|m| (m.taken.id, m.attempts, m.out.unwrap_or_default())).collect();
+            out.map(|m| (m.accepted.id, m.attempts, m.in_flight_call.unwrap_or_default())).collect();
         let Some((message, attempts, call)) = out.get(which % out.len().max(1)).copied() else { return };
         let call = &self.courier.calls[&call];
         let finished = Finished {
             message,
-            endpoint: call.to,
+            endpoint: call.endpoint,
             attempt: attempts.saturating_sub(1) as u16,
             outcome,
-            latency: self.now - call.sent,
+            latency: self.now - call.sent_at,
             complete: outcome == Outcome::Ok,
-            allowance: None,
+            limit_report: None,
         };
         self.courier.handle(self.now, Event::Finished(finished));
     }
 
     /// Compares index and walk, with each route as it is and as it might be.
     fn compare(&mut self) {
-        self.courier.place_outdated(self.now);
+        self.courier.reindex_outdated(self.now);
         let later = self.now + ms(1);
-        let spells = [
+        let outages = [
             None,
-            Some(Spell { next_risk: self.now, ..Spell::default() }),
-            Some(Spell { next_risk: later, ..Spell::default() }),
-            Some(Spell { only_fit: true, ..Spell::default() }),
+            Some(OutageState { next_unrepeatable_trial: self.now, ..OutageState::default() }),
+            Some(OutageState { next_unrepeatable_trial: later, ..OutageState::default() }),
+            Some(OutageState { repeatable_only: true, ..OutageState::default() }),
         ];
         for route in (1..=4).map(|to| RouteId(DestinationId(to), None)) {
             self.compare_route(route);
             let Some(known) = self.courier.routes.get_mut(&route) else { continue };
-            let before = known.spell.take();
-            for spell in &spells {
-                let spell = spell.as_ref().map(|s| Spell {
-                    next_risk: s.next_risk,
-                    only_fit: s.only_fit,
-                    ..Spell::default()
+            let before = known.outage.take();
+            for outage in &outages {
+                let outage = outage.as_ref().map(|s| OutageState {
+                    next_unrepeatable_trial: s.next_unrepeatable_trial,
+                    repeatable_only: s.repeatable_only,
+                    ..OutageState::default()
                 });
-                self.courier.routes.get_mut(&route).expect("known").spell = spell;
+                self.courier.routes.get_mut(&route).expect("known").outage = outage;
                 self.compare_route(route);
             }
-            self.courier.routes.get_mut(&route).expect("known").spell = before;
+            self.courier.routes.get_mut(&route).expect("known").outage = before;
         }
     }
 
     fn compare_route(&self, route: RouteId) {
         let (mut next, mut expected_next) = (None, None);
-        let picked = self.courier.pick(self.now, route, &mut next);
+        let picked = self.courier.best_message(self.now, route, &mut next);
         let expected = walk(&self.courier, self.now, route, &mut expected_next);
         let bits = |found: Option<(MessageId, f64)>| found.map(|(id, worth)| (id, worth.to_bits()));
         assert_eq!(bits(picked), bits(expected), "at {:?}", self.now);
         assert_eq!(next, expected_next, "at {:?}", self.now);
-        let open = self.courier.messages.values().filter(|m| !m.closed && m.taken.destination == route.0);
-        assert_eq!(self.courier.queues.held(route.0), open.count());
+        let open = self.courier.messages.values().filter(|m| !m.closed && m.accepted.destination == route.0);
+        assert_eq!(self.courier.queues.open_messages(route.0), open.count());
     }
 }
 
@@ -356,8 +356,8 @@
     let settings = Settings {
         classes: vec![Class { in_order, ..Class::default() }],
         call_slots: 64,
-        most_held: 2 * messages as usize,
-        answers_take_time: true,
+        max_held: 2 * messages as usize,
+        acknowledged_answers: true,
         ..Settings::default()
     };
     let (begin, deadline) = (Time::ZERO + Duration::from_secs(100), settings.classes[0].deadline);
@@ -366,7 +366,7 @@
     let mut now = begin;
     for message in 0..messages {
         now = begin + Duration::from_secs(1).mul_f64(f64::from(message) / f64::from(messages));
-        let taken = Accepted {
+        let accepted = Accepted {
             id: MessageId(message),
             class: ClassId(0),
             destination: DestinationId(1 + message % DESTINATIONS),
@@ -375,7 +375,7 @@
             from_dead_courier: false,
             tenant: TenantId(0),
         };
-        courier.handle(now, Event::Accept(taken));
+        courier.handle(now, Event::Accept(accepted));
         if message % (messages / 100) == 0 {
             courier.decide(now, &mut Vec::new());
         }
@@ -436,7 +436,7 @@
     for step in steps.iter().cloned().chain(after) {
         play.step(step);
         if looks_at_all {
-            play.courier.touch_everything();
+            play.courier.mark_all_due();
         }
         play.courier.decide(play.now, &mut actions);
     }
@@ -459,23 +459,23 @@
 /// A courier to which many destinations are out and wait for their trials.
 fn with_waiting(destinations: u32) -> Play {
     let settings =
-        Settings { call_slots: SLOTS, most_held: 100_000, answers_take_time: true, ..Settings::default() };
+        Settings { call_slots: SLOTS, max_held: 100_000, acknowledged_answers: true, ..Settings::default() };
     let now = Time::ZERO + Duration::from_secs(100);
     let mut play = Play { courier: Courier::new(settings, 3), now, accepted: 0 };
     play.courier.handle(now, listing(destinations, 50.0));
     for destination in 1..=destinations {
-        let outage = Outage {
+        let outage = OutageRecord {
             destination: DestinationId(destination),
             endpoint: None,
             since: now,
-            evidence: SPELL_AFTER,
-            lost: Some(true),
-            returned: None,
-            share: 1.0,
+            evidence: OUTAGE_EVIDENCE,
+            calls_lost: Some(true),
+            slow_start_since: None,
+            served_rate: 1.0,
         };
-        play.courier.handle(now, Event::Recalled(outage));
-        let taken = play.taken(0, destination, 0, 0, 0);
-        play.courier.handle(now, Event::Accept(taken));
+        play.courier.handle(now, Event::OutageRestored(outage));
+        let accepted = play.accepted(0, destination, 0, 0, 0);
+        play.courier.handle(now, Event::Accept(accepted));
     }
     play.courier.decide(now, &mut Vec::new());
     // All messages are filed anew once they have an age.
@@ -487,8 +487,8 @@
 /// A turn with a message for one destination.
 fn turn_for_one(play: &mut Play) {
     play.now = play.now + Duration::from_micros(10);
-    let taken = play.taken(0, 1, 0, 0, 0);
-    play.courier.handle(play.now, Event::Accept(taken));
+    let accepted = play.accepted(0, 1, 0, 0, 0);
+    play.courier.handle(play.now, Event::Accept(accepted));
     play.courier.decide(play.now, &mut Vec::new());
 }
 
--- a/crates/cloverstile/src/due.rs
+++ b/crates/cloverstile/src/due.rs
@@ -1,5 +1,5 @@
-//! Which destinations a turn has to look at: those that something happened to, and those whose time has come. Sets only;
-//! what a look decides, and how long none is needed, is in `choice.rs` and its submodules.
+//! Which destinations `decide` has to evaluate: those affected by an event and those whose deferral has ended. What an
+//! evaluation decides, and how long the next one can be deferred, is in `choice.rs` and its submodules.
 
 use crate::interface::{DestinationId, Time};
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,76 +7,76 @@
 #[derive(Default)]
 pub struct DueDestinations {
     due: BTreeSet<DestinationId>,
-    /// Destinations that need no look before a time, unless something happens to them.
-    parked: BTreeSet<(Time, DestinationId)>,
-    parked_until: BTreeMap<DestinationId, Time>,
-    /// All that have an outage to remember, and others that something happened to since they were looked at.
-    troubled: BTreeSet<DestinationId>,
-    /// Those whose outages may have changed since they were last taken.
-    changed: BTreeSet<DestinationId>,
+    /// Destinations that need no evaluation before a time, unless an event affects them.
+    deferred: BTreeSet<(Time, DestinationId)>,
+    deferred_until: BTreeMap<DestinationId, Time>,
+    /// All destinations with an outage record, and those affected by an event since their last evaluation.
+    possible_outages: BTreeSet<DestinationId>,
+    /// Destinations whose outage records may have changed since `take_changed_outages`.
+    changed_outages: BTreeSet<DestinationId>,
 }
 
 impl DueDestinations {
-    /// Something happened to a destination.
-    pub fn touch(&mut self, to: DestinationId) {
-        self.unpark(to);
-        self.due.insert(to);
-        self.troubled.insert(to);
-        self.mark_changed(to);
+    /// Marks a destination that is affected by an event.
+    pub fn mark_due(&mut self, destination: DestinationId) {
+        self.cancel_deferral(destination);
+        self.due.insert(destination);
+        self.possible_outages.insert(destination);
+        self.mark_outage_changed(destination);
     }
 
-    /// What is to be remembered of a destination may have changed.
-    pub fn mark_changed(&mut self, to: DestinationId) {
-        self.changed.insert(to);
+    /// Notes that the outage records of a destination may have changed.
+    pub fn mark_outage_changed(&mut self, destination: DestinationId) {
+        self.changed_outages.insert(destination);
     }
 
-    /// Those that were marked since the last time.
-    pub fn take_changed(&mut self) -> Vec<DestinationId> {
-        std::mem::take(&mut self.changed).into_iter().collect()
+    /// Returns the destinations marked by `mark_outage_changed` since the last call.
+    pub fn take_changed_outages(&mut self) -> Vec<DestinationId> {
+        std::mem::take(&mut self.changed_outages).into_iter().collect()
     }
 
-    /// No look is needed before `until`, or before something happens.
-    pub fn park(&mut self, to: DestinationId, until: Option<Time>) {
-        self.unpark(to);
-        self.due.remove(&to);
+    /// Defers the evaluation of a destination to `until`, or to the next event if that is `None`.
+    pub fn defer(&mut self, destination: DestinationId, until: Option<Time>) {
+        self.cancel_deferral(destination);
+        self.due.remove(&destination);
         if let Some(until) = until {
-            self.parked.insert((until, to));
-            self.parked_until.insert(to, until);
+            self.deferred.insert((until, destination));
+            self.deferred_until.insert(destination, until);
         }
     }
 
     /// The destinations that are due.
-    pub fn at(&mut self, now: Time) -> Vec<DestinationId> {
-        while let Some((_, to)) = self.parked.first().copied().filter(|(until, _)| *until <= now) {
-            self.unpark(to);
-            self.due.insert(to);
+    pub fn due_at(&mut self, now: Time) -> Vec<DestinationId> {
+        while let Some((_, destination)) = self.deferred.first().copied().filter(|(until, _)| *until <= now) {
+            self.cancel_deferral(destination);
+            self.due.insert(destination);
         }
         self.due.iter().copied().collect()
     }
 
-    /// When the next one is due.
-    pub fn next(&self) -> Option<Time> {
-        self.parked.first().map(|(until, _)| *until)
+    /// When the next deferral ends.
+    pub fn next_due(&self) -> Option<Time> {
+        self.deferred.first().map(|(until, _)| *until)
     }
 
-    /// Destinations that may have an outage to remember.
-    pub fn troubled(&self) -> impl Iterator<Item = DestinationId> + '_ {
-        self.troubled.iter().copied()
+    /// Destinations that may have an outage record.
+    pub fn possible_outages(&self) -> impl Iterator<Item = DestinationId> + '_ {
+        self.possible_outages.iter().copied()
     }
 
-    /// Whether a destination has an outage to remember.
-    pub fn set_troubled(&mut self, to: DestinationId, is_troubled: bool) {
-        self.mark_changed(to);
-        if is_troubled {
-            self.troubled.insert(to);
+    /// Stores after an evaluation whether a destination has an outage record.
+    pub fn set_has_outage(&mut self, destination: DestinationId, has_outage: bool) {
+        self.mark_outage_changed(destination);
+        if has_outage {
+            self.possible_outages.insert(destination);
         } else {
-            self.troubled.remove(&to);
+            self.possible_outages.remove(&destination);
         }
     }
 
-    fn unpark(&mut self, to: DestinationId) {
-        if let Some(until) = self.parked_until.remove(&to) {
-            self.parked.remove(&(until, to));
+    fn cancel_deferral(&mut self, destination: DestinationId) {
+        if let Some(until) = self.deferred_until.remove(&destination) {
+            self.deferred.remove(&(until, destination));
         }
     }
 }
