--- a/crates/cloverstile/src/interface.rs
+++ b/crates/cloverstile/src/interface.rs
@@ -1,15 +1,16 @@
-//! What a courier is told and what it may answer. Types only; every decision is in `choice.rs`.
+//! Public types: settings, the events that a [`Courier`](crate::Courier) handles and the actions that it returns. Every
+//! decision is in `choice.rs`.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// A moment on the caller's clock, in nanoseconds from any fixed start. Never goes backwards.
+/// A point in time on the caller's monotonic clock, in nanoseconds since an arbitrary start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Time(pub u64);
 
 impl Time {
-    /// The clock's own zero.
+    /// Start of the clock.
     pub const ZERO: Time = Time(0);
 }
 
@@ -46,11 +47,11 @@
 }
 
 ids! {
-    /// A message, unique for the life of a courier. It is also the idempotency key that travels with a call.
+    /// Identifies a message. Unique per courier; also sent with each call as the idempotency key.
     MessageId(u32);
-    /// One address of a destination.
+    /// Identifies an endpoint of a destination.
     EndpointId(u32);
-    /// A partner's system; a message names the one that it is for.
+    /// Identifies a destination: the partner system that a message is delivered to.
     DestinationId(u32);
     /// Index into [`Settings::classes`].
     ClassId(u8);
@@ -58,70 +59,71 @@
     TenantId(u32);
     /// Index into [`Settings::kinds`].
     KindId(u16);
-    /// A location.
+    /// Identifies a zone (location).
     ZoneId(u8);
-    /// What messages of an ordered class are about; those with one key go in turn.
+    /// Order key: messages of an ordered class that share a key are delivered one at a time, in order.
     OrderKey(u64);
 }
 
 impl ZoneId {
-    /// Stands for all zones beyond those that can be numbered: two of them need not be the same.
-    pub const BEYOND: ZoneId = ZoneId(u8::MAX);
+    /// Shared by all zones for which no number is left: two endpoints with this id may be in different zones.
+    pub const UNNUMBERED: ZoneId = ZoneId(u8::MAX);
 
-    /// Which zone it is; none where that cannot be told.
+    /// The zone, or `None` for [`ZoneId::UNNUMBERED`].
     pub fn known(self) -> Option<ZoneId> {
-        (self != ZoneId::BEYOND).then_some(self)
+        (self != ZoneId::UNNUMBERED).then_some(self)
     }
 }
 
-/// What a repeat of a message does.
+/// What happens when a message is delivered more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// A repeat does no harm.
+    /// Repeated deliveries do no harm.
     Safe,
-    /// A repeat under the same key is dropped, inside a group of endpoints and for a time.
+    /// Endpoints drop repeats with the same idempotency key, within [`Class::dedup_scope`] and
+    /// [`Class::repeat_window`].
     Keyed,
-    /// A repeat takes effect again.
+    /// Each delivery takes effect again.
     Unsafe,
 }
 
-/// Which endpoints of a destination drop repeats of one key.
+/// Which endpoints of a destination share their record of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
-    /// All of them.
+pub enum DedupScope {
+    /// All endpoints of the destination.
     All,
-    /// Those of the zone that was called first.
+    /// The endpoints of one zone. Repeats must go to the zone of the first attempt.
     Zone,
 }
 
-/// How the worth of a message falls once its aim has passed.
+/// How the worth of a message decreases after its aim.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Decay {
-    /// Evenly, down to [`Class::late_share`] at the deadline.
+    /// Linearly, down to [`Class::late_share`] at the deadline.
     #[default]
-    Line,
-    /// By half with each further aim, but not under [`Class::late_share`].
-    Halves,
+    Linear,
+    /// Halves with each further aim, but not below [`Class::late_share`].
+    Halving,
 }
 
-/// A class of message.
+/// Delivery requirements of a class of messages.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Delivered within this time after the hand-in, it earns its full worth.
+    /// Target time: a message delivered within this time after it was enqueued earns its full worth.
     pub aim: Duration,
-    /// How long after the hand-in it may be delivered at all.
+    /// A message may be delivered until this long after it was enqueued.
     pub deadline: Duration,
-    /// What a repeat does.
+    /// What repeated deliveries do.
     pub effect: Effect,
-    /// Keyed classes: who drops repeats.
-    pub group: Group,
-    /// Keyed classes: for how long from the sending of the first attempt that may have run.
+    /// Keyed classes: which endpoints drop repeats.
+    pub dedup_scope: DedupScope,
+    /// Keyed classes: how long endpoints drop repeats, from the send time of the first attempt that may have run.
     pub repeat_window: Duration,
-    /// Messages with one key go one at a time, in the order taken.
+    /// Messages with the same order key are delivered one at a time, in the order in which they were accepted.
     pub in_order: bool,
-    /// Worth of a message delivered on time.
+    /// Worth of a message delivered within its aim.
     pub worth: f64,
-    /// Share of the worth that is left at the deadline; see [`Decay`].
+    /// Lowest share of the worth that a late delivery earns; see [`Decay`].
     pub late_share: f64,
 }
 
@@ -131,7 +133,7 @@
             aim: Duration::from_secs(3),
             deadline: Duration::from_secs(20),
             effect: Effect::Keyed,
-            group: Group::All,
+            dedup_scope: DedupScope::All,
             repeat_window: Duration::from_secs(10),
             in_order: false,
             worth: 1.0,
@@ -140,90 +142,92 @@
     }
 }
 
-/// A client with a share of the service.
+/// A client organization with a quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Messages a second over all couriers inside its share; what is beyond is worth little.
+    /// Messages a second over all couriers. Messages above the quota count [`Settings::over_quota_worth`].
     pub quota: f64,
 }
 
 /// A kind of destination.
 #[derive(Clone, Debug)]
 pub struct Kind {
-    /// Messages that one call may carry.
-    pub batch: usize,
-    /// The endpoints of a destination are separate routes, each with its own limit, pace and outages.
+    /// Maximum number of messages in one call.
+    pub max_batch: usize,
+    /// Each endpoint of a destination is a route of its own, with its own rate limit and outages.
     pub own_limits: bool,
 }
 
-/// What an endpoint's weight means.
+/// What the weight of a listed endpoint means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightSource {
-    /// Nothing.
-    Silent,
-    /// Calls a second that the destination takes from all couriers together.
+    /// Weights carry no information.
+    Unspecified,
+    /// Calls a second that the destination accepts from all couriers together.
     Nominal,
-    /// The same, up to half too high or too low.
-    Rough,
+    /// As [`WeightSource::Nominal`], but up to half too high or too low.
+    Approximate,
 }
 
-/// The figures of the rules.
+/// Parameters of the rules that couriers and partners agree on.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// A final answer still counts this long after the deadline.
+    /// A final answer still counts when it is given this long after the deadline.
     pub answer_slack: Duration,
-    /// A destination back from an outage can do at least this share of its capacity.
-    pub cold_from: f64,
-    /// It is warm after this at the latest.
-    pub cold: Duration,
-    /// Sent more than this multiple of what it can do just now ...
-    pub tip_multiple: f64,
-    /// ... for this long, a cold destination falls over.
-    pub fall: Duration,
-    /// A key rests this long after an attempt that may still be running.
+    /// Share of its capacity that a destination has at least when it returns from an outage.
+    pub cold_capacity_share: f64,
+    /// Time after which a returning destination has its full capacity again.
+    pub warm_up: Duration,
+    /// A destination that warms up collapses when it is sent more than this multiple of its current capacity for
+    /// [`Rules::collapse_window`].
+    pub collapse_multiple: f64,
+    /// See [`Rules::collapse_multiple`].
+    pub collapse_window: Duration,
+    /// How long an order key stays blocked after an attempt that may still be running.
     pub order_settle: Duration,
-    /// Nothing new goes to an endpoint this long after it was told to drain or to be gone.
+    /// Time within which a courier must stop sending to an endpoint that drains or was removed.
     pub drain_grace: Duration,
 }
 
-/// What a courier is handed at its start.
+/// Settings of a courier.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Couriers that share the destinations, this one included.
+    /// Number of couriers that share the destinations, this one included.
     pub couriers: u32,
-    /// Where this courier stands; calls to another location cost more. Absent where nothing is told of it.
+    /// Zone of this courier, if known. Calls to other zones cost more.
     pub zone: Option<ZoneId>,
-    /// Classes of message.
+    /// Message classes, indexed by [`ClassId`].
     pub classes: Vec<Class>,
-    /// How worth falls after the aim, in all classes.
+    /// How worth decreases after the aim, in all classes.
     pub decay: Decay,
-    /// Tenants; may be empty.
+    /// Tenants, indexed by [`TenantId`]; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Kinds of destination.
+    /// Kinds of destination, indexed by [`KindId`].
     pub kinds: Vec<Kind>,
-    /// What weights mean.
-    pub weights: WeightSource,
-    /// Calls that may be out at once.
+    /// What endpoint weights mean.
+    pub weight_source: WeightSource,
+    /// Maximum number of calls in flight.
     pub call_slots: usize,
-    /// Messages that may be held; further ones are turned away before the courier.
-    pub most_held: usize,
-    /// Most attempts for one message.
-    pub send_cap: u32,
-    /// [`Action::StopAttempt`] is permitted.
+    /// Maximum number of open messages. Callers reject further ones before they reach the courier.
+    pub max_held: usize,
+    /// Maximum number of attempts for one message.
+    pub max_attempts: u32,
+    /// [`Action::CancelAttempt`] is permitted.
     pub cancel: bool,
-    /// A message may have two attempts out at once.
+    /// Two attempts of one message may be in flight at once.
     pub second_copies: bool,
-    /// A final answer is over, and frees its key, only when [`Event::Heard`] says that it has arrived.
-    pub answers_take_time: bool,
-    /// How long a courier may stand still between reading its clock and what it then does.
-    pub held_up: Duration,
-    /// Worth of a message beyond its tenant's share, as a part of its class's worth.
-    pub over_share_worth: f64,
-    /// A connection that takes longer has failed.
+    /// Final answers have to be acknowledged: a message keeps its order key until
+    /// [`Event::AnswerAcknowledged`].
+    pub acknowledged_answers: bool,
+    /// Longest pause of the process that may lie between reading the clock and acting on it.
+    pub max_pause: Duration,
+    /// Worth of a message above its tenant's quota, as a share of the worth of its class.
+    pub over_quota_worth: f64,
+    /// A connection attempt that takes longer has failed.
     pub connect_timeout: Duration,
-    /// An idle connection is closed after this.
-    pub conn_idle: Duration,
-    /// The figures of the rules.
+    /// Connections are closed when they have been idle for this long.
+    pub connection_idle_timeout: Duration,
+    /// Parameters of the rules.
     pub rules: Rules,
 }
 
@@ -233,26 +237,26 @@
             couriers: 2,
             zone: None,
             classes: vec![Class::default()],
-            decay: Decay::Line,
+            decay: Decay::Linear,
             tenants: Vec::new(),
-            kinds: vec![Kind { batch: 1, own_limits: false }],
-            weights: WeightSource::Nominal,
+            kinds: vec![Kind { max_batch: 1, own_limits: false }],
+            weight_source: WeightSource::Nominal,
             call_slots: 16,
-            most_held: 400,
-            send_cap: 8,
+            max_held: 400,
+            max_attempts: 8,
             cancel: true,
             second_copies: false,
-            answers_take_time: false,
-            held_up: Duration::ZERO,
-            over_share_worth: 1.0,
+            acknowledged_answers: false,
+            max_pause: Duration::ZERO,
+            over_quota_worth: 1.0,
             connect_timeout: Duration::from_secs(1),
-            conn_idle: Duration::from_secs(15),
+            connection_idle_timeout: Duration::from_secs(15),
             rules: Rules {
                 answer_slack: Duration::from_millis(20),
-                cold_from: 0.2,
-                cold: Duration::from_secs(10),
-                tip_multiple: 2.0,
-                fall: Duration::from_secs(2),
+                cold_capacity_share: 0.2,
+                warm_up: Duration::from_secs(10),
+                collapse_multiple: 2.0,
+                collapse_window: Duration::from_secs(2),
                 order_settle: Duration::ZERO,
                 drain_grace: Duration::from_secs(2),
             },
@@ -260,128 +264,129 @@
     }
 }
 
-/// Whether an endpoint may be given new work. It says nothing of health.
+/// Whether service discovery allows new calls to an endpoint. Independent of its health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Mode {
-    /// Listed.
+    /// May be called.
     Ready,
-    /// To be sent nothing new.
+    /// Gets no new calls; calls in flight may complete.
     Draining,
-    /// Removed.
+    /// Removed from the listing.
     Gone,
 }
 
-/// An entry of the list of endpoints.
+/// An endpoint as listed by service discovery.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// Its id.
+    /// Id of the endpoint.
     pub id: EndpointId,
-    /// Where it stands.
+    /// Zone that it runs in.
     pub zone: ZoneId,
-    /// What kind of destination it belongs to.
+    /// Kind of its destination.
     pub kind: KindId,
-    /// The destination that it belongs to.
+    /// Destination that it belongs to.
     pub destination: DestinationId,
-    /// Whether it may be given new work.
+    /// Whether it may be called.
     pub mode: Mode,
     /// See [`WeightSource`].
     pub weight: f64,
 }
 
-/// News of the list of endpoints.
+/// An update from service discovery.
 #[derive(Clone, Debug)]
 pub enum Listing {
-    /// Altered entries only.
+    /// Changed entries only.
     Changes(Vec<Endpoint>),
-    /// The whole list; what it does not name is gone.
+    /// The complete listing; endpoints that it does not contain are gone.
     Whole(Vec<Endpoint>),
-    /// The list could not be had; the prior one remains valid.
+    /// The listing could not be fetched; the previous one stays valid.
     Failed,
 }
 
-/// A message that the courier now owes one final answer.
+/// An accepted message. The courier must give it exactly one final answer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Accepted {
-    /// Its id, which never comes twice.
+    /// Id of the message; never reused.
     pub id: MessageId,
-    /// Its class.
+    /// Class of the message.
     pub class: ClassId,
-    /// Where it must go.
+    /// Destination to deliver it to.
     pub destination: DestinationId,
-    /// Its key, if it has one.
+    /// Order key, if any.
     pub key: Option<OrderKey>,
-    /// When it is given up.
+    /// When the message expires.
     pub deadline: Time,
-    /// A courier that died held it before; a keyed one may have run there.
+    /// A courier that died held the message before: a keyed message may have run there.
     pub from_dead_courier: bool,
-    /// Whose it is.
+    /// Tenant that sent it.
     pub tenant: TenantId,
 }
 
-/// A message that this courier took before it was started again.
+/// A message that this courier accepted before its restart.
 #[derive(Clone, Debug)]
 pub struct Restored {
-    /// The message as it was taken.
-    pub taken: Accepted,
-    /// Attempts made for it.
+    /// The message as it was accepted.
+    pub accepted: Accepted,
+    /// Number of attempts made so far.
     pub attempts: u32,
-    /// When the first attempt that may have run was sent, and to which zone, if that is known.
-    pub maybe_ran: Option<(Time, Option<ZoneId>)>,
-    /// Its final answer was given, but not yet heard: it keeps its key until then.
+    /// Send time of the first attempt that may have run, and its zone if known.
+    pub may_have_run: Option<(Time, Option<ZoneId>)>,
+    /// The final answer was given but not acknowledged: the message keeps its order key until then.
     pub answered: bool,
 }
 
-/// What a courier saw of an outage, for its next start: the rule on returning destinations still counts it.
+/// What a courier keeps of an outage over a restart, so that the limits on calls to a returning destination still
+/// take it into account.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Outage {
-    /// Where.
+pub struct OutageRecord {
+    /// The affected destination.
     pub destination: DestinationId,
-    /// One endpoint of it, where its endpoints are separate routes.
+    /// The affected endpoint, where endpoints are separate routes.
     pub endpoint: Option<EndpointId>,
-    /// The last success before it.
+    /// Time of the last success before the outage.
     pub since: Time,
-    /// Weight of the failures seen.
+    /// Accumulated evidence of failure.
     pub evidence: u32,
-    /// Calls were lost there, not just refused; none while it is not held to be out.
-    pub lost: Option<bool>,
-    /// When its slow return began.
-    pub returned: Option<Time>,
-    /// Calls a second that were served there before.
-    pub share: f64,
+    /// Whether calls were lost, not just rejected; `None` while the route is not considered to be in an outage.
+    pub calls_lost: Option<bool>,
+    /// When the slow start after the outage began.
+    pub slow_start_since: Option<Time>,
+    /// Calls served per second before the outage.
+    pub served_rate: f64,
 }
 
-/// Who tries a destination in an outage, where couriers agree on that.
+/// Which courier makes the trial calls to a destination in an outage, where couriers coordinate them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Trials {
-    /// Each courier for itself.
+pub enum TrialOwner {
+    /// Not coordinated: each courier makes its own.
     #[default]
-    Own,
-    /// This one for all, until then.
-    Held(Time),
-    /// Another one for all, which tells what it learns. Until then this one does not.
-    Elsewhere(Time),
+    EachCourier,
+    /// This courier makes them on behalf of all couriers until the given time.
+    ThisCourier(Time),
+    /// Another courier makes them and reports the results. This courier makes none until the given time.
+    OtherCourier(Time),
 }
 
-/// What another courier learnt of a destination in an outage.
+/// What another courier learnt about a destination in an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum News {
-    /// It served a call then.
+pub enum PeerReport {
+    /// The destination served a call at this time.
     Served(Time),
-    /// It said to wait until then.
-    Wait(Time),
+    /// The destination asked not to be called before this time.
+    RetryAfter(Time),
 }
 
-/// How a courier stands with a destination that it held to be out.
+/// What a courier knows about the outage of a destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Outing {
-    /// Since when it is held to be out, by calls that failed; none where it is not.
-    pub since: Option<Time>,
-    /// There are messages to try it with.
-    pub waiting: bool,
-    /// When it last served a call, as far as is known.
-    pub last_answer: Time,
-    /// Until when it said to wait.
-    pub told_wait: Time,
+pub struct OutageView {
+    /// Begin of the outage if failed calls have confirmed it.
+    pub confirmed_since: Option<Time>,
+    /// There are messages that can serve as trial calls.
+    pub has_messages: bool,
+    /// When the destination last served a call, as far as known.
+    pub last_success: Time,
+    /// The destination asked not to be called before this time.
+    pub retry_after_until: Time,
 }
 
 /// How an attempt ended.
@@ -391,170 +396,171 @@
     Ok,
     /// Answered with an error; may have run.
     Error,
-    /// Turned away unseen: above the limit, queue full, shut or draining. Told to wait for this long, if at all.
-    Full(Option<Duration>),
-    /// No answer in time; may have run, or may still run.
+    /// Rejected without being run: rate limit exceeded, queue full, closed or draining. With the retry-after time,
+    /// if one was given.
+    Rejected(Option<Duration>),
+    /// No answer in time; may have run or may still be running.
     Timeout,
-    /// No connection; never ran.
+    /// No connection; did not run.
     ConnectFailed,
     /// The connection broke; may have run.
     Reset,
-    /// Answered with what cannot be read; may have run.
-    Spoilt,
-    /// Called off by the courier; may have run.
+    /// The answer was malformed; may have run.
+    Malformed,
+    /// Cancelled by the courier; may have run.
     Cancelled,
-    /// Not sent at all (no free slot, message over).
-    Moot,
+    /// Not sent: no free slot, or the message is already final.
+    NotSent,
     /// Not sent: the message has had all its attempts.
-    Spent,
+    AttemptsExhausted,
 }
 
-/// What a destination told of its limit.
+/// Rate limit that a destination advertises with an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Allowance {
-    /// Share of the limit that is left just now.
-    pub left: f64,
-    /// The limit in calls a second over all couriers; zero where there is none.
+pub struct LimitReport {
+    /// Share of the limit that is currently unused.
+    pub remaining_share: f64,
+    /// The limit in calls a second over all couriers; zero if there is none.
     pub limit: f64,
 }
 
-/// The end of one attempt. Each routed attempt has exactly one.
+/// The end of an attempt. Reported exactly once per routed attempt.
 #[derive(Clone, Debug)]
 pub struct Finished {
     /// The message.
     pub message: MessageId,
-    /// Where the attempt went.
+    /// The endpoint that was called.
     pub endpoint: EndpointId,
-    /// The how-manieth attempt of the message, from 0.
+    /// Index of the attempt among those of the message, from 0.
     pub attempt: u16,
     /// How it ended.
     pub outcome: Outcome,
     /// Time since it was sent.
     pub latency: Duration,
-    /// The message is over; if not, its final answer is still owed.
+    /// The message is final; otherwise its final answer is still pending.
     pub complete: bool,
-    /// What was told of the limit.
-    pub allowance: Option<Allowance>,
+    /// Advertised rate limit, if any.
+    pub limit_report: Option<LimitReport>,
 }
 
-/// Something that happened.
+/// An input to [`Courier::handle`](crate::Courier::handle).
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the list.
+    /// Service discovery sent an update.
     Listed(Listing),
-    /// An operator has taken an endpoint out: it gets nothing new, whatever the list says, until it is reinstated.
+    /// An operator suspended an endpoint: it gets no new calls, whatever the listing says, until it is reinstated.
     Suspended(EndpointId),
-    /// An endpoint that an operator had taken out may serve again. It was most likely restarted meanwhile.
+    /// An operator reinstated a suspended endpoint. It has most likely been restarted and is cold.
     Reinstated(EndpointId),
-    /// A message was taken.
+    /// A message was accepted.
     Accept(Accepted),
-    /// A message taken before a restart. They come in the order in which they were taken, before all others.
+    /// A message accepted before a restart. Sent in the order of acceptance, before all other messages.
     Restored(Restored),
-    /// An outage seen before a restart; comes after the list.
-    Recalled(Outage),
-    /// Who tries a destination in an outage from now on. It holds for destinations that are one route.
-    Trials(DestinationId, Trials),
-    /// Another courier, which tries for all, learnt something.
-    Learnt(DestinationId, News),
-    /// The final answer of a message has arrived (see [`Settings::answers_take_time`]).
-    Heard(MessageId),
-    /// The courier ends at this time: no call is begun that would not be over by then.
-    Closing(Time),
+    /// An outage recorded before a restart. Sent after the listing.
+    OutageRestored(OutageRecord),
+    /// Assigns the trial calls to a destination in an outage. Applies only to destinations that are a single route.
+    TrialOwnerChanged(DestinationId, TrialOwner),
+    /// The courier that owns the trial calls reports a result.
+    PeerReported(DestinationId, PeerReport),
+    /// The final answer of a message was acknowledged (see [`Settings::acknowledged_answers`]).
+    AnswerAcknowledged(MessageId),
+    /// The courier shuts down at this time: no call is started that is expected to outlast it.
+    ShutdownAt(Time),
     /// An attempt ended.
     Finished(Finished),
-    /// Nobody wants this message any more; no answer is owed.
+    /// The client withdrew the message; no final answer is needed.
     ClientGone(MessageId),
-    /// A timer asked for by [`Action::Wake`] has come due.
-    TickDue(u64),
+    /// A timer set by [`Action::SetTimer`] expired; carries its token.
+    TimerExpired(u64),
     /// The answer of a streamed message has begun; the attempt now belongs to the client.
     FirstByte(MessageId),
-    /// A probe's result.
+    /// Result of a probe.
     Probed {
-        /// Which endpoint.
+        /// The probed endpoint.
         endpoint: EndpointId,
-        /// How it ended.
+        /// How the probe ended.
         outcome: Outcome,
         /// Time since it was sent.
         latency: Duration,
     },
-    /// A note of another courier.
+    /// A note from another courier.
     Note {
-        /// Its number.
+        /// Number of that courier.
         from: u32,
-        /// What it says.
+        /// Content of the note.
         text: Vec<u8>,
     },
 }
 
-/// Something to do, in the order given.
+/// An output of [`Courier::decide`](crate::Courier::decide), to be carried out in the given order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Call this endpoint with this message. Routes of one `decide` to one endpoint share a call as far as
-    /// [`Kind::batch`] allows.
+    /// Send a message to an endpoint. Routes to the same endpoint from one `decide` share a call, up to
+    /// [`Kind::max_batch`].
     Route {
         /// The message.
         message: MessageId,
-        /// Where to.
+        /// The endpoint to call.
         endpoint: EndpointId,
-        /// The attempt's time-out.
-        try_for: Duration,
-        /// A repeat takes effect again when it is sent later than this, however late its connection came up: then
-        /// it must not go at all. None where nothing of the kind binds.
+        /// Timeout of the attempt.
+        timeout: Duration,
+        /// The attempt must not be sent after this time, even if its connection is established late, because
+        /// endpoints may no longer recognize it as a repeat. `None` if no such limit applies.
         send_by: Option<Time>,
     },
-    /// Final answer: handed back; the client may safely hand it in again.
-    Busy {
+    /// Final answer: the message is returned and did not run; the client may safely enqueue it again.
+    Return {
         /// The message.
         message: MessageId,
-        /// After how long the client does well to come again.
-        after: Duration,
+        /// Suggested delay before the client retries.
+        retry_after: Duration,
     },
-    /// Final answer: given up; the client is not told whether it took effect.
+    /// Final answer: the message is abandoned; whether it took effect is not stated.
     ReportFailure {
         /// The message.
         message: MessageId,
     },
     /// Stop waiting for an attempt.
-    StopAttempt {
+    CancelAttempt {
         /// The message.
         message: MessageId,
-        /// Which attempt, from 0.
+        /// Index of the attempt, from 0.
         attempt: u16,
     },
-    /// Ask for a [`Event::TickDue`] with this token after this time.
-    Wake {
-        /// How long from now.
+    /// Request an [`Event::TimerExpired`].
+    SetTimer {
+        /// Delay from now.
         after: Duration,
-        /// Comes back with the event.
+        /// Token of the event.
         token: u64,
     },
     /// Close the idle connections to an endpoint.
     CloseIdle {
-        /// Which endpoint.
+        /// The endpoint.
         endpoint: EndpointId,
     },
     /// Probe an endpoint. It counts as a call there.
     Probe {
-        /// Which endpoint.
+        /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Send a note of at most 256 bytes to one courier, or to all.
-    Tell {
-        /// A courier's number; all of them where absent.
+    /// Send a note of at most 256 bytes to one or all couriers.
+    SendNote {
+        /// Number of the receiving courier; `None` for all.
         to: Option<u16>,
-        /// What it says.
+        /// Content of the note.
         text: Vec<u8>,
     },
-    /// A line for the operators.
+    /// Write a line to the operators' log.
     Log {
-        /// What it says.
+        /// The line.
         text: String,
     },
-    /// Subscribe to changes of the list, or end the subscription.
-    KeepInformed {
-        /// On or off.
+    /// Subscribe to changes of the listing, or end the subscription.
+    SubscribeListing {
+        /// Whether to subscribe.
         active: bool,
     },
-    /// Ask for the whole list once.
-    Refresh,
+    /// Request the complete listing once.
+    RefreshListing,
 }
--- a/crates/cloverstile/src/lib.rs
+++ b/crates/cloverstile/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions of an outbound delivery gateway ("courier") that calls many partners' systems.
+//! Scheduling decisions of an outbound delivery gateway ("courier") that delivers messages to many partner systems.
 //!
-//! [`Courier`] is told what happens ([`Event`]) and answers with what to do ([`Action`]). It opens no
-//! socket, reads no clock and shares nothing: its randomness comes from the seed, its time from the caller.
-//! Call [`Courier::handle`] for every event, then [`Courier::decide`] once.
+//! [`Courier`] is a deterministic state machine without I/O: it takes [`Event`]s and returns [`Action`]s. Time is passed
+//! in by the caller and randomness is derived from a seed. Call [`Courier::handle`] for each event of a batch, then
+//! [`Courier::decide`] once.
 //!
 //! ```
 //! use cloverstile::{Accepted, Action, Class, Courier, Effect, Endpoint, Event, Listing, Mode};
@@ -28,13 +28,14 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod books;
 mod choice;
 mod due;
 mod interface;
-mod ready;
+mod queues;
 mod settings;
+mod state;
 
-pub use choice::{Courier, Hold, Standing};
+pub use choice::{DestinationStatus, WaitReason};
 pub use interface::*;
-pub use settings::{parse_settings, parse_settings_json, Parsed, SettingError};
+pub use settings::{parse_settings, parse_settings_json, ParsedSettings, SettingError};
+pub use state::Courier;
--- a/crates/cloverstile/src/settings.rs
+++ b/crates/cloverstile/src/settings.rs
@@ -1,124 +1,128 @@
-//! The one reader of settings, shared by the bench adapter and the courier: path=value lines, or the same names
-//! as nested JSON, to [`Settings`]. Unknown paths are skipped.
+//! Parser of [`Settings`], used by the simulator's adapter and by the courier. Settings are `path=value` lines, or the same
+//! names as nested JSON. Unknown paths are ignored.
 
-use crate::{Class, Decay, Effect, Group, Kind, Rules, Settings, Tenant, WeightSource, ZoneId};
+use crate::{Class, Decay, DedupScope, Effect, Kind, Rules, Settings, Tenant, WeightSource, ZoneId};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::str::FromStr;
 use std::time::Duration;
 use thiserror::Error;
 
-/// A setting that cannot be read.
+/// Settings that cannot be parsed.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum SettingError {
     /// A line without an equals sign.
     #[error("line {line}: '{text}' is not path=value")]
     Line {
-        /// Counted from 1.
+        /// Line number, from 1.
         line: usize,
-        /// What it says.
+        /// Text of the line.
         text: String,
     },
-    /// A value of the wrong form.
+    /// A value of the wrong type, or not among the known ones.
     #[error("setting {path}: '{value}' cannot be read")]
     Value {
-        /// The setting's full name.
+        /// Path of the setting.
         path: String,
-        /// What it holds.
+        /// Its value.
         value: String,
     },
 }
 
-/// The settings, where the load report keeps its two values, and the names that the protocol on sockets uses.
+/// Parsed settings, with the positions of the known values in a load report and the names used outside the decisions.
 #[derive(Clone, Debug)]
-pub struct Parsed {
-    /// What the decision module is given.
+pub struct ParsedSettings {
+    /// Settings of [`Courier`](crate::Courier).
     pub settings: Settings,
-    /// Place of the share that is left among the values of a report.
-    pub left_at: Option<usize>,
-    /// Place of the limit among the values of a report.
-    pub limit_at: Option<usize>,
+    /// Index of the unused share of the limit among the values of a load report.
+    pub remaining_share_index: Option<usize>,
+    /// Index of the limit among the values of a load report.
+    pub limit_index: Option<usize>,
     /// Names of the classes, in the order of [`Settings::classes`].
     pub class_names: Vec<String>,
     /// Names of the kinds of destination, in the order of [`Settings::kinds`].
     pub kind_names: Vec<String>,
-    /// Names of the locations.
+    /// Names of the zones, indexed by [`ZoneId`].
     pub zone_names: Vec<String>,
 }
 
-struct Lines(BTreeMap<String, String>);
+/// Values by path.
+struct PathValues(BTreeMap<String, String>);
 
-impl Lines {
+impl PathValues {
     fn get<T: FromStr>(&self, path: &str) -> Result<Option<T>, SettingError> {
         self.0.get(path).map(|value| parse(path, value)).transpose()
     }
 
-    fn or<T: FromStr>(&self, path: &str, absent: T) -> Result<T, SettingError> {
-        Ok(self.get(path)?.unwrap_or(absent))
+    fn or_default<T: FromStr>(&self, path: &str, default: T) -> Result<T, SettingError> {
+        Ok(self.get(path)?.unwrap_or(default))
     }
 
-    fn span(&self, path: &str, absent: Duration) -> Result<Duration, SettingError> {
-        Ok(self.get(path)?.map_or(absent, Duration::from_nanos))
+    /// A duration in nanoseconds.
+    fn duration(&self, path: &str, default: Duration) -> Result<Duration, SettingError> {
+        Ok(self.get(path)?.map_or(default, Duration::from_nanos))
     }
 
-    fn words(&self, path: &str) -> Vec<&str> {
+    /// The non-empty items of a comma-separated list.
+    fn comma_separated(&self, path: &str) -> Vec<&str> {
         self.0.get(path).map_or(Vec::new(), |v| v.split(',').filter(|w| !w.is_empty()).collect())
     }
 
-    fn choice<T>(&self, path: &str, absent: T, known: &[(&str, T)]) -> Result<T, SettingError>
+    /// The meaning of a value that must be one of the `known` words.
+    fn one_of<T>(&self, path: &str, default: T, known: &[(&str, T)]) -> Result<T, SettingError>
     where
         T: Copy,
     {
         let Some(value) = self.0.get(path) else {
-            return Ok(absent);
+            return Ok(default);
         };
         known
             .iter()
-            .find(|(word, _)| word == value)
+            .find(|(name, _)| name == value)
             .map(|(_, meaning)| *meaning)
-            .ok_or_else(|| bad(path, value))
+            .ok_or_else(|| invalid_value(path, value))
     }
 }
 
-fn bad(path: &str, value: &str) -> SettingError {
+fn invalid_value(path: &str, value: &str) -> SettingError {
     SettingError::Value { path: path.to_owned(), value: value.to_owned() }
 }
 
 fn parse<T: FromStr>(path: &str, value: &str) -> Result<T, SettingError> {
-    value.parse().map_err(|_| bad(path, value))
+    value.parse().map_err(|_| invalid_value(path, value))
 }
 
-/// Reads the text of a `Config` field.
-pub fn parse_settings(text: &str) -> Result<Parsed, SettingError> {
+/// Parses `path=value` lines, as in the `Config` field of the simulator's wire protocol.
+pub fn parse_settings(text: &str) -> Result<ParsedSettings, SettingError> {
     let mut map = BTreeMap::new();
     for (index, line) in text.lines().enumerate().filter(|(_, l)| !l.trim().is_empty()) {
-        let unreadable = || SettingError::Line { line: index + 1, text: line.to_owned() };
-        let (path, value) = line.split_once('=').ok_or_else(unreadable)?;
+        let malformed = || SettingError::Line { line: index + 1, text: line.to_owned() };
+        let (path, value) = line.split_once('=').ok_or_else(malformed)?;
         map.insert(path.to_owned(), value.to_owned());
     }
-    read(&Lines(map))
+    read_settings(&PathValues(map))
 }
 
-/// Reads the same settings as nested JSON.
-pub fn parse_settings_json(value: &Value) -> Result<Parsed, SettingError> {
+/// Parses the same settings from nested JSON.
+pub fn parse_settings_json(value: &Value) -> Result<ParsedSettings, SettingError> {
     let mut map = BTreeMap::new();
     flatten(String::new(), value, &mut map);
-    read(&Lines(map))
+    read_settings(&PathValues(map))
 }
 
-/// Spreads nested JSON into the paths of the line form: lists of scalars are joined by commas, lists of objects
-/// get a count and numbered items. Commas inside a word become underscores, as they do on the wire.
+/// Flattens nested JSON to paths: lists of scalars are joined by commas, lists of objects become a count and numbered
+/// items. Commas inside a string become underscores, as on the wire.
 fn flatten(path: String, value: &Value, map: &mut BTreeMap<String, String>) {
-    let below = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+    let child = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
     match value {
-        Value::Object(fields) => fields.iter().for_each(|(name, field)| flatten(below(name), field, map)),
+        Value::Object(fields) => fields.iter().for_each(|(name, field)| flatten(child(name), field, map)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            map.insert(below("count"), items.len().to_string());
-            items.iter().enumerate().for_each(|(at, item)| flatten(below(&at.to_string()), item, map));
+            map.insert(child("count"), items.len().to_string());
+            items.iter().enumerate().for_each(|(at, item)| flatten(child(&at.to_string()), item, map));
         }
         Value::Array(items) => {
-            let words: Vec<String> = items.iter().map(scalar).collect();
-            map.insert(path, words.join(","));
+            let texts: Vec<String> = items.iter().map(scalar).collect();
+            map.insert(path, texts.join(","));
         }
         Value::Null => {}
         _ => {
@@ -127,7 +131,7 @@
     }
 }
 
-/// A whole number may come with a decimal point in JSON; the line form has none.
+/// Text of a scalar. Whole numbers lose a decimal point that JSON may give them.
 fn scalar(value: &Value) -> String {
     match value {
         Value::String(text) => text.replace(',', "_"),
@@ -139,57 +143,57 @@
     }
 }
 
-fn read(lines: &Lines) -> Result<Parsed, SettingError> {
-    let base = Settings::default();
-    let rules = base.rules;
-    let fields = lines.words("Report.Fields");
-    let place = |name: &str| fields.iter().position(|field| *field == name);
+fn read_settings(values: &PathValues) -> Result<ParsedSettings, SettingError> {
+    let defaults = Settings::default();
+    let rules = defaults.rules;
+    let fields = values.comma_separated("Report.Fields");
+    let position = |name: &str| fields.iter().position(|field| *field == name);
     let settings = Settings {
-        couriers: lines.or("Balancers", base.couriers)?,
-        zone: lines.get("Locality")?.map(ZoneId),
-        classes: list(lines, "Lanes", class)?,
-        decay: lines.choice(
+        couriers: values.or_default("Balancers", defaults.couriers)?,
+        zone: values.get("Locality")?.map(ZoneId),
+        classes: list(values, "Lanes", class)?,
+        decay: values.one_of(
             "FamilyInfo.Decay",
-            base.decay,
-            &[("line", Decay::Line), ("halves", Decay::Halves)],
+            defaults.decay,
+            &[("line", Decay::Linear), ("halves", Decay::Halving)],
         )?,
-        tenants: list(lines, "Projects", tenant)?,
-        kinds: kinds(lines)?,
-        weights: lines.choice(
+        tenants: list(values, "Projects", tenant)?,
+        kinds: kinds(values)?,
+        weight_source: values.one_of(
             "WeightSource",
-            WeightSource::Silent,
+            WeightSource::Unspecified,
             &[
-                ("silent", WeightSource::Silent),
+                ("silent", WeightSource::Unspecified),
                 ("nominal", WeightSource::Nominal),
-                ("rough", WeightSource::Rough),
-                ("live", WeightSource::Silent),
+                ("rough", WeightSource::Approximate),
+                ("live", WeightSource::Unspecified),
             ],
         )?,
-        call_slots: lines.or("FamilyInfo.CallsOut", base.call_slots)?,
-        most_held: lines.or("Permissions.MostHeld", base.most_held)?,
-        send_cap: lines.or("Permissions.SendCap", base.send_cap)?,
-        cancel: lines.or("Permissions.Cancel", false)?,
-        second_copies: lines.or("Permissions.SecondCopies", false)?,
-        answers_take_time: base.answers_take_time,
-        held_up: base.held_up,
-        over_share_worth: lines.or("OverShareWorth", base.over_share_worth)?,
-        connect_timeout: lines.span("Permissions.ConnectTimeout", base.connect_timeout)?,
-        conn_idle: lines.span("Permissions.ConnIdle", base.conn_idle)?,
+        call_slots: values.or_default("FamilyInfo.CallsOut", defaults.call_slots)?,
+        max_held: values.or_default("Permissions.MostHeld", defaults.max_held)?,
+        max_attempts: values.or_default("Permissions.SendCap", defaults.max_attempts)?,
+        cancel: values.or_default("Permissions.Cancel", false)?,
+        second_copies: values.or_default("Permissions.SecondCopies", false)?,
+        acknowledged_answers: defaults.acknowledged_answers,
+        max_pause: defaults.max_pause,
+        over_quota_worth: values.or_default("OverShareWorth", defaults.over_quota_worth)?,
+        connect_timeout: values.duration("Permissions.ConnectTimeout", defaults.connect_timeout)?,
+        connection_idle_timeout: values.duration("Permissions.ConnIdle", defaults.connection_idle_timeout)?,
         rules: Rules {
-            answer_slack: lines.span("Rules.AnswerSlack", rules.answer_slack)?,
-            cold_from: lines.or("Rules.ColdFrom", rules.cold_from)?,
-            cold: lines.span("Rules.Cold", rules.cold)?,
-            tip_multiple: lines.or("Rules.TipMultiple", rules.tip_multiple)?,
-            fall: lines.span("Rules.Fall", rules.fall)?,
-            order_settle: lines.span("Rules.OrderSettle", rules.order_settle)?,
-            drain_grace: lines.span("Rules.StopSendingWithin", rules.drain_grace)?,
+            answer_slack: values.duration("Rules.AnswerSlack", rules.answer_slack)?,
+            cold_capacity_share: values.or_default("Rules.ColdFrom", rules.cold_capacity_share)?,
+            warm_up: values.duration("Rules.Cold", rules.warm_up)?,
+            collapse_multiple: values.or_default("Rules.TipMultiple", rules.collapse_multiple)?,
+            collapse_window: values.duration("Rules.Fall", rules.collapse_window)?,
+            order_settle: values.duration("Rules.OrderSettle", rules.order_settle)?,
+            drain_grace: values.duration("Rules.StopSendingWithin", rules.drain_grace)?,
         },
     };
-    let names = |path: &str| lines.words(path).into_iter().map(str::to_owned).collect();
-    let class_name = |at: usize| lines.get::<String>(&format!("Lanes.{at}.Name")).ok().flatten();
-    Ok(Parsed {
-        left_at: place("x0"),
-        limit_at: place("x1"),
+    let names = |path: &str| values.comma_separated(path).into_iter().map(str::to_owned).collect();
+    let class_name = |at: usize| values.get::<String>(&format!("Lanes.{at}.Name")).ok().flatten();
+    Ok(ParsedSettings {
+        remaining_share_index: position("x0"),
+        limit_index: position("x1"),
         class_names: (0..settings.classes.len()).map(|at| class_name(at).unwrap_or_default()).collect(),
         kind_names: names("MachineTypes"),
         zone_names: names("Zones"),
@@ -198,22 +202,22 @@
 }
 
 fn list<T>(
-    lines: &Lines,
+    values: &PathValues,
     path: &str,
-    item: fn(&Lines, &str) -> Result<T, SettingError>,
+    item: fn(&PathValues, &str) -> Result<T, SettingError>,
 ) -> Result<Vec<T>, SettingError> {
-    let count: u16 = lines.or(&format!("{path}.count"), 0)?;
-    (0..count).map(|index| item(lines, &format!("{path}.{index}"))).collect()
+    let count: u16 = values.or_default(&format!("{path}.count"), 0)?;
+    (0..count).map(|index| item(values, &format!("{path}.{index}"))).collect()
 }
 
-fn class(lines: &Lines, path: &str) -> Result<Class, SettingError> {
-    let at = |name: &str| format!("{path}.{name}");
-    let base = Class::default();
+fn class(values: &PathValues, path: &str) -> Result<Class, SettingError> {
+    let field = |name: &str| format!("{path}.{name}");
+    let defaults = Class::default();
     Ok(Class {
-        aim: lines.span(&at("Aim"), base.aim)?,
-        deadline: lines.span(&at("Deadline"), base.deadline)?,
-        effect: lines.choice(
-            &at("Effect"),
+        aim: values.duration(&field("Aim"), defaults.aim)?,
+        deadline: values.duration(&field("Deadline"), defaults.deadline)?,
+        effect: values.one_of(
+            &field("Effect"),
             Effect::Unsafe,
             &[
                 ("read_like", Effect::Safe),
@@ -221,30 +225,30 @@
                 ("non_idempotent", Effect::Unsafe),
             ],
         )?,
-        group: lines.choice(
-            &at("Group"),
-            Group::Zone,
-            &[("all", Group::All), ("zone", Group::Zone), ("cell", Group::All)],
+        dedup_scope: values.one_of(
+            &field("Group"),
+            DedupScope::Zone,
+            &[("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::All)],
         )?,
-        repeat_window: lines.span(&at("RepeatWindow"), Duration::ZERO)?,
-        in_order: lines.or(&at("OneAtATime"), false)?,
-        worth: lines.or(&at("Worth"), base.worth)?,
-        late_share: lines.or(&at("LateShare"), 0.0)?,
+        repeat_window: values.duration(&field("RepeatWindow"), Duration::ZERO)?,
+        in_order: values.or_default(&field("OneAtATime"), false)?,
+        worth: values.or_default(&field("Worth"), defaults.worth)?,
+        late_share: values.or_default(&field("LateShare"), 0.0)?,
     })
 }
 
-fn tenant(lines: &Lines, path: &str) -> Result<Tenant, SettingError> {
-    Ok(Tenant { quota: lines.or(&format!("{path}.QuotaPerS"), f64::INFINITY)? })
+fn tenant(values: &PathValues, path: &str) -> Result<Tenant, SettingError> {
+    Ok(Tenant { quota: values.or_default(&format!("{path}.QuotaPerS"), f64::INFINITY)? })
 }
 
-fn kinds(lines: &Lines) -> Result<Vec<Kind>, SettingError> {
-    let batches = lines.words("FamilyInfo.KindBatch");
-    let apart = lines.words("FamilyInfo.OwnLimits");
-    (0..batches.len().max(apart.len()))
+fn kinds(values: &PathValues) -> Result<Vec<Kind>, SettingError> {
+    let batches = values.comma_separated("FamilyInfo.KindBatch");
+    let own_limits = values.comma_separated("FamilyInfo.OwnLimits");
+    (0..batches.len().max(own_limits.len()))
         .map(|index| {
             Ok(Kind {
-                batch: batches.get(index).map_or(Ok(1), |v| parse("FamilyInfo.KindBatch", v))?,
-                own_limits: apart.get(index).map_or(Ok(false), |v| parse("FamilyInfo.OwnLimits", v))?,
+                max_batch: batches.get(index).map_or(Ok(1), |v| parse("FamilyInfo.KindBatch", v))?,
+                own_limits: own_limits.get(index).map_or(Ok(false), |v| parse("FamilyInfo.OwnLimits", v))?,
             })
         })
         .collect()
--- a/crates/cloverstile/tests/by_hand.rs
+++ b/crates/cloverstile/tests/by_hand.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 fn bench(couriers: u32, endpoints: u32) -> Bench {
-    let settings = Settings { couriers, call_slots: 400, most_held: 4000, ..settings(vec![safe()]) };
+    let settings = Settings { couriers, call_slots: 400, max_held: 4000, ..settings(vec![safe()]) };
     Bench::new(settings, (1..=endpoints).map(|id| endpoint(id, 3)).collect())
 }
 
--- a/crates/cloverstile/tests/common/crowd.rs
+++ b/crates/cloverstile/tests/common/crowd.rs
@@ -7,7 +7,7 @@
 
 /// What the partner does with calls while it is out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outage {
+pub enum OutageKind {
     /// Refuses, and tells how long it stays shut.
     ShutAndTells,
     /// Refuses without a word on when it opens.
@@ -21,7 +21,7 @@
 /// What a crowd is put through.
 #[derive(Clone, Copy)]
 pub struct Plan {
-    pub outage: Outage,
+    pub outage: OutageKind,
     pub couriers: u32,
     /// Calls a second that the warm partner takes.
     pub capacity: f64,
@@ -41,18 +41,18 @@
 /// Where a cold return begins, how long it lasts, and what makes it fall.
 #[derive(Clone, Copy, Debug)]
 pub struct Site {
-    pub cold_from: f64,
-    pub cold: Duration,
-    pub tip_multiple: f64,
-    pub fall: Duration,
+    pub cold_capacity_share: f64,
+    pub warm_up: Duration,
+    pub collapse_multiple: f64,
+    pub collapse_window: Duration,
     pub deadline: Duration,
 }
 
 pub const SITE: Site = Site {
-    cold_from: 0.18,
-    cold: Duration::from_secs(12),
-    tip_multiple: 2.0,
-    fall: Duration::from_secs(3),
+    cold_capacity_share: 0.18,
+    warm_up: Duration::from_secs(12),
+    collapse_multiple: 2.0,
+    collapse_window: Duration::from_secs(3),
     deadline: Duration::from_secs(20),
 };
 
@@ -76,7 +76,7 @@
 const QUIET_FOR: Duration = Duration::from_secs(6);
 const OUT_FOR: Duration = Duration::from_secs(14);
 /// When couriers are killed, as a part of the cold return.
-const RESTART_AT: f64 = 0.3;
+const RESTART_AT_WARM_UP: f64 = 0.3;
 const STEP: Duration = Duration::from_millis(5);
 const TO: EndpointId = EndpointId(7);
 
@@ -131,23 +131,24 @@
 /// Lets a crowd live through the outage and the cold return.
 pub fn live_through(plan: Plan) -> Seen {
     let mut crowd = Crowd::new(plan);
-    let (cold, fall) = (crowd.settings.rules.cold, crowd.settings.rules.fall);
+    let (warm_up, collapse_window) = (crowd.settings.rules.warm_up, crowd.settings.rules.collapse_window);
     let (mut worst, mut nearest) = (0.0_f64, 0.0_f64);
-    while crowd.now < crowd.back + cold {
+    while crowd.now < crowd.back + warm_up {
         crowd.now = crowd.now + STEP;
         crowd.room = (crowd.room + crowd.capacity() * STEP.as_secs_f64()).min(crowd.capacity() / 2.0 + 1.0);
         crowd.hand_in();
         crowd.wake();
         crowd.tell_outcomes();
         (0..crowd.members.len()).for_each(|member| crowd.act(member));
-        if !crowd.has_restarted && crowd.now >= crowd.back + cold.mul_f64(RESTART_AT) {
+        if !crowd.has_restarted && crowd.now >= crowd.back + warm_up.mul_f64(RESTART_AT_WARM_UP) {
             crowd.restart_some();
         }
         if crowd.now >= crowd.back {
-            let survives = crowd.settings.rules.tip_multiple * crowd.capacity() * fall.as_secs_f64();
-            let recent = crowd.weights.iter().filter(|(at, _)| crowd.now - *at < fall);
+            let survives =
+                crowd.settings.rules.collapse_multiple * crowd.capacity() * collapse_window.as_secs_f64();
+            let recent = crowd.weights.iter().filter(|(at, _)| crowd.now - *at < collapse_window);
             worst = worst.max(recent.map(|(_, weight)| weight).sum::<f64>() / survives);
-            while crowd.sent.front().is_some_and(|(at, ..)| crowd.now - *at >= fall) {
+            while crowd.sent.front().is_some_and(|(at, ..)| crowd.now - *at >= collapse_window) {
                 crowd.sent.pop_front();
             }
             let all: f64 = crowd.sent.iter().map(|(_, weight, _)| weight).sum();
@@ -170,15 +171,21 @@
 }
 
 fn settings_of(plan: &Plan) -> Settings {
-    let Site { cold_from, cold, tip_multiple, fall, deadline: span } = plan.site;
+    let Site { cold_capacity_share, warm_up, collapse_multiple, collapse_window, deadline: span } = plan.site;
     let aim = span / 5;
-    let rules = Rules { cold_from, cold, tip_multiple, fall, ..Settings::default().rules };
+    let rules = Rules {
+        cold_capacity_share,
+        warm_up,
+        collapse_multiple,
+        collapse_window,
+        ..Settings::default().rules
+    };
     Settings {
         classes: vec![Class { aim, deadline: span, repeat_window: span, ..Class::default() }],
         couriers: plan.couriers,
-        kinds: vec![Kind { batch: plan.batch, own_limits: false }],
+        kinds: vec![Kind { max_batch: plan.batch, own_limits: false }],
         call_slots: 4,
-        most_held: 48,
+        max_held: 48,
         rules,
         ..Settings::default()
     }
@@ -227,9 +234,10 @@
     /// Calls a second that the partner can do at this moment.
     fn capacity(&self) -> f64 {
         let rules = &self.settings.rules;
-        let warmth = ((self.now - self.back).as_secs_f64() / rules.cold.as_secs_f64()).min(1.0);
+        let warmth = ((self.now - self.back).as_secs_f64() / rules.warm_up.as_secs_f64()).min(1.0);
         let cold = self.now >= self.back;
-        self.plan.capacity * if cold { rules.cold_from + (1.0 - rules.cold_from) * warmth } else { 1.0 }
+        self.plan.capacity
+            * if cold { rules.cold_capacity_share + (1.0 - rules.cold_capacity_share) * warmth } else { 1.0 }
     }
 
     fn hand_in(&mut self) {
@@ -256,7 +264,7 @@
     fn wake(&mut self) {
         for member in &mut self.members {
             if let Some((_, token)) = member.wake.take_if(|(at, _)| *at <= self.now) {
-                member.courier.handle(self.now, Event::TickDue(token));
+                member.courier.handle(self.now, Event::TimerExpired(token));
                 member.touched = true;
             }
         }
@@ -273,9 +281,9 @@
             }
             let latency = self.now - sent;
             let finished =
-                Finished { message, endpoint: TO, attempt, outcome, latency, complete, allowance: None };
+                Finished { message, endpoint: TO, attempt, outcome, latency, complete, limit_report: None };
             let member = &mut self.members[member];
-            let never_ran = matches!(outcome, Outcome::Full(_) | Outcome::ConnectFailed);
+            let never_ran = matches!(outcome, Outcome::Rejected(_) | Outcome::ConnectFailed);
             match member.held.get_mut(&message) {
                 _ if complete => drop(member.held.remove(&message)),
                 Some((.., ran)) if !never_ran => *ran = ran.or(Some(sent)),
@@ -297,10 +305,10 @@
         let mut fate = None;
         for action in actions {
             match action {
-                Action::Wake { after, token } => {
+                Action::SetTimer { after, token } => {
                     self.members[member].wake = Some((self.now + after, token));
                 }
-                Action::Route { message, try_for, .. } => {
+                Action::Route { message, timeout, .. } => {
                     if self.now >= self.back {
                         let weight = if fate.is_none() { 1.0 } else { ITEM };
                         let aware = self.members[member].aware;
@@ -312,14 +320,14 @@
                     if let Some((_, attempts, _)) = self.members[member].held.get_mut(&message) {
                         *attempts += 1;
                     }
-                    let (outcome, after) = *fate.get_or_insert_with(|| self.call(try_for));
+                    let (outcome, after) = *fate.get_or_insert_with(|| self.call(timeout));
                     let attempts = self.attempts.entry(message).or_default();
                     let coming = Coming { member, message, attempt: *attempts, outcome, sent: self.now };
                     *attempts += 1;
                     self.count += 1;
                     self.coming.insert((self.now + after, self.count), coming);
                 }
-                Action::Busy { message, .. } | Action::ReportFailure { message } => {
+                Action::Return { message, .. } | Action::ReportFailure { message } => {
                     self.members[member].held.remove(&message);
                 }
                 _ => {}
@@ -340,20 +348,20 @@
                 self.coming.values().filter(|c| c.member == number).map(|c| (c.message, c.sent)).collect();
             self.coming.retain(|_, coming| coming.member != number);
             let member = &mut self.members[number];
-            let notes: Vec<cloverstile::Outage> = member.courier.outages().collect();
+            let notes: Vec<cloverstile::OutageRecord> = member.courier.outages().collect();
             member.courier = Courier::new(self.settings.clone(), self.plan.seed * 1000 + 500 + number as u64);
             member.courier.handle(self.now, Event::Listed(Listing::Whole(vec![listed])));
             for note in notes {
-                member.courier.handle(self.now, Event::Recalled(note));
+                member.courier.handle(self.now, Event::OutageRestored(note));
             }
             for (id, sent) in out {
                 if let Some((.., ran)) = member.held.get_mut(&id) {
                     *ran = ran.or(Some(sent));
                 }
             }
-            for (taken, attempts, ran) in member.held.values().cloned() {
-                let maybe_ran = ran.map(|at| (at, Some(ZoneId(0))));
-                let restored = Restored { taken, attempts, maybe_ran, answered: false };
+            for (accepted, attempts, ran) in member.held.values().cloned() {
+                let may_have_run = ran.map(|at| (at, Some(ZoneId(0))));
+                let restored = Restored { accepted, attempts, may_have_run, answered: false };
                 member.courier.handle(self.now, Event::Restored(restored));
             }
             (member.wake, member.touched) = (None, true);
@@ -361,21 +369,23 @@
     }
 
     /// What becomes of a call sent now, and when that is known.
-    fn call(&mut self, try_for: Duration) -> (Outcome, Duration) {
+    fn call(&mut self, timeout: Duration) -> (Outcome, Duration) {
         let soon = ms(50);
         if !self.out() {
             if self.room < 1.0 {
-                return (Outcome::Full(None), soon);
+                return (Outcome::Rejected(None), soon);
             }
             self.room -= 1.0;
             return (Outcome::Ok, ms(200));
         }
         match self.plan.outage {
             // A wait counts from its answer.
-            Outage::ShutAndTells => (Outcome::Full(Some((self.back - self.now).saturating_sub(soon))), soon),
-            Outage::Shut => (Outcome::Full(None), soon),
-            Outage::Down => (Outcome::ConnectFailed, soon),
-            Outage::Hung => (Outcome::Timeout, try_for),
+            OutageKind::ShutAndTells => {
+                (Outcome::Rejected(Some((self.back - self.now).saturating_sub(soon))), soon)
+            }
+            OutageKind::Shut => (Outcome::Rejected(None), soon),
+            OutageKind::Down => (Outcome::ConnectFailed, soon),
+            OutageKind::Hung => (Outcome::Timeout, timeout),
         }
     }
 }
--- a/crates/cloverstile/tests/common/mod.rs
+++ b/crates/cloverstile/tests/common/mod.rs
@@ -100,7 +100,7 @@
 
     pub fn routes(&mut self) -> Vec<Sent> {
         let routed = |action: &Action| match action {
-            Action::Route { message, endpoint, try_for, .. } => Some((message.0, endpoint.0, *try_for)),
+            Action::Route { message, endpoint, timeout, .. } => Some((message.0, endpoint.0, *timeout)),
             _ => None,
         };
         self.decide().iter().filter_map(routed).collect()
@@ -112,7 +112,7 @@
         while self.now < end {
             self.now = self.now + ms(5);
             let mut actions = self.decide();
-            actions.retain(|a| !matches!(a, Action::Wake { .. }));
+            actions.retain(|a| !matches!(a, Action::SetTimer { .. }));
             if !actions.is_empty() {
                 return actions;
             }
@@ -132,8 +132,14 @@
     }
 
     /// A refusal that tells which share of which limit is left.
-    pub fn refuse(&mut self, message: u32, endpoint: u32, left: f64, limit: f64) {
-        self.finish_telling(message, endpoint, Outcome::Full(None), ms(20), Some(Allowance { left, limit }));
+    pub fn refuse(&mut self, message: u32, endpoint: u32, remaining_share: f64, limit: f64) {
+        self.finish_telling(
+            message,
+            endpoint,
+            Outcome::Rejected(None),
+            ms(20),
+            Some(LimitReport { remaining_share, limit }),
+        );
     }
 
     /// The end of an attempt that tells of the limit.
@@ -143,7 +149,7 @@
         endpoint: u32,
         outcome: Outcome,
         latency: Duration,
-        allowance: Option<Allowance>,
+        limit_report: Option<LimitReport>,
     ) {
         let attempt = self.attempts.get(&message).map_or(0, |count| count - 1);
         self.tell(Event::Finished(Finished {
@@ -153,7 +159,7 @@
             outcome,
             latency,
             complete: outcome == Outcome::Ok,
-            allowance,
+            limit_report,
         }));
     }
 }
--- a/crates/cloverstile/tests/falls.rs
+++ b/crates/cloverstile/tests/falls.rs
@@ -3,10 +3,10 @@
 
 mod common;
 
-use common::crowd::{live_through, Outage, Plan, SITE};
+use common::crowd::{live_through, OutageKind, Plan, SITE};
 
 const CROWD: Plan = Plan {
-    outage: Outage::Down,
+    outage: OutageKind::Down,
     couriers: 200,
     capacity: 60.0,
     told: 1.0,
@@ -35,7 +35,7 @@
 /// Issue of later mandeville (Ld0af66): all whom a shut door had told when it opens came back at that moment.
 #[test]
 fn a_told_opening_gathers_nobody() {
-    let told = Plan { outage: Outage::ShutAndTells, ..CROWD };
+    let told = Plan { outage: OutageKind::ShutAndTells, ..CROWD };
     let small = Plan { capacity: 20.0, ..told };
     let tiny = Plan { capacity: 6.0, ..told };
     let few = Plan { couriers: 20, ..small };
@@ -45,7 +45,7 @@
 /// Hunted day h562547: what waits at each courier set the slowest pace after refusals, and added up.
 #[test]
 fn refusals_without_a_word_slow_all_down() {
-    let shut = Plan { outage: Outage::Shut, ..CROWD };
+    let shut = Plan { outage: OutageKind::Shut, ..CROWD };
     let small = Plan { capacity: 20.0, ..shut };
     let tiny = Plan { capacity: 12.0, ..shut };
     let hot = Plan { load: 4.0, ..small };
@@ -55,7 +55,7 @@
 /// Hunted day h1c8921: trials by own demand add up to the demand, and a hot partner has many times its limit.
 #[test]
 fn trials_and_slow_starts_share_one_budget() {
-    for outage in [Outage::Down, Outage::Hung] {
+    for outage in [OutageKind::Down, OutageKind::Hung] {
         let out = Plan { outage, ..CROWD };
         let hot = Plan { load: 1.5, ..out };
         let hotter = Plan { load: 4.0, capacity: 20.0, ..out };
--- a/crates/cloverstile/tests/places.rs
+++ b/crates/cloverstile/tests/places.rs
@@ -50,6 +50,6 @@
         bench.tell(Event::Listed(Listing::Whole(vec![endpoint(7, 1)])));
         bench.routes()[0].0
     };
-    assert_eq!(first_sent(Decay::Halves), 2);
-    assert_eq!(first_sent(Decay::Line), 1);
+    assert_eq!(first_sent(Decay::Halving), 2);
+    assert_eq!(first_sent(Decay::Linear), 1);
 }
--- a/crates/cloverstile/tests/properties.rs
+++ b/crates/cloverstile/tests/properties.rs
@@ -33,9 +33,9 @@
 fn world() -> (Settings, Vec<Endpoint>) {
     let in_order = Class { in_order: true, ..unsafe_class() };
     let base = settings(vec![keyed(), unsafe_class(), safe(), in_order]);
-    let kinds = vec![Kind { batch: 1, own_limits: false }, Kind { batch: 3, own_limits: false }];
+    let kinds = vec![Kind { max_batch: 1, own_limits: false }, Kind { max_batch: 3, own_limits: false }];
     let rules = Rules { order_settle: ms(120), ..base.rules.clone() };
-    let settings = Settings { call_slots: 5, most_held: 60, send_cap: 5, kinds, rules, ..base };
+    let settings = Settings { call_slots: 5, max_held: 60, max_attempts: 5, kinds, rules, ..base };
     let endpoints = (0..6)
         .map(|id| Endpoint { kind: KindId((id % 2) as u16), weight: 20.0, ..endpoint(id, 1 + id / 2) })
         .collect();
@@ -68,7 +68,7 @@
         for action in actions {
             match action {
                 Action::Route { message, endpoint, .. } => self.route(now, message.0, endpoint.0),
-                Action::Busy { message, .. } => {
+                Action::Return { message, .. } => {
                     let held = self.end(now, message.0);
                     let effect = self.settings.classes[self.held[&held].class].effect;
                     let held = &self.held[&held];
@@ -96,15 +96,15 @@
         assert!(!held.ended && held.out.is_none(), "never two attempts, nothing after the end");
         assert_eq!(self.modes[&endpoint], Mode::Ready, "nothing to a drained endpoint");
         assert!(self.waits.get(&held.destination).is_none_or(|until| *until <= now), "waits are kept");
-        assert!(held.sends < self.settings.send_cap);
+        assert!(held.sends < self.settings.max_attempts);
         if let Some(first) = held.first_maybe {
             assert_ne!(class.effect, Effect::Unsafe, "no unsafe resend");
             assert!(class.effect == Effect::Safe || now < first + class.repeat_window, "inside the window");
         }
         if class.in_order && held.key != 0 {
             let mut earlier = self.held.range(..id).map(|(_, h)| h);
-            let taken = |h: &Held| self.settings.classes[h.class].in_order && h.key == held.key;
-            assert!(!earlier.any(|h| taken(h) && (!h.ended || h.out.is_some())), "keys in turn");
+            let accepted = |h: &Held| self.settings.classes[h.class].in_order && h.key == held.key;
+            assert!(!earlier.any(|h| accepted(h) && (!h.ended || h.out.is_some())), "keys in turn");
             assert!(held.sends > 0 || self.rests.get(&held.key).is_none_or(|until| *until <= now), "rest");
         }
         let held = self.held.get_mut(&id).expect("known");
@@ -117,8 +117,8 @@
 
 fn outcome(how: usize) -> Outcome {
     match how {
-        0 => Outcome::Full(None),
-        1 => Outcome::Full(Some(ms(700))),
+        0 => Outcome::Rejected(None),
+        1 => Outcome::Rejected(Some(ms(700))),
         2 => Outcome::Error,
         3 => Outcome::Timeout,
         4 => Outcome::ConnectFailed,
@@ -160,7 +160,7 @@
                 continue;
             }
             Step::Accept { class, destination, key } => {
-                if judge.held.values().filter(|h| !h.ended).count() >= judge.settings.most_held {
+                if judge.held.values().filter(|h| !h.ended).count() >= judge.settings.max_held {
                     continue;
                 }
                 id += 1;
@@ -205,14 +205,14 @@
 fn finish(bench: &mut Bench, judge: &mut Judge, id: u32, outcome: Outcome) {
     let held = judge.held.get_mut(&id).expect("known");
     let (endpoint, sent) = held.out.take().expect("out");
-    let never = matches!(outcome, Outcome::Full(_) | Outcome::ConnectFailed | Outcome::Moot);
+    let never = matches!(outcome, Outcome::Rejected(_) | Outcome::ConnectFailed | Outcome::NotSent);
     if !never && held.first_maybe.is_none() {
         held.first_maybe = Some(sent);
     }
     if outcome == Outcome::Ok {
         held.ended = true;
     }
-    if let Outcome::Full(Some(wait)) = outcome {
+    if let Outcome::Rejected(Some(wait)) = outcome {
         let until = judge.waits.entry(held.destination).or_insert(Time::ZERO);
         *until = (*until).max(bench.now + wait);
     }
--- a/crates/cloverstile/tests/restart.rs
+++ b/crates/cloverstile/tests/restart.rs
@@ -6,16 +6,21 @@
 use common::*;
 use std::time::Duration;
 
-fn bench(classes: Vec<Class>, answers_take_time: bool) -> Bench {
-    let settings = Settings { answers_take_time, ..settings(classes) };
+fn bench(classes: Vec<Class>, acknowledged_answers: bool) -> Bench {
+    let settings = Settings { acknowledged_answers, ..settings(classes) };
     let settling = Rules { order_settle: ms(100), ..settings.rules.clone() };
     Bench::new(Settings { rules: settling, ..settings }, vec![endpoint(11, 3)])
 }
 
-fn restored(bench: &Bench, id: u32, key: Option<u64>, attempts: u32, maybe_ran: Option<Time>) -> Restored {
+fn restored(bench: &Bench, id: u32, key: Option<u64>, attempts: u32, may_have_run: Option<Time>) -> Restored {
     let class = (ClassId(0), &bench.settings.classes[0]);
-    let taken = accepted(bench.now, id, class, 3, key);
-    Restored { taken, attempts, maybe_ran: maybe_ran.map(|at| (at, Some(ZoneId(0)))), answered: false }
+    let accepted = accepted(bench.now, id, class, 3, key);
+    Restored {
+        accepted,
+        attempts,
+        may_have_run: may_have_run.map(|at| (at, Some(ZoneId(0)))),
+        answered: false,
+    }
 }
 
 fn ordered() -> Class {
@@ -58,10 +63,10 @@
 #[test]
 fn attempts_made_before_a_restart_count() {
     let mut bench = bench(vec![keyed()], true);
-    let message = restored(&bench, 1, None, bench.settings.send_cap, None);
+    let message = restored(&bench, 1, None, bench.settings.max_attempts, None);
     bench.tell(Event::Restored(message));
     let actions = bench.decide();
-    assert!(matches!(actions[0], Action::Busy { message: MessageId(1), .. }), "{actions:?}");
+    assert!(matches!(actions[0], Action::Return { message: MessageId(1), .. }), "{actions:?}");
 }
 
 /// Any key may have had a call out when the old process died: all rest, new messages' keys too.
@@ -88,7 +93,7 @@
     bench.accept(2, 0, 3, Some(5));
     bench.now = bench.now + Duration::from_secs(1);
     assert_eq!(bench.routes(), []);
-    bench.tell(Event::Heard(MessageId(1)));
+    bench.tell(Event::AnswerAcknowledged(MessageId(1)));
     assert_eq!(bench.routes().len(), 1);
 }
 
@@ -100,12 +105,12 @@
     for (message, endpoint, _) in bench.routes() {
         bench.finish(message, endpoint, Outcome::ConnectFailed, ms(1));
     }
-    let outages: Vec<Outage> = bench.courier.outages().collect();
+    let outages: Vec<OutageRecord> = bench.courier.outages().collect();
     assert_eq!(outages.len(), 1);
     let settings = bench.settings.clone();
     bench.restart(settings, 2, vec![endpoint(11, 3)]);
     assert_eq!(bench.courier.outages().count(), 0);
-    outages.iter().for_each(|outage| bench.tell(Event::Recalled(*outage)));
+    outages.iter().for_each(|outage| bench.tell(Event::OutageRestored(*outage)));
     (11..=20).for_each(|id| bench.accept(id, 0, 3, None));
     // Without the memory all ten would go at once.
     assert!(bench.routes().len() <= 1);
@@ -116,7 +121,7 @@
 #[test]
 fn nothing_is_begun_shortly_before_the_end() {
     let mut bench = bench(vec![keyed()], true);
-    bench.tell(Event::Closing(bench.now + Duration::from_secs(3)));
+    bench.tell(Event::ShutdownAt(bench.now + Duration::from_secs(3)));
     bench.accept(1, 0, 3, None);
     assert_eq!(bench.routes().len(), 1);
     bench.now = bench.now + ms(2900);
@@ -130,10 +135,10 @@
     let mut bench = bench(vec![unsafe_class()], true);
     bench.accept(1, 0, 3, None);
     let (message, endpoint, _) = bench.routes()[0];
-    bench.finish(message, endpoint, Outcome::Spent, ms(1));
+    bench.finish(message, endpoint, Outcome::AttemptsExhausted, ms(1));
     let actions = bench.decide();
     let told = actions.iter().find_map(|action| match action {
-        Action::Busy { message: MessageId(1), after } => Some(*after),
+        Action::Return { message: MessageId(1), retry_after } => Some(*retry_after),
         _ => None,
     });
     assert!(told.is_some_and(|after| after > Duration::ZERO), "{actions:?}");
@@ -146,10 +151,17 @@
     let mut bench = Bench::new(settings.clone(), vec![endpoint(7, 1)]);
     bench.restart(settings, seed, vec![endpoint(7, 1)]);
     let (destination, since) = (DestinationId(1), bench.now);
-    let outage =
-        Outage { destination, endpoint: None, since, evidence, lost: None, returned: None, share: 0.0 };
+    let outage = OutageRecord {
+        destination,
+        endpoint: None,
+        since,
+        evidence,
+        calls_lost: None,
+        slow_start_since: None,
+        served_rate: 0.0,
+    };
     if evidence > 0 {
-        bench.tell(Event::Recalled(outage));
+        bench.tell(Event::OutageRestored(outage));
     }
     (0..60).for_each(|id| bench.accept(id, 0, 1, None));
     [(); 5].map(|()| {
--- a/crates/cloverstile/tests/returns.rs
+++ b/crates/cloverstile/tests/returns.rs
@@ -5,25 +5,25 @@
 
 mod common;
 
-use common::crowd::{live_through, Outage, Plan, Site, SITE};
+use common::crowd::{live_through, OutageKind, Plan, Site, SITE};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 use std::time::Duration;
 
 /// Figures like those of payrolls, where a return is long and few calls are let in at first.
 const SLOW: Site = Site {
-    cold_from: 0.16,
-    cold: Duration::from_secs(14),
-    tip_multiple: 2.5,
-    fall: Duration::from_secs(2),
+    cold_capacity_share: 0.16,
+    warm_up: Duration::from_secs(14),
+    collapse_multiple: 2.5,
+    collapse_window: Duration::from_secs(2),
     deadline: Duration::from_secs(24),
 };
 /// Little is allowed beyond what it can do.
 const TIGHT: Site = Site {
-    cold_from: 0.3,
-    cold: Duration::from_secs(10),
-    tip_multiple: 1.5,
-    fall: Duration::from_secs(2),
+    cold_capacity_share: 0.3,
+    warm_up: Duration::from_secs(10),
+    collapse_multiple: 1.5,
+    collapse_window: Duration::from_secs(2),
     deadline: Duration::from_secs(28),
 };
 
@@ -31,10 +31,10 @@
     let mut chance = fastrand::Rng::with_seed(seed * 31 + u64::from(couriers));
     let mut one = |from: &[f64]| from[chance.usize(..from.len())];
     let outage = match one(&[0.0, 1.0, 2.0, 3.0]) as usize {
-        0 => Outage::ShutAndTells,
-        1 => Outage::Shut,
-        2 => Outage::Down,
-        _ => Outage::Hung,
+        0 => OutageKind::ShutAndTells,
+        1 => OutageKind::Shut,
+        2 => OutageKind::Down,
+        _ => OutageKind::Hung,
     };
     let site = [SITE, SLOW, TIGHT][one(&[0.0, 1.0, 2.0]) as usize];
     let (capacity, load) = (one(&[3.0, 6.0, 12.0, 30.0, 80.0]), one(&[0.5, 0.8, 1.2]));
--- a/crates/cloverstile/tests/rules.rs
+++ b/crates/cloverstile/tests/rules.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 const MAYBE_RAN: [Outcome; 5] =
-    [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Spoilt, Outcome::Cancelled];
-const NEVER_RAN: [Outcome; 3] = [Outcome::Full(None), Outcome::ConnectFailed, Outcome::Moot];
+    [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Malformed, Outcome::Cancelled];
+const NEVER_RAN: [Outcome; 3] = [Outcome::Rejected(None), Outcome::ConnectFailed, Outcome::NotSent];
 
 fn one(class: Class) -> Bench {
     Bench::new(settings(vec![class]), vec![endpoint(7, 1)])
@@ -30,7 +30,7 @@
     bench.accept(1, 0, 1, None);
     let deadline = bench.now + bench.settings.classes[0].deadline;
     let actions = bench.until_action(Duration::from_secs(30));
-    assert!(matches!(actions[..], [Action::Busy { message: MessageId(1), .. }]));
+    assert!(matches!(actions[..], [Action::Return { message: MessageId(1), .. }]));
     assert!(bench.now <= deadline + bench.settings.rules.answer_slack);
     assert!(bench.until_action(Duration::from_secs(30)).is_empty());
 }
@@ -73,7 +73,7 @@
         }
     }
     assert!(repeats > 0);
-    assert!(repeats < bench.settings.send_cap);
+    assert!(repeats < bench.settings.max_attempts);
 }
 
 /// Between a decision and its first byte a connection may take its time to come up: the window binds there too.
@@ -104,7 +104,7 @@
 fn a_keyed_message_stays_in_the_zone_that_drops_its_repeats() {
     let mut other = endpoint(8, 1);
     other.zone = ZoneId(1);
-    let class = Class { group: Group::Zone, ..keyed() };
+    let class = Class { dedup_scope: DedupScope::Zone, ..keyed() };
     let mut bench = Bench::new(settings(vec![class]), vec![endpoint(7, 1), other.clone()]);
     bench.accept(1, 0, 1, None);
     let first = bench.routes()[0].1;
@@ -120,8 +120,8 @@
 /// Zones beyond those that can be numbered share one number: a repeat that needs the same one stays where it is.
 #[test]
 fn a_keyed_message_is_not_resent_where_its_zone_cannot_be_told() {
-    let class = Class { group: Group::Zone, ..keyed() };
-    let beyond = Endpoint { zone: ZoneId::BEYOND, ..endpoint(7, 1) };
+    let class = Class { dedup_scope: DedupScope::Zone, ..keyed() };
+    let beyond = Endpoint { zone: ZoneId::UNNUMBERED, ..endpoint(7, 1) };
     let mut bench = Bench::new(settings(vec![class]), vec![beyond]);
     bench.accept(1, 0, 1, None);
     assert_eq!(bench.routes().len(), 1);
@@ -204,7 +204,7 @@
     let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(7, 1), endpoint(8, 1)]);
     bench.accept(1, 0, 1, None);
     let first = bench.routes()[0].1;
-    bench.finish(1, first, Outcome::Full(Some(ms(800))), ms(20));
+    bench.finish(1, first, Outcome::Rejected(Some(ms(800))), ms(20));
     let told = bench.now;
     bench.accept(2, 0, 1, None);
     assert!(bench.routes().is_empty());
@@ -217,14 +217,14 @@
 fn a_wait_told_by_any_message_of_a_call_is_kept() {
     let base = settings(vec![safe()]);
     let mut bench = Bench::new(
-        Settings { kinds: vec![Kind { batch: 5, own_limits: false }], ..base },
+        Settings { kinds: vec![Kind { max_batch: 5, own_limits: false }], ..base },
         vec![endpoint(7, 1)],
     );
     (1..=3).for_each(|id| bench.accept(id, 0, 1, None));
     assert_eq!(bench.routes().len(), 3);
-    bench.finish(1, 7, Outcome::Full(Some(ms(900))), ms(20));
-    bench.finish(2, 7, Outcome::Full(None), ms(20));
-    bench.finish(3, 7, Outcome::Full(None), ms(20));
+    bench.finish(1, 7, Outcome::Rejected(Some(ms(900))), ms(20));
+    bench.finish(2, 7, Outcome::Rejected(None), ms(20));
+    bench.finish(3, 7, Outcome::Rejected(None), ms(20));
     let told = bench.now;
     assert!(!bench.until_action(Duration::from_secs(5)).is_empty());
     assert!(bench.now - told >= ms(900));
@@ -273,7 +273,7 @@
     // It is back: all that is sent in the fall window stays inside the budget of a cold destination.
     let (mut sent, mut back) = (0.0, bench.now);
     let rules = bench.settings.rules.clone();
-    while bench.now - back < rules.fall {
+    while bench.now - back < rules.collapse_window {
         bench.now = bench.now + ms(5);
         for (id, to, _) in bench.routes() {
             if sent == 0.0 {
@@ -283,8 +283,11 @@
             bench.finish(id, to, Outcome::Ok, ms(5));
         }
     }
-    let capacity = 100.0 * (rules.cold_from + (1.0 - rules.cold_from) * 0.2);
-    assert!(sent > 0.0 && sent <= rules.tip_multiple * capacity * rules.fall.as_secs_f64(), "{sent}");
+    let capacity = 100.0 * (rules.cold_capacity_share + (1.0 - rules.cold_capacity_share) * 0.2);
+    assert!(
+        sent > 0.0 && sent <= rules.collapse_multiple * capacity * rules.collapse_window.as_secs_f64(),
+        "{sent}"
+    );
 }
 
 /// Rehearsal cold-return, seed 1: a cold partner's refusals opened a spell for a moment, and with its end the slow
@@ -302,7 +305,7 @@
     let rules = bench.settings.rules.clone();
     // Out for six seconds; then a success, a failure, and a success a moment later.
     let (mut sent, mut back) = (0.0, None);
-    while back.is_none_or(|back| bench.now - back < rules.fall) {
+    while back.is_none_or(|back| bench.now - back < rules.collapse_window) {
         bench.now = bench.now + ms(5);
         for (id, to, _) in bench.routes() {
             if bench.now - began >= Duration::from_secs(6) {
@@ -314,8 +317,8 @@
         }
     }
     assert_eq!(outcomes.next(), None, "the spell was over in time");
-    let capacity = 100.0 * (rules.cold_from + (1.0 - rules.cold_from) * 0.2);
-    assert!(sent <= rules.tip_multiple * capacity * rules.fall.as_secs_f64(), "{sent}");
+    let capacity = 100.0 * (rules.cold_capacity_share + (1.0 - rules.cold_capacity_share) * 0.2);
+    assert!(sent <= rules.collapse_multiple * capacity * rules.collapse_window.as_secs_f64(), "{sent}");
 }
 
 /// Hang of a destination: the silence stops further calls long before a time-out would.
@@ -361,12 +364,12 @@
 fn nearly_full_the_least_worth_are_handed_back() {
     let rich = Class { worth: 5.0, ..safe() };
     let base = settings(vec![safe(), rich]);
-    let mut bench = Bench::new(Settings { most_held: 20, ..base }, vec![]);
+    let mut bench = Bench::new(Settings { max_held: 20, ..base }, vec![]);
     (0..10).for_each(|id| bench.accept(id, 0, 1, None));
     (10..20).for_each(|id| bench.accept(id, 1, 1, None));
     let shed = bench.until_action(ms(5));
     assert!(!shed.is_empty());
-    assert!(shed.iter().all(|a| matches!(a, Action::Busy { message, .. } if message.0 < 10)), "{shed:?}");
+    assert!(shed.iter().all(|a| matches!(a, Action::Return { message, .. } if message.0 < 10)), "{shed:?}");
 }
 
 #[test]
@@ -385,7 +388,7 @@
 #[test]
 fn one_call_carries_many_where_the_kind_allows_it() {
     let base = settings(vec![safe()]);
-    let kinds = vec![Kind { batch: 5, own_limits: false }];
+    let kinds = vec![Kind { max_batch: 5, own_limits: false }];
     let mut bench = Bench::new(Settings { call_slots: 1, kinds, ..base }, vec![endpoint(7, 1)]);
     (0..8).for_each(|id| bench.accept(id, 0, 1, None));
     assert_eq!(bench.routes().len(), 5);
@@ -403,8 +406,8 @@
         bench.finish(1, 7, Outcome::Timeout, last);
         bench.accept(1000 + bench.now.0 as u32, 0, 1, None);
         match bench.until_action(Duration::from_secs(5)).first() {
-            Some(Action::Route { message, try_for, .. }) => {
-                last = *try_for;
+            Some(Action::Route { message, timeout, .. }) => {
+                last = *timeout;
                 if message.0 != 1 {
                     break;
                 }
@@ -419,9 +422,9 @@
 fn events_for_unknown_things_are_ignored() {
     let mut bench = one(safe());
     bench.finish(99, 7, Outcome::Ok, ms(5));
-    bench.finish(99, 98, Outcome::Full(Some(ms(5))), ms(5));
+    bench.finish(99, 98, Outcome::Rejected(Some(ms(5))), ms(5));
     bench.tell(Event::ClientGone(MessageId(99)));
-    bench.tell(Event::TickDue(12345));
+    bench.tell(Event::TimerExpired(12345));
     bench.accept(1, 0, 1, None);
     assert_eq!(bench.routes().len(), 1);
 }
@@ -432,7 +435,7 @@
     (0..5).for_each(|id| bench.accept(id, 0, 1, None));
     bench.routes();
     bench.now = bench.now + Duration::from_secs(100_000);
-    let answers = bench.decide().iter().filter(|a| !matches!(a, Action::Wake { .. })).count();
+    let answers = bench.decide().iter().filter(|a| !matches!(a, Action::SetTimer { .. })).count();
     assert_eq!(answers, 5);
 }
 
@@ -440,20 +443,20 @@
 fn what_is_beyond_a_tenants_share_is_shed_first() {
     let base = settings(vec![safe()]);
     let tenants = vec![Tenant { quota: 5.0 }, Tenant { quota: 1000.0 }];
-    let mut bench = Bench::new(Settings { most_held: 40, tenants, over_share_worth: 0.1, ..base }, vec![]);
+    let mut bench = Bench::new(Settings { max_held: 40, tenants, over_quota_worth: 0.1, ..base }, vec![]);
     let deadline = bench.now + bench.settings.classes[0].deadline;
     for id in 0..40 {
         let tenant = TenantId(u32::from(id >= 20));
         let (class, destination) = (ClassId(0), DestinationId(1));
         let id = MessageId(id);
         let from_dead_courier = false;
-        let taken = Accepted { id, class, destination, key: None, deadline, from_dead_courier, tenant };
-        bench.tell(Event::Accept(taken));
+        let accepted = Accepted { id, class, destination, key: None, deadline, from_dead_courier, tenant };
+        bench.tell(Event::Accept(accepted));
     }
     let shed = bench.until_action(ms(5));
     assert!(!shed.is_empty());
     assert!(
-        shed.iter().all(|a| matches!(a, Action::Busy { message, .. } if (6..20).contains(&message.0))),
+        shed.iter().all(|a| matches!(a, Action::Return { message, .. } if (6..20).contains(&message.0))),
         "{shed:?}"
     );
 }
@@ -461,11 +464,11 @@
 #[test]
 fn where_routes_are_apart_a_wait_holds_for_its_route_only() {
     let base = settings(vec![safe()]);
-    let kinds = vec![Kind { batch: 1, own_limits: true }];
+    let kinds = vec![Kind { max_batch: 1, own_limits: true }];
     let mut bench = Bench::new(Settings { kinds, ..base }, vec![endpoint(7, 1), endpoint(8, 1)]);
     bench.accept(1, 0, 1, None);
     let first = bench.routes()[0].1;
-    bench.finish(1, first, Outcome::Full(Some(ms(900))), ms(20));
+    bench.finish(1, first, Outcome::Rejected(Some(ms(900))), ms(20));
     bench.accept(2, 0, 1, None);
     let other = bench.routes();
     assert_eq!(other.len(), 1);
@@ -506,11 +509,11 @@
 #[test]
 fn a_message_whose_attempts_are_used_up_is_handed_back_at_once() {
     let mut bench = one(unsafe_class());
-    bench.restart(Settings { send_cap: 1, ..bench.settings.clone() }, 1, vec![endpoint(7, 1)]);
+    bench.restart(Settings { max_attempts: 1, ..bench.settings.clone() }, 1, vec![endpoint(7, 1)]);
     bench.accept(1, 0, 1, None);
     bench.routes();
-    bench.finish(1, 7, Outcome::Full(None), ms(20));
-    let refused = |action: &Action| matches!(action, Action::Busy { message: MessageId(1), .. });
+    bench.finish(1, 7, Outcome::Rejected(None), ms(20));
+    let refused = |action: &Action| matches!(action, Action::Return { message: MessageId(1), .. });
     assert!(bench.decide().iter().any(refused));
 }
 
@@ -588,7 +591,7 @@
     assert_eq!(bench.routes().len(), 2);
     bench.accept(5, 0, 2, None);
     let off = bench.until_action(Duration::from_secs(3));
-    assert_eq!(off, [Action::StopAttempt { message: MessageId(0), attempt: 0 }]);
+    assert_eq!(off, [Action::CancelAttempt { message: MessageId(0), attempt: 0 }]);
 }
 
 /// A slot is worth most where a message of more worth waits, not where the list starts.
@@ -645,7 +648,7 @@
 fn where_calls_carry_many_one_refusal_slows_down_to_a_call_an_aim() {
     let sends_after_a_refusal = |batch: usize, seconds: u64| {
         let base = settings(vec![safe()]);
-        let kinds = vec![Kind { batch, own_limits: false }];
+        let kinds = vec![Kind { max_batch: batch, own_limits: false }];
         let mut bench = Bench::new(Settings { couriers: 400, kinds, ..base }, vec![endpoint(7, 1)]);
         bench.accept(1, 0, 1, None);
         let mut calls = 0;
@@ -654,7 +657,7 @@
             let sent = bench.routes();
             calls += sent.len();
             for (id, to, _) in sent {
-                bench.finish(id, to, Outcome::Full(None), ms(20));
+                bench.finish(id, to, Outcome::Rejected(None), ms(20));
             }
             bench.now = bench.now + ms(20);
         }
@@ -673,7 +676,7 @@
         bench.restart(Settings { couriers: 200, ..bench.settings.clone() }, seed, vec![endpoint(7, 1)]);
         bench.accept(1, 0, 1, None);
         bench.routes();
-        bench.finish(1, 7, Outcome::Full(None), ms(20));
+        bench.finish(1, 7, Outcome::Rejected(None), ms(20));
         let refused = bench.now;
         assert!(matches!(bench.until_action(Duration::from_secs(30))[..], [Action::Route { .. }]));
         bench.now - refused
@@ -697,9 +700,9 @@
             }
             bench.now = bench.now + ms(100);
         }
-        bench.courier.outages().filter(|outage| outage.lost.is_some()).count()
+        bench.courier.outages().filter(|outage| outage.calls_lost.is_some()).count()
     };
-    assert_eq!(outages_after(Outcome::Spoilt), 0);
+    assert_eq!(outages_after(Outcome::Malformed), 0);
     assert_eq!(outages_after(Outcome::Reset), 1);
 }
 
@@ -708,20 +711,20 @@
 fn a_list_that_repeats_itself_leaves_pace_and_told_limit() {
     let mut bench = one(safe());
     bench.restart(Settings { couriers: 2, ..bench.settings.clone() }, 1, vec![endpoint(7, 1)]);
-    let told = Allowance { left: 0.4, limit: 60.0 };
+    let told = LimitReport { remaining_share: 0.4, limit: 60.0 };
     let mut answer = |id: u32| {
         bench.accept(id, 0, 1, None);
         assert_eq!(bench.routes().len(), 1);
         bench.now = bench.now + ms(50);
         bench.accept(1000 + id, 0, 1, None);
         bench.finish_telling(id, 7, Outcome::Ok, ms(50), Some(told));
-        let standing = bench.courier.standings(bench.now).next().expect("a message waits");
+        let standing = bench.courier.destination_statuses(bench.now).next().expect("a message waits");
         for (more, to, _) in bench.routes() {
             bench.finish_telling(more, to, Outcome::Ok, ms(50), Some(told));
         }
         bench.tell(Event::Listed(Listing::Changes(vec![endpoint(7, 1)])));
         bench.now = bench.now + ms(500);
-        (standing.pace, standing.limit)
+        (standing.rate, standing.limit)
     };
     let first = answer(1);
     for id in 2..12 {
--- a/crates/cloverstile/tests/settings.rs
+++ b/crates/cloverstile/tests/settings.rs
@@ -43,9 +43,9 @@
     });
     let (lines, json) = (parse_settings(LINES).unwrap(), parse_settings_json(&nested).unwrap());
     assert_eq!(format!("{lines:?}"), format!("{json:?}"));
-    assert_eq!(json.settings.most_held, 519);
+    assert_eq!(json.settings.max_held, 519);
     assert_eq!(json.settings.zone, Some(ZoneId(1)));
-    assert_eq!(json.settings.decay, Decay::Halves);
+    assert_eq!(json.settings.decay, Decay::Halving);
     assert_eq!(json.class_names, ["pay-notice"]);
     assert!(json.settings.kinds[1].own_limits);
 }
--- a/crates/cloverstile/tests/shared_limit.rs
+++ b/crates/cloverstile/tests/shared_limit.rs
@@ -31,7 +31,7 @@
     message: u32,
     attempt: u16,
     outcome: Outcome,
-    told: Allowance,
+    told: LimitReport,
     sent: Time,
 }
 
@@ -43,7 +43,7 @@
     limit: f64,
     room: f64,
     /// Reports, the newest last: when it may be told, and what.
-    reports: Vec<(Time, Allowance)>,
+    reports: Vec<(Time, LimitReport)>,
     coming: BTreeMap<(Time, usize), Coming>,
     attempts: BTreeMap<u32, u16>,
     count: usize,
@@ -54,8 +54,8 @@
 impl Fleet {
     fn new(couriers: u32, seed: u64) -> Self {
         // Each courier holds its part of all that eight seconds bring.
-        let most_held = (8.0 * LIMIT / f64::from(couriers)).max(12.0) as usize;
-        let settings = Settings { couriers, call_slots: 48, most_held, ..Settings::default() };
+        let max_held = (8.0 * LIMIT / f64::from(couriers)).max(12.0) as usize;
+        let settings = Settings { couriers, call_slots: 48, max_held, ..Settings::default() };
         let mut fleet = Fleet {
             settings,
             chance: fastrand::Rng::with_seed(seed),
@@ -108,8 +108,8 @@
             let more = self.limit * STEP.as_secs_f64();
             self.room = (self.room + more).min(self.limit * DEPTH_S);
             if self.reports.last().is_none_or(|(at, _)| *at + REPORT <= self.now) {
-                let left = (self.room / (self.limit * DEPTH_S)).max(0.0);
-                self.reports.push((self.now, Allowance { left, limit: self.limit }));
+                let remaining_share = (self.room / (self.limit * DEPTH_S)).max(0.0);
+                self.reports.push((self.now, LimitReport { remaining_share, limit: self.limit }));
             }
             owed += LIMIT * load * STEP.as_secs_f64() * self.chance.f64() * 2.0;
             while owed >= 1.0 {
@@ -128,7 +128,7 @@
         let now = self.now;
         for (member, _) in &mut self.members {
             if let Some((_, token)) = member.wake.take_if(|(at, _)| *at <= now) {
-                member.courier.handle(now, Event::TickDue(token));
+                member.courier.handle(now, Event::TimerExpired(token));
                 member.touched = true;
             }
         }
@@ -149,7 +149,7 @@
                     outcome,
                     latency: now - sent,
                     complete: outcome == Outcome::Ok,
-                    allowance: Some(told),
+                    limit_report: Some(told),
                 }),
             );
         }
@@ -164,7 +164,7 @@
         member.courier.decide(self.now, &mut actions);
         for action in actions {
             match action {
-                Action::Wake { after, token } => {
+                Action::SetTimer { after, token } => {
                     self.members[number].0.wake = Some((self.now + after, token))
                 }
                 Action::Route { message: MessageId(message), .. } => {
@@ -173,9 +173,10 @@
                     let refused = self.room < 0.0;
                     self.room = self.room.max(-1.0);
                     let known = self.reports.iter().rev().find(|(at, _)| *at + REPORT_LATE <= self.now);
-                    let told = known.map_or(Allowance { left: 1.0, limit: self.limit }, |(_, told)| *told);
+                    let told = known
+                        .map_or(LimitReport { remaining_share: 1.0, limit: self.limit }, |(_, told)| *told);
                     let (outcome, after) =
-                        if refused { (Outcome::Full(None), ms(20)) } else { (Outcome::Ok, TAKES) };
+                        if refused { (Outcome::Rejected(None), ms(20)) } else { (Outcome::Ok, TAKES) };
                     let attempts = self.attempts.entry(message).or_default();
                     let attempt = *attempts;
                     *attempts += 1;
--- a/crates/cloverstile/tests/trials.rs
+++ b/crates/cloverstile/tests/trials.rs
@@ -93,14 +93,14 @@
 }
 
 /// Calls sent in ten seconds to a destination that ends each one so at once, by who is to try it; 300 couriers share it.
-fn trials_of(who: impl Fn(Time) -> Trials, outcome: Outcome) -> usize {
+fn trials_of(who: impl Fn(Time) -> TrialOwner, outcome: Outcome) -> usize {
     let settings = Settings { couriers: 300, ..settings(vec![safe()]) };
     let mut bench = Bench::new(settings, vec![endpoint(7, 1)]);
     (0..200).for_each(|id| bench.accept(id, 0, 1, None));
     let (mut out, mut sent) = (Vec::new(), 0);
     let end = bench.now + Duration::from_secs(10);
     while bench.now < end {
-        bench.tell(Event::Trials(DestinationId(1), who(bench.now)));
+        bench.tell(Event::TrialOwnerChanged(DestinationId(1), who(bench.now)));
         std::mem::take(&mut out).into_iter().for_each(|id| bench.finish(id, 7, outcome, ms(20)));
         out = bench.routes().into_iter().map(|(id, ..)| id).collect();
         sent += out.len();
@@ -114,14 +114,14 @@
 #[test]
 fn one_tries_for_all_and_nobody_waits_for_it_for_ever() {
     for outcome in [Outcome::Error, Outcome::ConnectFailed] {
-        let held = trials_of(|now| Trials::Held(now + ms(500)), outcome);
-        let own = trials_of(|_| Trials::Own, outcome);
+        let held = trials_of(|now| TrialOwner::ThisCourier(now + ms(500)), outcome);
+        let own = trials_of(|_| TrialOwner::EachCourier, outcome);
         assert!((25..400).contains(&held), "{outcome:?}: {held} by who tries for all");
         assert!(held > 2 * own, "{outcome:?}: {held} by who tries for all, {own} by each for itself");
-        let elsewhere = trials_of(|now| Trials::Elsewhere(now + ms(500)), outcome);
+        let elsewhere = trials_of(|now| TrialOwner::OtherCourier(now + ms(500)), outcome);
         assert!(elsewhere < 10, "{outcome:?}: {elsewhere} by who does not");
         let (first, over) = (Time(0), Time(0) + Duration::from_secs(1));
-        for past in [Trials::Held(first), Trials::Elsewhere(over)] {
+        for past in [TrialOwner::ThisCourier(first), TrialOwner::OtherCourier(over)] {
             assert_eq!(trials_of(|_| past, outcome), own, "{outcome:?}: {past:?} is over");
         }
     }
--- a/crates/cloverstile/tests/windows.rs
+++ b/crates/cloverstile/tests/windows.rs
@@ -18,7 +18,7 @@
     sent: Vec<Time>,
     /// When its end was told.
     ended: Option<Time>,
-    try_for: Duration,
+    timeout: Duration,
 }
 
 fn class(aim: u64, deadline: u64, window: u64) -> Class {
@@ -45,7 +45,7 @@
     bench.accept(ONE, 0, 1, None);
     let begun = bench.now;
     let deadline = bench.settings.classes[0].deadline;
-    let mut seen = Seen { sent: Vec::new(), ended: None, try_for: Duration::ZERO };
+    let mut seen = Seen { sent: Vec::new(), ended: None, timeout: Duration::ZERO };
     let (mut first, mut others, mut next) = (None, Vec::new(), 0);
     while bench.now < begun + deadline && seen.ended.is_none() {
         if bench.now - begun >= ms(100 * next) {
@@ -61,9 +61,9 @@
         });
         for action in bench.decide() {
             match action {
-                Action::Route { message: MessageId(ONE), endpoint, try_for, send_by, .. } => {
+                Action::Route { message: MessageId(ONE), endpoint, timeout, send_by, .. } => {
                     if seen.sent.is_empty() {
-                        (first, seen.try_for) = (Some(endpoint), try_for);
+                        (first, seen.timeout) = (Some(endpoint), timeout);
                     } else {
                         assert!(
                             send_by.is_some_and(|by| by >= bench.now),
@@ -74,7 +74,7 @@
                 }
                 Action::Route { message, endpoint, .. } => others.push((message.0, endpoint.0, bench.now)),
                 Action::ReportFailure { message: MessageId(ONE) }
-                | Action::Busy { message: MessageId(ONE), .. } => {
+                | Action::Return { message: MessageId(ONE), .. } => {
                     seen.ended = Some(bench.now);
                 }
                 _ => {}
@@ -127,11 +127,11 @@
     for window in [400, 1000, 2000] {
         let mut bench = familiar(class(3000, 24_000, window));
         let seen = reset_after(&mut bench, Duration::from_secs(60));
-        assert!(seen.try_for <= ms(window).mul_f64(0.46), "window {window}: {:?}", seen.try_for);
+        assert!(seen.timeout <= ms(window).mul_f64(0.46), "window {window}: {:?}", seen.timeout);
     }
     // Where a usual answer takes longer than half of it, the one attempt has all the time.
     let mut bench = familiar(class(3000, 24_000, 200));
-    assert!(reset_after(&mut bench, Duration::from_secs(60)).try_for > Duration::from_secs(20));
+    assert!(reset_after(&mut bench, Duration::from_secs(60)).timeout > Duration::from_secs(20));
 }
 
 /// It may have run at any time since it was handed in: where that is longer ago than the window, no call may go, and its end
@@ -140,9 +140,9 @@
 fn a_message_of_a_dead_courier_behind_its_window_ends_at_once() {
     let class = class(3000, 24_000, 1000);
     let mut bench = familiar(class.clone());
-    let mut taken = accepted(bench.now, ONE, (ClassId(0), &class), 1, None);
-    (taken.from_dead_courier, taken.deadline) = (true, bench.now + Duration::from_secs(20));
-    bench.tell(Event::Accept(taken));
+    let mut accepted = accepted(bench.now, ONE, (ClassId(0), &class), 1, None);
+    (accepted.from_dead_courier, accepted.deadline) = (true, bench.now + Duration::from_secs(20));
+    bench.tell(Event::Accept(accepted));
     let actions = bench.decide();
     assert!(actions.contains(&Action::ReportFailure { message: MessageId(ONE) }), "{actions:?}");
 }
