--- a/crates/cloverstile/src/choice/tests.rs
+++ b/crates/cloverstile/src/choice/tests.rs
@@ -331,7 +331,7 @@
 }
 
 #[test]
-fn the_index_picks_what_a_walk_picks() {
+fn the_index_selects_the_same_message_as_a_scan() {
     let config = Config { cases: 1500, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[17; 32]));
     let check = |(settings, steps): (Settings, Vec<Step>)| {
@@ -398,7 +398,7 @@
 }
 
 #[test]
-fn the_work_of_a_turn_does_not_grow_with_the_messages_held() {
+fn the_work_per_decide_does_not_grow_with_the_messages_held() {
     for in_order in [true, false] {
         let few = examined_a_turn(1_000, in_order);
         for messages in [10_000, 100_000] {
@@ -410,7 +410,7 @@
 
 /// A message is filed anew a few times in its life, however many there are.
 #[test]
-fn the_work_for_a_message_over_its_life_does_not_grow_with_the_messages_held() {
+fn the_total_work_per_message_does_not_grow_with_the_messages_held() {
     let of_each = |messages: u32, in_order: bool| {
         let examined = examined_by(|| {
             let (mut courier, begin) = silent(messages, in_order);
@@ -444,7 +444,7 @@
 }
 
 #[test]
-fn a_look_that_is_left_out_would_have_decided_nothing() {
+fn a_skipped_evaluation_would_not_have_led_to_any_action() {
     let config = Config { cases: 1500, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[19; 32]));
     let check = |(settings, steps): (Settings, Vec<Step>)| {
@@ -501,7 +501,7 @@
 }
 
 #[test]
-fn a_turn_names_the_destinations_whose_outages_may_have_changed_and_no_others() {
+fn take_changed_outages_returns_only_destinations_whose_outages_may_have_changed() {
     let mut play = with_waiting(1_000);
     play.courier.take_changed_outages();
     turn_for_one(&mut play);
@@ -514,7 +514,7 @@
 }
 
 #[test]
-fn the_work_of_a_turn_does_not_grow_with_the_destinations_that_wait() {
+fn the_work_per_decide_does_not_grow_with_the_destinations_that_wait() {
     let few = examined_with_waiting(10);
     for destinations in [100, 1_000, 10_000] {
         let many = examined_with_waiting(destinations);
--- a/crates/cloverstile/tests/by_hand.rs
+++ b/crates/cloverstile/tests/by_hand.rs
@@ -1,4 +1,4 @@
-//! Endpoints that an operator takes out and gives back.
+//! Endpoints that an operator suspends and reinstates.
 
 mod common;
 
@@ -11,7 +11,8 @@
     Bench::new(settings, (1..=endpoints).map(|id| endpoint(id, 3)).collect())
 }
 
-/// Hands in this courier's part of 50 messages a second for a while, each call answered after 100 ms; the calls that each endpoint got, by seconds.
+/// Enqueues this courier's part of 50 messages a second; each call is answered after 100 ms. Returns for each second the
+/// calls to `endpoint` and to all other endpoints.
 fn calls(bench: &mut Bench, from: u32, seconds: u32, endpoint: u32) -> Vec<(u32, u32)> {
     let couriers = bench.settings.couriers;
     let mut counts = vec![(0, 0); seconds as usize];
@@ -37,41 +38,41 @@
 }
 
 #[test]
-fn nothing_goes_to_an_endpoint_that_is_out_and_the_others_serve() {
+fn a_suspended_endpoint_gets_no_calls_and_the_others_serve() {
     let mut bench = bench(1, 2);
     calls(&mut bench, 1, 2, 1);
-    bench.tell(Event::Suspended(EndpointId(1)));
+    bench.handle(Event::Suspended(EndpointId(1)));
     assert!(calls(&mut bench, 1000, 2, 1).iter().all(|(out, others)| *out == 0 && *others >= 40));
-    // The list's word changes nothing.
-    bench.tell(Event::Listed(Listing::Whole(vec![endpoint(1, 3), endpoint(2, 3)])));
+    // A new listing does not change that.
+    bench.handle(Event::Listed(Listing::Whole(vec![endpoint(1, 3), endpoint(2, 3)])));
     assert!(calls(&mut bench, 2000, 2, 1).iter().all(|(out, _)| *out == 0));
 }
 
 #[test]
-fn messages_of_a_destination_that_is_all_out_wait_and_go_once_it_is_back() {
+fn messages_wait_while_all_endpoints_are_suspended() {
     let mut bench = bench(1, 1);
-    bench.tell(Event::Suspended(EndpointId(1)));
+    bench.handle(Event::Suspended(EndpointId(1)));
     bench.accept(1, 0, 3, None);
     assert!(bench.until_action(Duration::from_secs(5)).is_empty());
-    bench.tell(Event::Reinstated(EndpointId(1)));
+    bench.handle(Event::Reinstated(EndpointId(1)));
     let actions = bench.until_action(Duration::from_secs(2));
     assert!(matches!(actions[..], [Action::Route { message: MessageId(1), .. }]), "{actions:?}");
 }
 
-/// It takes 100 calls a second when warm, and a fifth of that cold; twice what it can do for two seconds is too much. The
-/// sum of all couriers counts, and what it does not take goes to the endpoint that is warm.
+/// A warm endpoint serves half of 100 calls a second, a cold one a fifth of that, and twice its capacity for two seconds makes
+/// it collapse. Counts the calls of all couriers; the other calls go to the warm endpoint.
 #[test]
-fn an_endpoint_that_is_back_gets_no_more_than_a_cold_one_can_do_whatever_the_number_of_couriers() {
+fn a_reinstated_endpoint_gets_no_more_than_its_cold_capacity_with_any_number_of_couriers() {
     for couriers in [1, 3, 100] {
         let mut sum = vec![(0, 0); 10];
         for number in 0..couriers {
             let mut bench = bench(couriers, 2);
             bench.courier = Courier::new(bench.settings.clone(), u64::from(number));
-            bench.tell(Event::Listed(Listing::Whole(vec![endpoint(1, 3), endpoint(2, 3)])));
+            bench.handle(Event::Listed(Listing::Whole(vec![endpoint(1, 3), endpoint(2, 3)])));
             calls(&mut bench, 1000 + number, 10, 1);
-            bench.tell(Event::Suspended(EndpointId(1)));
+            bench.handle(Event::Suspended(EndpointId(1)));
             calls(&mut bench, 2000 + number, 3, 1);
-            bench.tell(Event::Reinstated(EndpointId(1)));
+            bench.handle(Event::Reinstated(EndpointId(1)));
             for (sum, more) in sum.iter_mut().zip(calls(&mut bench, 3000 + number, 10, 1)) {
                 *sum = (sum.0 + more.0, sum.1 + more.1);
             }
@@ -81,17 +82,17 @@
             let got = f64::from(*back);
             assert!(got <= can * 2.0, "{couriers} couriers, second {second}: {got} of {can}: {sum:?}");
         }
-        assert!(sum.iter().map(|(back, _)| back).sum::<u32>() > 0, "{couriers} couriers: it is never tried");
+        assert!(sum.iter().map(|(back, _)| back).sum::<u32>() > 0, "{couriers} couriers: it is never called");
     }
 }
 
 #[test]
-fn a_destination_that_is_back_alone_has_a_slow_start() {
+fn a_reinstated_only_endpoint_gets_a_slow_start() {
     let mut bench = bench(1, 1);
     calls(&mut bench, 1, 3, 1);
-    bench.tell(Event::Suspended(EndpointId(1)));
+    bench.handle(Event::Suspended(EndpointId(1)));
     calls(&mut bench, 1000, 3, 1);
-    bench.tell(Event::Reinstated(EndpointId(1)));
+    bench.handle(Event::Reinstated(EndpointId(1)));
     let back = calls(&mut bench, 2000, 3, 1);
     assert!(back.iter().all(|(got, _)| (1..=60).contains(got)), "{back:?}");
     assert!(back[0].0 <= 40, "{back:?}");
--- a/crates/cloverstile/tests/choice_limits.rs
+++ b/crates/cloverstile/tests/choice_limits.rs
@@ -1,4 +1,4 @@
-//! The decision module stays short enough to be read aloud.
+//! Limits the size of the decision module, so that it stays easy to review.
 
 #[test]
 fn the_decision_module_keeps_its_limits() {
--- a/crates/cloverstile/tests/common/mod.rs
+++ b/crates/cloverstile/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A courier under test, with a clock of its own and a record of what it did.
+//! Test bench: a courier with a simulated clock.
 #![allow(dead_code)]
 
 pub mod crowd;
@@ -37,7 +37,7 @@
     }
 }
 
-/// A message of a live client, handed in now.
+/// A message enqueued now.
 pub fn accepted(
     now: Time,
     id: u32,
@@ -56,8 +56,8 @@
     }
 }
 
-/// A route that the courier asked for: message, endpoint, time-out.
-pub type Sent = (u32, u32, Duration);
+/// A message sent by the courier: message, endpoint, timeout.
+pub type SentMessage = (u32, u32, Duration);
 
 pub struct Bench {
     pub courier: Courier,
@@ -74,17 +74,17 @@
             settings,
             attempts: Default::default(),
         };
-        bench.tell(Event::Listed(Listing::Whole(endpoints)));
+        bench.handle(Event::Listed(Listing::Whole(endpoints)));
         bench
     }
 
-    pub fn tell(&mut self, event: Event) {
+    pub fn handle(&mut self, event: Event) {
         self.courier.handle(self.now, event);
     }
 
     pub fn accept(&mut self, id: u32, class: u8, destination: u32, key: Option<u64>) {
         let class = (ClassId(class), &self.settings.classes[usize::from(class)]);
-        self.tell(Event::Accept(accepted(self.now, id, class, destination, key)));
+        self.handle(Event::Accept(accepted(self.now, id, class, destination, key)));
     }
 
     pub fn decide(&mut self) -> Vec<Action> {
@@ -98,7 +98,7 @@
         actions
     }
 
-    pub fn routes(&mut self) -> Vec<Sent> {
+    pub fn routes(&mut self) -> Vec<SentMessage> {
         let routed = |action: &Action| match action {
             Action::Route { message, endpoint, timeout, .. } => Some((message.0, endpoint.0, *timeout)),
             _ => None,
@@ -106,7 +106,7 @@
         self.decide().iter().filter_map(routed).collect()
     }
 
-    /// Lets time pass in small steps, deciding at each; stops at the first step with a route or a final answer.
+    /// Advances the clock in steps of 5 ms and decides after each. Returns the first actions other than timers.
     pub fn until_action(&mut self, limit: Duration) -> Vec<Action> {
         let end = self.now + limit;
         while self.now < end {
@@ -120,20 +120,20 @@
         Vec::new()
     }
 
-    /// The same world with a courier of other settings and another seed.
+    /// Replaces the courier by one with other settings and another seed.
     pub fn restart(&mut self, settings: Settings, seed: u64, endpoints: Vec<Endpoint>) {
         self.courier = Courier::new(settings.clone(), seed);
         self.settings = settings;
-        self.tell(Event::Listed(Listing::Whole(endpoints)));
+        self.handle(Event::Listed(Listing::Whole(endpoints)));
     }
 
     pub fn finish(&mut self, message: u32, endpoint: u32, outcome: Outcome, latency: Duration) {
-        self.finish_telling(message, endpoint, outcome, latency, None);
+        self.finish_with_report(message, endpoint, outcome, latency, None);
     }
 
-    /// A refusal that tells which share of which limit is left.
-    pub fn refuse(&mut self, message: u32, endpoint: u32, remaining_share: f64, limit: f64) {
-        self.finish_telling(
+    /// Ends an attempt with a rejection that reports the limit and its unused share.
+    pub fn reject(&mut self, message: u32, endpoint: u32, remaining_share: f64, limit: f64) {
+        self.finish_with_report(
             message,
             endpoint,
             Outcome::Rejected(None),
@@ -142,8 +142,8 @@
         );
     }
 
-    /// The end of an attempt that tells of the limit.
-    pub fn finish_telling(
+    /// Ends an attempt with an outcome and, if given, a limit report.
+    pub fn finish_with_report(
         &mut self,
         message: u32,
         endpoint: u32,
@@ -152,7 +152,7 @@
         limit_report: Option<LimitReport>,
     ) {
         let attempt = self.attempts.get(&message).map_or(0, |count| count - 1);
-        self.tell(Event::Finished(Finished {
+        self.handle(Event::Finished(Finished {
             message: MessageId(message),
             endpoint: EndpointId(endpoint),
             attempt,
--- a/crates/cloverstile/tests/falls.rs
+++ b/crates/cloverstile/tests/falls.rs
@@ -1,67 +1,87 @@
-//! What all couriers that saw an outage send together must not push the partner over when it comes back: the
-//! most that they send in a fall window, over what the partner survives, for crowds of several sizes.
+//! The calls of all couriers that saw an outage must not overload the partner when it returns. Compares the maximum load in
+//! a collapse window with what the partner survives, for several numbers of couriers and kinds of outage.
 
 mod common;
 
-use common::crowd::{live_through, OutageKind, Plan, SITE};
+use common::crowd::{simulate, OutageKind, Plan, DEFAULT_RULES};
 
-const CROWD: Plan = Plan {
+const BASE_PLAN: Plan = Plan {
     outage: OutageKind::Down,
     couriers: 200,
     capacity: 60.0,
-    told: 1.0,
+    listed_factor: 1.0,
     load: 0.8,
     batch: 1,
     restarts: 0.0,
-    site: SITE,
+    return_rules: DEFAULT_RULES,
     seed: 1,
 };
 
-/// Every plan with a few seeds stays inside the budget, and the crowd is not starved either.
-fn keeps_budget(plans: &[Plan]) {
+/// Asserts for each plan and a few seeds that the partner survives and that messages are still delivered.
+fn assert_within_budget(plans: &[Plan]) {
     for plan in plans {
         for seed in 1..=3 {
-            let seen = live_through(Plan { seed, ..*plan });
+            let results = simulate(Plan { seed, ..*plan });
             let case = format!(
-                "{:?}, {} couriers, {} calls a second, told {}, batches of {}, load {}, seed {seed}",
-                plan.outage, plan.couriers, plan.capacity, plan.told, plan.batch, plan.load
+                "{:?}, {} couriers, {} calls a second, listed factor {}, batches of {}, load {}, seed {seed}",
+                plan.outage, plan.couriers, plan.capacity, plan.listed_factor, plan.batch, plan.load
             );
-            assert!(seen.worst <= 1.0, "{case}: {:.2} of what it survives", seen.worst);
-            assert!(seen.delivered * plan.load > 0.05, "{case}: only {:.2} delivered", seen.delivered);
+            assert!(
+                results.max_relative_load <= 1.0,
+                "{case}: {:.2} of the load that it survives",
+                results.max_relative_load
+            );
+            assert!(results.delivered * plan.load > 0.05, "{case}: only {:.2} delivered", results.delivered);
         }
     }
 }
 
-/// Issue of later mandeville (Ld0af66): all whom a shut door had told when it opens came back at that moment.
+/// Guards against couriers that all return at the retry-after time that a closed partner gave them.
 #[test]
-fn a_told_opening_gathers_nobody() {
-    let told = Plan { outage: OutageKind::ShutAndTells, ..CROWD };
-    let small = Plan { capacity: 20.0, ..told };
-    let tiny = Plan { capacity: 6.0, ..told };
-    let few = Plan { couriers: 20, ..small };
-    keeps_budget(&[told, small, tiny, few, Plan { load: 1.5, ..told }]);
+fn couriers_with_the_same_retry_after_time_do_not_return_together() {
+    let closed = Plan { outage: OutageKind::ClosedWithRetryAfter, ..BASE_PLAN };
+    let small = Plan { capacity: 20.0, ..closed };
+    let tiny = Plan { capacity: 6.0, ..closed };
+    let few_couriers = Plan { couriers: 20, ..small };
+    assert_within_budget(&[closed, small, tiny, few_couriers, Plan { load: 1.5, ..closed }]);
 }
 
-/// Hunted day h562547: what waits at each courier set the slowest pace after refusals, and added up.
+/// Guards against minimum rates after rejections that follow the backlog of each courier: they add up over all couriers.
 #[test]
-fn refusals_without_a_word_slow_all_down() {
-    let shut = Plan { outage: OutageKind::Shut, ..CROWD };
-    let small = Plan { capacity: 20.0, ..shut };
-    let tiny = Plan { capacity: 12.0, ..shut };
-    let hot = Plan { load: 4.0, ..small };
-    keeps_budget(&[shut, small, tiny, hot, Plan { load: 1.5, ..shut }, Plan { batch: 20, ..shut }]);
+fn rejections_without_a_retry_after_time_slow_all_couriers_down() {
+    let closed = Plan { outage: OutageKind::Closed, ..BASE_PLAN };
+    let small = Plan { capacity: 20.0, ..closed };
+    let tiny = Plan { capacity: 12.0, ..closed };
+    let overloaded = Plan { load: 4.0, ..small };
+    assert_within_budget(&[
+        closed,
+        small,
+        tiny,
+        overloaded,
+        Plan { load: 1.5, ..closed },
+        Plan { batch: 20, ..closed },
+    ]);
 }
 
-/// Hunted day h1c8921: trials by own demand add up to the demand, and a hot partner has many times its limit.
+/// Guards against trial calls in proportion to the own demand: the demand of all couriers for an overloaded partner is many
+/// times its limit.
 #[test]
-fn trials_and_slow_starts_share_one_budget() {
+fn trial_calls_and_slow_starts_share_one_budget() {
     for outage in [OutageKind::Down, OutageKind::Hung] {
-        let out = Plan { outage, ..CROWD };
-        let hot = Plan { load: 1.5, ..out };
-        let hotter = Plan { load: 4.0, capacity: 20.0, ..out };
-        let listed_too_high = Plan { told: 1.5, ..out };
-        let tiny = Plan { capacity: 6.0, ..out };
-        let few = Plan { couriers: 20, capacity: 20.0, ..out };
-        keeps_budget(&[out, hot, hotter, listed_too_high, tiny, few, Plan { batch: 20, ..out }]);
+        let base = Plan { outage, ..BASE_PLAN };
+        let overloaded = Plan { load: 1.5, ..base };
+        let far_overloaded = Plan { load: 4.0, capacity: 20.0, ..base };
+        let listed_too_high = Plan { listed_factor: 1.5, ..base };
+        let tiny = Plan { capacity: 6.0, ..base };
+        let few_couriers = Plan { couriers: 20, capacity: 20.0, ..base };
+        assert_within_budget(&[
+            base,
+            overloaded,
+            far_overloaded,
+            listed_too_high,
+            tiny,
+            few_couriers,
+            Plan { batch: 20, ..base },
+        ]);
     }
 }
--- a/crates/cloverstile/tests/properties.rs
+++ b/crates/cloverstile/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Arbitrary legal event sequences, with a fixed seed: the rules hold on whatever the courier does.
-//! Outcomes are arbitrary; this plays no server.
+//! Property tests with a fixed seed: the delivery rules hold for arbitrary legal event sequences. Outcomes are arbitrary and
+//! do not follow the behaviour of a real partner.
 
 mod common;
 
@@ -30,7 +30,7 @@
     proptest::collection::vec(step, 1..300)
 }
 
-fn world() -> (Settings, Vec<Endpoint>) {
+fn test_setup() -> (Settings, Vec<Endpoint>) {
     let in_order = Class { in_order: true, ..unsafe_class() };
     let base = settings(vec![keyed(), unsafe_class(), safe(), in_order]);
     let kinds = vec![Kind { max_batch: 1, own_limits: false }, Kind { max_batch: 3, own_limits: false }];
@@ -43,36 +43,39 @@
 }
 
 #[derive(Debug)]
-struct Held {
+struct TrackedMessage {
     class: usize,
     destination: u32,
     key: u64,
     deadline: Time,
-    out: Option<(u32, Time)>,
-    first_maybe: Option<Time>,
+    in_flight: Option<(u32, Time)>,
+    first_may_have_run: Option<Time>,
     sends: u32,
-    ended: bool,
+    is_final: bool,
 }
 
-/// What the rules say of the past, kept apart from the courier's own books.
-struct Judge {
+/// Checks the delivery rules against its own record of the past, independent of the courier's state.
+struct RuleChecker {
     settings: Settings,
-    held: BTreeMap<u32, Held>,
-    waits: BTreeMap<u32, Time>,
-    rests: BTreeMap<u64, Time>,
+    messages: BTreeMap<u32, TrackedMessage>,
+    retry_after: BTreeMap<u32, Time>,
+    blocked_keys: BTreeMap<u64, Time>,
     modes: BTreeMap<u32, Mode>,
 }
 
-impl Judge {
+impl RuleChecker {
     fn check(&mut self, now: Time, actions: &[Action]) {
         for action in actions {
             match action {
                 Action::Route { message, endpoint, .. } => self.route(now, message.0, endpoint.0),
                 Action::Return { message, .. } => {
-                    let held = self.end(now, message.0);
-                    let effect = self.settings.classes[self.held[&held].class].effect;
-                    let held = &self.held[&held];
-                    assert!(effect == Effect::Safe || (held.first_maybe.is_none() && held.out.is_none()));
+                    let messages = self.end(now, message.0);
+                    let effect = self.settings.classes[self.messages[&messages].class].effect;
+                    let messages = &self.messages[&messages];
+                    assert!(
+                        effect == Effect::Safe
+                            || (messages.first_may_have_run.is_none() && messages.in_flight.is_none())
+                    );
                 }
                 Action::ReportFailure { message } => {
                     self.end(now, message.0);
@@ -83,35 +86,51 @@
     }
 
     fn end(&mut self, now: Time, id: u32) -> u32 {
-        let held = self.held.get_mut(&id).expect("answers only what it holds");
-        assert!(!held.ended, "one final answer");
-        assert!(now <= held.deadline + self.settings.rules.answer_slack, "in time");
-        held.ended = true;
+        let messages = self.messages.get_mut(&id).expect("answers only known messages");
+        assert!(!messages.is_final, "one final answer");
+        assert!(now <= messages.deadline + self.settings.rules.answer_slack, "in time");
+        messages.is_final = true;
         id
     }
 
     fn route(&mut self, now: Time, id: u32, endpoint: u32) {
-        let held = &self.held[&id];
-        let class = &self.settings.classes[held.class];
-        assert!(!held.ended && held.out.is_none(), "never two attempts, nothing after the end");
-        assert_eq!(self.modes[&endpoint], Mode::Ready, "nothing to a drained endpoint");
-        assert!(self.waits.get(&held.destination).is_none_or(|until| *until <= now), "waits are kept");
-        assert!(held.sends < self.settings.max_attempts);
-        if let Some(first) = held.first_maybe {
+        let messages = &self.messages[&id];
+        let class = &self.settings.classes[messages.class];
+        assert!(
+            !messages.is_final && messages.in_flight.is_none(),
+            "at most one attempt in flight, none after the final answer"
+        );
+        assert_eq!(self.modes[&endpoint], Mode::Ready, "no calls to a draining endpoint");
+        assert!(
+            self.retry_after.get(&messages.destination).is_none_or(|until| *until <= now),
+            "retry-after times are kept"
+        );
+        assert!(messages.sends < self.settings.max_attempts);
+        if let Some(first) = messages.first_may_have_run {
             assert_ne!(class.effect, Effect::Unsafe, "no unsafe resend");
-            assert!(class.effect == Effect::Safe || now < first + class.repeat_window, "inside the window");
+            assert!(
+                class.effect == Effect::Safe || now < first + class.repeat_window,
+                "within the repeat window"
+            );
         }
-        if class.in_order && held.key != 0 {
-            let mut earlier = self.held.range(..id).map(|(_, h)| h);
-            let accepted = |h: &Held| self.settings.classes[h.class].in_order && h.key == held.key;
-            assert!(!earlier.any(|h| accepted(h) && (!h.ended || h.out.is_some())), "keys in turn");
-            assert!(held.sends > 0 || self.rests.get(&held.key).is_none_or(|until| *until <= now), "rest");
+        if class.in_order && messages.key != 0 {
+            let mut earlier = self.messages.range(..id).map(|(_, h)| h);
+            let accepted =
+                |h: &TrackedMessage| self.settings.classes[h.class].in_order && h.key == messages.key;
+            assert!(
+                !earlier.any(|h| accepted(h) && (!h.is_final || h.in_flight.is_some())),
+                "order keys are kept in order"
+            );
+            assert!(
+                messages.sends > 0 || self.blocked_keys.get(&messages.key).is_none_or(|until| *until <= now),
+                "order keys are blocked after unsettled attempts"
+            );
         }
-        let held = self.held.get_mut(&id).expect("known");
-        held.out = Some((endpoint, now));
-        held.sends += 1;
-        let out = self.held.values().filter(|h| h.out.is_some()).count();
-        assert!(out <= self.settings.call_slots * 3, "slots");
+        let messages = self.messages.get_mut(&id).expect("known");
+        messages.in_flight = Some((endpoint, now));
+        messages.sends += 1;
+        let in_flight = self.messages.values().filter(|h| h.in_flight.is_some()).count();
+        assert!(in_flight <= self.settings.call_slots * 3, "slots");
     }
 }
 
@@ -128,15 +147,15 @@
     }
 }
 
-/// Plays the steps, judges every action, and returns all of them.
+/// Runs the steps, checks every action, and returns all actions.
 fn play(steps: &[Step], seed: u64) -> Vec<Action> {
-    let (settings, endpoints) = world();
+    let (settings, endpoints) = test_setup();
     let mut bench = Bench::new(settings.clone(), endpoints.clone());
     bench.courier = Courier::new(settings.clone(), seed);
-    bench.tell(Event::Listed(Listing::Whole(endpoints.clone())));
+    bench.handle(Event::Listed(Listing::Whole(endpoints.clone())));
     let modes = endpoints.iter().map(|e| (e.id.0, e.mode)).collect();
-    let (held, waits, rests) = Default::default();
-    let mut judge = Judge { settings, held, waits, rests, modes };
+    let (messages, retry_after, blocked_keys) = Default::default();
+    let mut checker = RuleChecker { settings, messages, retry_after, blocked_keys, modes };
     let mut all = Vec::new();
     let mut id = 0;
     for step in steps.iter().cloned().chain((0..120).map(|_| Step::Pass(250))) {
@@ -145,80 +164,89 @@
                 let end = bench.now + ms(span);
                 while bench.now < end {
                     bench.now = bench.now + ms(5);
-                    // An attempt cut to its deadline times out there.
-                    let due: Vec<u32> = judge
-                        .held
+                    // An attempt times out at the deadline of its message at the latest.
+                    let due: Vec<u32> = checker
+                        .messages
                         .iter()
-                        .filter(|(_, h)| h.out.is_some() && h.deadline <= bench.now)
+                        .filter(|(_, h)| h.in_flight.is_some() && h.deadline <= bench.now)
                         .map(|(id, _)| *id)
                         .collect();
-                    due.iter().for_each(|id| finish(&mut bench, &mut judge, *id, Outcome::Timeout));
+                    due.iter().for_each(|id| finish(&mut bench, &mut checker, *id, Outcome::Timeout));
                     let actions = bench.decide();
-                    judge.check(bench.now, &actions);
+                    checker.check(bench.now, &actions);
                     all.extend(actions);
                 }
                 continue;
             }
             Step::Accept { class, destination, key } => {
-                if judge.held.values().filter(|h| !h.ended).count() >= judge.settings.max_held {
+                if checker.messages.values().filter(|h| !h.is_final).count() >= checker.settings.max_held {
                     continue;
                 }
                 id += 1;
                 bench.accept(id, class, destination, (key > 0).then_some(key));
-                let deadline = bench.now + judge.settings.classes[usize::from(class)].deadline;
+                let deadline = bench.now + checker.settings.classes[usize::from(class)].deadline;
                 let class = usize::from(class);
-                let (out, first_maybe) = (None, None);
-                let held =
-                    Held { class, destination, key, deadline, out, first_maybe, sends: 0, ended: false };
-                judge.held.insert(id, held);
+                let (in_flight, first_may_have_run) = (None, None);
+                let messages = TrackedMessage {
+                    class,
+                    destination,
+                    key,
+                    deadline,
+                    in_flight,
+                    first_may_have_run,
+                    sends: 0,
+                    is_final: false,
+                };
+                checker.messages.insert(id, messages);
             }
             Step::Finish { which, how } => {
-                let out: Vec<u32> =
-                    judge.held.iter().filter(|(_, h)| h.out.is_some()).map(|(i, _)| *i).collect();
-                if !out.is_empty() {
-                    finish(&mut bench, &mut judge, out[which % out.len()], outcome(how));
+                let in_flight: Vec<u32> =
+                    checker.messages.iter().filter(|(_, h)| h.in_flight.is_some()).map(|(i, _)| *i).collect();
+                if !in_flight.is_empty() {
+                    finish(&mut bench, &mut checker, in_flight[which % in_flight.len()], outcome(how));
                 }
             }
             Step::Gone(which) => {
-                let open: Vec<u32> = judge.held.iter().filter(|(_, h)| !h.ended).map(|(i, _)| *i).collect();
+                let open: Vec<u32> =
+                    checker.messages.iter().filter(|(_, h)| !h.is_final).map(|(i, _)| *i).collect();
                 if !open.is_empty() {
                     let gone = open[which % open.len()];
-                    bench.tell(Event::ClientGone(MessageId(gone)));
-                    judge.held.get_mut(&gone).expect("open").ended = true;
+                    bench.handle(Event::ClientGone(MessageId(gone)));
+                    checker.messages.get_mut(&gone).expect("open").is_final = true;
                 }
             }
             Step::Mode { endpoint, mode } => {
                 let mode = [Mode::Ready, Mode::Draining, Mode::Gone][mode];
                 let entry = Endpoint { mode, ..endpoints[endpoint as usize].clone() };
-                bench.tell(Event::Listed(Listing::Changes(vec![entry])));
-                judge.modes.insert(endpoint, mode);
+                bench.handle(Event::Listed(Listing::Changes(vec![entry])));
+                checker.modes.insert(endpoint, mode);
             }
         }
         let actions = bench.decide();
-        judge.check(bench.now, &actions);
+        checker.check(bench.now, &actions);
         all.extend(actions);
     }
-    assert!(judge.held.values().all(|h| h.ended), "every message has its final answer");
+    assert!(checker.messages.values().all(|h| h.is_final), "every message has its final answer");
     all
 }
 
-fn finish(bench: &mut Bench, judge: &mut Judge, id: u32, outcome: Outcome) {
-    let held = judge.held.get_mut(&id).expect("known");
-    let (endpoint, sent) = held.out.take().expect("out");
+fn finish(bench: &mut Bench, checker: &mut RuleChecker, id: u32, outcome: Outcome) {
+    let messages = checker.messages.get_mut(&id).expect("known");
+    let (endpoint, sent) = messages.in_flight.take().expect("out");
     let never = matches!(outcome, Outcome::Rejected(_) | Outcome::ConnectFailed | Outcome::NotSent);
-    if !never && held.first_maybe.is_none() {
-        held.first_maybe = Some(sent);
+    if !never && messages.first_may_have_run.is_none() {
+        messages.first_may_have_run = Some(sent);
     }
     if outcome == Outcome::Ok {
-        held.ended = true;
+        messages.is_final = true;
     }
     if let Outcome::Rejected(Some(wait)) = outcome {
-        let until = judge.waits.entry(held.destination).or_insert(Time::ZERO);
+        let until = checker.retry_after.entry(messages.destination).or_insert(Time::ZERO);
         *until = (*until).max(bench.now + wait);
     }
-    let in_order = judge.settings.classes[held.class].in_order;
+    let in_order = checker.settings.classes[messages.class].in_order;
     if in_order && matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
-        judge.rests.insert(held.key, bench.now + judge.settings.rules.order_settle);
+        checker.blocked_keys.insert(messages.key, bench.now + checker.settings.rules.order_settle);
     }
     bench.finish(id, endpoint, outcome, bench.now - sent);
 }
@@ -246,9 +274,9 @@
     runner().run(&steps(), check).unwrap();
 }
 
-/// Two couriers that take turns act as each does alone.
+/// Couriers share no state: two that run alternately act as each would alone.
 #[test]
-fn interleaved_couriers_act_as_alone() {
+fn interleaved_couriers_act_independently() {
     let run = |bench: &mut Bench, step: u32| {
         bench.now = bench.now + ms(40);
         bench.accept(step, 2, 1 + step % 3, None);
@@ -261,7 +289,7 @@
         actions
     };
     let fresh = || {
-        let (settings, endpoints) = world();
+        let (settings, endpoints) = test_setup();
         Bench::new(settings, endpoints)
     };
     let (mut alone, mut one, mut two) = (fresh(), fresh(), fresh());
--- a/crates/cloverstile/tests/restart.rs
+++ b/crates/cloverstile/tests/restart.rs
@@ -1,4 +1,4 @@
-//! What sockets ask of the decisions beyond the bench's wire: a restart, answers that take time, and the end.
+//! Restarts, acknowledged answers and shutdowns, which the simulator's wire protocol does not cover.
 
 mod common;
 
@@ -8,8 +8,8 @@
 
 fn bench(classes: Vec<Class>, acknowledged_answers: bool) -> Bench {
     let settings = Settings { acknowledged_answers, ..settings(classes) };
-    let settling = Rules { order_settle: ms(100), ..settings.rules.clone() };
-    Bench::new(Settings { rules: settling, ..settings }, vec![endpoint(11, 3)])
+    let rules = Rules { order_settle: ms(100), ..settings.rules.clone() };
+    Bench::new(Settings { rules: rules, ..settings }, vec![endpoint(11, 3)])
 }
 
 fn restored(bench: &Bench, id: u32, key: Option<u64>, attempts: u32, may_have_run: Option<Time>) -> Restored {
@@ -31,7 +31,7 @@
 fn an_unsafe_message_that_may_have_run_fails_at_once() {
     let mut bench = bench(vec![unsafe_class()], true);
     let message = restored(&bench, 1, None, 1, Some(bench.now - ms(700)));
-    bench.tell(Event::Restored(message));
+    bench.handle(Event::Restored(message));
     let actions = bench.decide();
     assert!(matches!(actions[0], Action::ReportFailure { message: MessageId(1) }), "{actions:?}");
     assert!(!actions.iter().any(|action| matches!(action, Action::Route { .. })));
@@ -41,19 +41,19 @@
 fn an_unsafe_message_that_never_ran_is_sent() {
     let mut bench = bench(vec![unsafe_class()], true);
     let message = restored(&bench, 1, None, 2, None);
-    bench.tell(Event::Restored(message));
+    bench.handle(Event::Restored(message));
     assert_eq!(bench.routes().len(), 1);
 }
 
-/// The window runs from the first attempt, which the old process made, and not from the restart.
+/// The window starts with the first attempt, made by the previous process, and not with the restart.
 #[test]
-fn a_window_goes_on_from_the_first_attempt() {
+fn a_repeat_window_starts_with_the_first_attempt_before_the_restart() {
     let mut bench = bench(vec![keyed()], true);
     let (inside, outside) = (bench.now - Duration::from_secs(5), bench.now - Duration::from_secs(10));
     let (first, second) =
         (restored(&bench, 1, None, 1, Some(inside)), restored(&bench, 2, None, 1, Some(outside)));
-    bench.tell(Event::Restored(first));
-    bench.tell(Event::Restored(second));
+    bench.handle(Event::Restored(first));
+    bench.handle(Event::Restored(second));
     let actions = bench.decide();
     let sent = |id| actions.iter().any(|a| matches!(a, Action::Route { message, .. } if message.0 == id));
     assert!(sent(1) && !sent(2), "{actions:?}");
@@ -64,18 +64,18 @@
 fn attempts_made_before_a_restart_count() {
     let mut bench = bench(vec![keyed()], true);
     let message = restored(&bench, 1, None, bench.settings.max_attempts, None);
-    bench.tell(Event::Restored(message));
+    bench.handle(Event::Restored(message));
     let actions = bench.decide();
     assert!(matches!(actions[0], Action::Return { message: MessageId(1), .. }), "{actions:?}");
 }
 
-/// Any key may have had a call out when the old process died: all rest, new messages' keys too.
+/// Any key may have had a call in flight when the previous process died: all are blocked, also those of new messages.
 #[test]
-fn keys_rest_after_a_restart_and_go_on_in_order() {
+fn keys_are_blocked_after_a_restart_and_continue_in_order() {
     let mut bench = bench(vec![ordered()], true);
     for id in [1, 2] {
         let message = restored(&bench, id, Some(5), 0, None);
-        bench.tell(Event::Restored(message));
+        bench.handle(Event::Restored(message));
     }
     bench.accept(3, 0, 3, Some(6));
     assert_eq!(bench.routes(), []);
@@ -84,22 +84,22 @@
     assert!(sent.contains(&1) && sent.contains(&3) && !sent.contains(&2), "{sent:?}");
 }
 
-/// A final answer that is under way keeps the key of its message, over a restart too.
+/// A message with an unacknowledged answer keeps its key, also over a restart.
 #[test]
-fn a_key_is_free_once_the_answer_is_heard() {
+fn a_key_is_released_when_the_answer_is_acknowledged() {
     let mut bench = bench(vec![ordered()], true);
     let answered = Restored { answered: true, ..restored(&bench, 1, Some(5), 1, Some(bench.now - ms(900))) };
-    bench.tell(Event::Restored(answered));
+    bench.handle(Event::Restored(answered));
     bench.accept(2, 0, 3, Some(5));
     bench.now = bench.now + Duration::from_secs(1);
     assert_eq!(bench.routes(), []);
-    bench.tell(Event::AnswerAcknowledged(MessageId(1)));
+    bench.handle(Event::AnswerAcknowledged(MessageId(1)));
     assert_eq!(bench.routes().len(), 1);
 }
 
-/// An outage that was seen before a restart is held against the courier after it.
+/// An outage seen before a restart still limits the calls after it.
 #[test]
-fn an_outage_is_remembered() {
+fn an_outage_is_remembered_over_a_restart() {
     let mut bench = bench(vec![safe()], true);
     (1..=3).for_each(|id| bench.accept(id, 0, 3, None));
     for (message, endpoint, _) in bench.routes() {
@@ -110,18 +110,18 @@
     let settings = bench.settings.clone();
     bench.restart(settings, 2, vec![endpoint(11, 3)]);
     assert_eq!(bench.courier.outages().count(), 0);
-    outages.iter().for_each(|outage| bench.tell(Event::OutageRestored(*outage)));
+    outages.iter().for_each(|outage| bench.handle(Event::OutageRestored(*outage)));
     (11..=20).for_each(|id| bench.accept(id, 0, 3, None));
-    // Without the memory all ten would go at once.
+    // Without the outage record all ten would be sent at once.
     assert!(bench.routes().len() <= 1);
     assert_eq!(bench.courier.outages().next().map(|outage| outage.since), Some(outages[0].since));
 }
 
-/// No call is begun that would not be over when the courier ends.
+/// No call is started that is expected to outlast the courier.
 #[test]
-fn nothing_is_begun_shortly_before_the_end() {
+fn no_call_is_started_shortly_before_the_shutdown() {
     let mut bench = bench(vec![keyed()], true);
-    bench.tell(Event::ShutdownAt(bench.now + Duration::from_secs(3)));
+    bench.handle(Event::ShutdownAt(bench.now + Duration::from_secs(3)));
     bench.accept(1, 0, 3, None);
     assert_eq!(bench.routes().len(), 1);
     bench.now = bench.now + ms(2900);
@@ -129,23 +129,23 @@
     assert_eq!(bench.routes(), []);
 }
 
-/// Attempts that are used up end a message at once, and as a refusal where none of them ran.
+/// A message without attempts left ends at once; it is returned if none of its attempts ran.
 #[test]
-fn a_spent_message_is_answered_at_once() {
+fn a_message_with_exhausted_attempts_is_returned_at_once() {
     let mut bench = bench(vec![unsafe_class()], true);
     bench.accept(1, 0, 3, None);
     let (message, endpoint, _) = bench.routes()[0];
     bench.finish(message, endpoint, Outcome::AttemptsExhausted, ms(1));
     let actions = bench.decide();
-    let told = actions.iter().find_map(|action| match action {
+    let retry_after = actions.iter().find_map(|action| match action {
         Action::Return { message: MessageId(1), retry_after } => Some(*retry_after),
         _ => None,
     });
-    assert!(told.is_some_and(|after| after > Duration::ZERO), "{actions:?}");
+    assert!(retry_after.is_some_and(|after| after > Duration::ZERO), "{actions:?}");
 }
 
-/// Messages sent in each of five spans behind a start with some evidence of an outage, by a courier of twenty; its first
-/// call comes by chance.
+/// Messages sent by one of twenty couriers in each of five spans after a start with some evidence of an outage. The delay of
+/// the first call is random.
 fn sends_after_a_start(evidence: u32, seed: u64, span: Duration) -> [usize; 5] {
     let settings = Settings { couriers: 20, ..settings(vec![safe()]) };
     let mut bench = Bench::new(settings.clone(), vec![endpoint(7, 1)]);
@@ -161,7 +161,7 @@
         served_rate: 0.0,
     };
     if evidence > 0 {
-        bench.tell(Event::OutageRestored(outage));
+        bench.handle(Event::OutageRestored(outage));
     }
     (0..60).for_each(|id| bench.accept(id, 0, 1, None));
     [(); 5].map(|()| {
@@ -172,9 +172,9 @@
     })
 }
 
-/// One lost call may be all that a courier saw of an outage; a start again does not make it forget that.
+/// One lost call may be all that a courier saw of an outage; a restart must not make it forget that.
 #[test]
-fn a_lost_call_before_the_restart_leaves_the_part_of_the_fall_budget() {
+fn after_a_lost_call_and_a_restart_only_the_collapse_budget_is_used() {
     let usual = sends_after_a_start(0, 1, ms(1000))[0];
     assert!(usual >= 6, "{usual}");
     for seed in 1..=20 {
@@ -184,10 +184,10 @@
     }
 }
 
-/// Couriers that are started again together do not come back together: each had a call saved up.
+/// Guards against couriers that restart together and each start with a saved call.
 #[test]
-fn a_common_restart_gathers_nobody_at_a_partner_in_an_outage() {
-    // One refusal leaves the usual pace, of ten calls a second, and a lost call the part of the fall budget.
+fn couriers_restarted_together_during_an_outage_do_not_call_together() {
+    // After one rejection the usual rate of ten calls a second is used, after a lost call the collapse budget.
     for (evidence, span) in [(1, ms(200)), (3, ms(1000))] {
         let early = (1..=200).filter(|seed| sends_after_a_start(evidence, *seed, span)[0] > 0).count();
         assert!((20..=130).contains(&early), "{evidence}: {early} of 200 in {span:?}");
--- a/crates/cloverstile/tests/rules.rs
+++ b/crates/cloverstile/tests/rules.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_message_without_any_endpoint_is_handed_back_by_its_deadline() {
+fn a_message_without_any_endpoint_is_returned_by_its_deadline() {
     let mut bench = Bench::new(settings(vec![keyed()]), vec![]);
     bench.accept(1, 0, 1, None);
     let deadline = bench.now + bench.settings.classes[0].deadline;
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn an_unsafe_message_that_never_ran_goes_again() {
+fn an_unsafe_message_that_never_ran_is_resent() {
     for outcome in NEVER_RAN {
         let mut bench = after_one_attempt(unsafe_class(), outcome);
         let next = bench.until_action(Duration::from_secs(15));
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_keyed_message_is_resent_inside_its_window_only() {
+fn a_keyed_message_is_resent_only_within_its_repeat_window() {
     let mut bench = one(keyed());
     bench.accept(1, 0, 1, None);
     let sent = bench.now;
@@ -78,7 +78,7 @@
 
 /// Between a decision and its first byte a connection may take its time to come up: the window binds there too.
 #[test]
-fn a_repeat_says_until_when_it_may_be_sent() {
+fn a_repeat_has_a_latest_send_time() {
     let mut bench = one(keyed());
     bench.accept(1, 0, 1, None);
     let (sent, window) = (bench.now, bench.settings.classes[0].repeat_window);
@@ -112,14 +112,14 @@
     bench.finish(1, first, Outcome::Reset, ms(50));
     let zone = if first == 7 { ZoneId(0) } else { ZoneId(1) };
     let drained = Endpoint { mode: Mode::Draining, zone, ..endpoint(first, 1) };
-    bench.tell(Event::Listed(Listing::Changes(vec![drained])));
+    bench.handle(Event::Listed(Listing::Changes(vec![drained])));
     let end = bench.until_action(Duration::from_secs(30));
     assert_eq!(end, [Action::ReportFailure { message: MessageId(1) }]);
 }
 
 /// Zones beyond those that can be numbered share one number: a repeat that needs the same one stays where it is.
 #[test]
-fn a_keyed_message_is_not_resent_where_its_zone_cannot_be_told() {
+fn a_keyed_message_is_not_resent_if_its_zone_is_unknown() {
     let class = Class { dedup_scope: DedupScope::Zone, ..keyed() };
     let beyond = Endpoint { zone: ZoneId::UNNUMBERED, ..endpoint(7, 1) };
     let mut bench = Bench::new(settings(vec![class]), vec![beyond]);
@@ -131,9 +131,9 @@
 }
 
 #[test]
-fn an_endpoint_that_is_given_to_another_destination_serves_that_one_alone() {
+fn an_endpoint_moved_to_another_destination_serves_only_that_one() {
     let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(7, 1)]);
-    bench.tell(Event::Listed(Listing::Changes(vec![endpoint(7, 2)])));
+    bench.handle(Event::Listed(Listing::Changes(vec![endpoint(7, 2)])));
     bench.accept(1, 0, 1, None);
     bench.accept(2, 0, 2, None);
     let sent: Vec<(u32, u32)> = bench.routes().iter().map(|sent| (sent.0, sent.1)).collect();
@@ -141,13 +141,13 @@
 }
 
 #[test]
-fn gaps_before_repeats_are_drawn_by_chance_and_grow() {
+fn backoff_is_random_and_grows() {
     let mean_gap = |failures: u32| {
         let gaps: Vec<u64> = (0..40)
             .map(|seed| {
                 let mut bench = one(safe());
                 bench.courier = Courier::new(bench.settings.clone(), seed);
-                bench.tell(Event::Listed(Listing::Whole(vec![endpoint(7, 1)])));
+                bench.handle(Event::Listed(Listing::Whole(vec![endpoint(7, 1)])));
                 bench.accept(1, 0, 1, None);
                 bench.routes();
                 for attempt in 0..failures {
@@ -168,10 +168,10 @@
 }
 
 #[test]
-fn a_message_from_a_dead_courier_counts_its_window_from_its_hand_in() {
+fn the_repeat_window_of_a_message_from_a_dead_courier_starts_when_it_was_enqueued() {
     let mut bench = one(keyed());
     let class = bench.settings.classes[0].clone();
-    bench.tell(Event::Accept(Accepted {
+    bench.handle(Event::Accept(Accepted {
         id: MessageId(1),
         class: ClassId(0),
         destination: DestinationId(1),
@@ -185,22 +185,22 @@
 }
 
 #[test]
-fn a_drained_or_gone_endpoint_gets_nothing_new() {
+fn a_draining_or_removed_endpoint_gets_no_new_calls() {
     for mode in [Mode::Draining, Mode::Gone] {
         let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(7, 1), endpoint(8, 1)]);
-        bench.tell(Event::Listed(Listing::Changes(vec![Endpoint { mode, ..endpoint(7, 1) }])));
+        bench.handle(Event::Listed(Listing::Changes(vec![Endpoint { mode, ..endpoint(7, 1) }])));
         (0..4).for_each(|id| bench.accept(id, 0, 1, None));
         let routes = bench.routes();
         assert!(!routes.is_empty() && routes.iter().all(|r| r.1 == 8));
     }
     let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(7, 1)]);
-    bench.tell(Event::Listed(Listing::Whole(vec![endpoint(8, 1)])));
+    bench.handle(Event::Listed(Listing::Whole(vec![endpoint(8, 1)])));
     bench.accept(1, 0, 1, None);
     assert_eq!(bench.routes()[0].1, 8);
 }
 
 #[test]
-fn a_told_wait_binds_every_message_of_the_destination() {
+fn a_retry_after_time_applies_to_every_message_of_the_destination() {
     let mut bench = Bench::new(settings(vec![safe()]), vec![endpoint(7, 1), endpoint(8, 1)]);
     bench.accept(1, 0, 1, None);
     let first = bench.routes()[0].1;
@@ -214,7 +214,7 @@
 
 /// Incident ie8d4eb: a wait told by the first outcomes of a batched call was dropped.
 #[test]
-fn a_wait_told_by_any_message_of_a_call_is_kept() {
+fn a_retry_after_time_reported_by_any_message_of_a_call_is_kept() {
     let base = settings(vec![safe()]);
     let mut bench = Bench::new(
         Settings { kinds: vec![Kind { max_batch: 5, own_limits: false }], ..base },
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn keys_go_strictly_in_turn_and_rest_after_an_unsettled_attempt() {
+fn keys_are_delivered_in_order_and_blocked_after_an_unsettled_attempt() {
     let class = Class { in_order: true, ..unsafe_class() };
     let base = settings(vec![class]);
     let rules = Rules { order_settle: ms(300), ..base.rules.clone() };
@@ -242,7 +242,7 @@
     assert_eq!(sent.len(), 1);
     assert_eq!(sent[0].0, 1);
     // The client goes, the attempt runs on: the key stays taken until its outcome is known, and rests after it.
-    bench.tell(Event::ClientGone(MessageId(1)));
+    bench.handle(Event::ClientGone(MessageId(1)));
     assert!(bench.until_action(ms(100)).is_empty());
     bench.finish(1, sent[0].1, Outcome::Reset, ms(100));
     let settled = bench.now;
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn a_dead_destination_gets_single_trials_and_a_slow_start() {
+fn a_dead_destination_gets_single_trial_calls_and_a_slow_start() {
     let mut bench = one(safe());
     (0..390).for_each(|id| bench.accept(id, 0, 1, None));
     for (id, to, _) in bench.routes() {
@@ -293,7 +293,7 @@
 /// Rehearsal cold-return, seed 1: a cold partner's refusals opened a spell for a moment, and with its end the slow
 /// start was forgotten: 85 calls went at once.
 #[test]
-fn a_short_spell_in_a_slow_start_does_not_end_it() {
+fn a_short_outage_during_a_slow_start_does_not_end_it() {
     let mut bench = one(safe());
     (0..390).for_each(|id| bench.accept(id, 0, 1, None));
     for (id, to, _) in bench.routes() {
@@ -323,7 +323,7 @@
 
 /// Hang of a destination: the silence stops further calls long before a time-out would.
 #[test]
-fn a_silent_destination_is_sent_no_more_than_trials() {
+fn a_destination_that_does_not_answer_gets_only_trial_calls() {
     let mut bench = one(unsafe_class());
     for id in 0..20 {
         bench.accept(id, 0, 1, None);
@@ -361,7 +361,7 @@
 }
 
 #[test]
-fn nearly_full_the_least_worth_are_handed_back() {
+fn nearly_full_the_messages_of_least_worth_are_returned() {
     let rich = Class { worth: 5.0, ..safe() };
     let base = settings(vec![safe(), rich]);
     let mut bench = Bench::new(Settings { max_held: 20, ..base }, vec![]);
@@ -386,7 +386,7 @@
 }
 
 #[test]
-fn one_call_carries_many_where_the_kind_allows_it() {
+fn a_call_carries_several_messages_where_the_kind_allows_it() {
     let base = settings(vec![safe()]);
     let kinds = vec![Kind { max_batch: 5, own_limits: false }];
     let mut bench = Bench::new(Settings { call_slots: 1, kinds, ..base }, vec![endpoint(7, 1)]);
@@ -396,7 +396,7 @@
 
 /// Incident i10b789: in a slow spell the time-outs stayed short and repeats met the first call still running.
 #[test]
-fn time_outs_stretch_with_time_outs() {
+fn timeouts_grow_after_timeouts() {
     let mut bench = one(safe());
     bench.accept(1, 0, 1, None);
     let first = bench.routes()[0].2;
@@ -423,8 +423,8 @@
     let mut bench = one(safe());
     bench.finish(99, 7, Outcome::Ok, ms(5));
     bench.finish(99, 98, Outcome::Rejected(Some(ms(5))), ms(5));
-    bench.tell(Event::ClientGone(MessageId(99)));
-    bench.tell(Event::TimerExpired(12345));
+    bench.handle(Event::ClientGone(MessageId(99)));
+    bench.handle(Event::TimerExpired(12345));
     bench.accept(1, 0, 1, None);
     assert_eq!(bench.routes().len(), 1);
 }
@@ -440,7 +440,7 @@
 }
 
 #[test]
-fn what_is_beyond_a_tenants_share_is_shed_first() {
+fn messages_above_a_tenants_quota_are_shed_first() {
     let base = settings(vec![safe()]);
     let tenants = vec![Tenant { quota: 5.0 }, Tenant { quota: 1000.0 }];
     let mut bench = Bench::new(Settings { max_held: 40, tenants, over_quota_worth: 0.1, ..base }, vec![]);
@@ -451,7 +451,7 @@
         let id = MessageId(id);
         let from_dead_courier = false;
         let accepted = Accepted { id, class, destination, key: None, deadline, from_dead_courier, tenant };
-        bench.tell(Event::Accept(accepted));
+        bench.handle(Event::Accept(accepted));
     }
     let shed = bench.until_action(ms(5));
     assert!(!shed.is_empty());
@@ -462,7 +462,7 @@
 }
 
 #[test]
-fn where_routes_are_apart_a_wait_holds_for_its_route_only() {
+fn with_separate_routes_a_retry_after_time_applies_to_its_route_only() {
     let base = settings(vec![safe()]);
     let kinds = vec![Kind { max_batch: 1, own_limits: true }];
     let mut bench = Bench::new(Settings { kinds, ..base }, vec![endpoint(7, 1), endpoint(8, 1)]);
@@ -482,7 +482,7 @@
         .map(|seed| {
             let mut bench = Bench::new(settings(vec![safe()]), vec![]);
             bench.courier = Courier::new(bench.settings.clone(), seed);
-            bench.tell(Event::Listed(Listing::Whole(vec![endpoint(7, 1), endpoint(8, 1), endpoint(9, 1)])));
+            bench.handle(Event::Listed(Listing::Whole(vec![endpoint(7, 1), endpoint(8, 1), endpoint(9, 1)])));
             bench.accept(1, 0, 1, None);
             bench.routes()[0].1
         })
@@ -492,7 +492,7 @@
 
 /// A message that can never be sent again must not keep its order key from the messages behind it.
 #[test]
-fn a_hopeless_message_is_answered_at_once_and_frees_its_key() {
+fn a_message_that_cannot_be_resent_is_answered_at_once_and_releases_its_key() {
     let class = Class { in_order: true, ..unsafe_class() };
     let mut bench = one(class);
     bench.accept(1, 0, 1, Some(5));
@@ -507,7 +507,7 @@
 }
 
 #[test]
-fn a_message_whose_attempts_are_used_up_is_handed_back_at_once() {
+fn a_message_without_attempts_left_is_returned_at_once() {
     let mut bench = one(unsafe_class());
     bench.restart(Settings { max_attempts: 1, ..bench.settings.clone() }, 1, vec![endpoint(7, 1)]);
     bench.accept(1, 0, 1, None);
@@ -530,7 +530,7 @@
         let closes = actions.iter().filter(|a| matches!(a, Action::CloseIdle { .. })).count();
         bench.now = bench.now + ms(20);
         bench.finish(id, to, if closes > 0 { Outcome::Ok } else { outcome }, ms(20));
-        bench.tell(Event::ClientGone(MessageId(id)));
+        bench.handle(Event::ClientGone(MessageId(id)));
         closes
     };
     (1..=count).for_each(|to| assert_eq!(call(&mut bench, to, Outcome::Ok), 0));
@@ -547,7 +547,7 @@
 
 /// One lost answer is not an outage: with a share of the answers lost, messages must not wait for trials.
 #[test]
-fn a_single_reset_opens_no_spell_but_a_missing_connection_does() {
+fn a_single_reset_is_no_outage_but_a_failed_connection_is() {
     let next_send = |outcome: Outcome| {
         let mut bench = one(safe());
         bench.restart(Settings { couriers: 2, ..bench.settings.clone() }, 1, vec![endpoint(7, 1)]);
@@ -564,7 +564,7 @@
 
 /// Hunt h560941: a hung partner with its queue full refuses although its limit has room.
 #[test]
-fn refusals_with_room_left_inside_the_limit_count_as_an_outage() {
+fn rejections_with_an_unused_limit_count_as_an_outage() {
     let sends_after = |left: f64| {
         let mut bench = one(safe());
         (0..200).for_each(|id| bench.accept(id, 0, 1, None));
@@ -573,7 +573,7 @@
         while bench.now - began < Duration::from_secs(4) {
             for (id, to, _) in bench.routes() {
                 sends += 1;
-                bench.refuse(id, to, left, 100.0);
+                bench.reject(id, to, left, 100.0);
             }
             bench.now = bench.now + ms(50);
         }
@@ -584,7 +584,7 @@
 
 /// Calls that hang take the slots of others: with none left, the oldest one is called off.
 #[test]
-fn with_all_slots_taken_a_stalled_call_is_called_off() {
+fn with_all_slots_taken_a_stalled_call_is_cancelled() {
     let base = settings(vec![safe()]);
     let mut bench = Bench::new(Settings { call_slots: 2, ..base }, vec![endpoint(1, 1), endpoint(2, 2)]);
     (0..2).for_each(|id| bench.accept(id, 0, 1 + id, None));
@@ -596,7 +596,7 @@
 
 /// A slot is worth most where a message of more worth waits, not where the list starts.
 #[test]
-fn ties_between_destinations_go_by_worth() {
+fn ties_between_destinations_are_broken_by_worth() {
     let rich = Class { worth: 5.0, ..safe() };
     let base = settings(vec![safe(), rich]);
     let mut bench = Bench::new(Settings { call_slots: 1, ..base }, vec![endpoint(1, 1), endpoint(2, 2)]);
@@ -607,7 +607,7 @@
 
 /// Incident i88d54c: light couriers that had all failed to connect came back every few seconds together.
 #[test]
-fn light_couriers_try_a_dead_destination_seldom() {
+fn low_traffic_couriers_call_a_dead_destination_rarely() {
     let mut trials = 0;
     for seed in 0..100 {
         let mut bench = one(safe());
@@ -631,7 +631,7 @@
 /// At full size a courier's even part of a limit is a call in minutes: it must not hold back its messages, but where
 /// they come faster than one an aim.
 #[test]
-fn a_light_courier_sends_at_once_while_nothing_was_refused() {
+fn a_courier_with_low_traffic_sends_at_once_while_nothing_was_rejected() {
     let mut bench = one(safe());
     bench.restart(Settings { couriers: 400, ..bench.settings.clone() }, 1, vec![endpoint(7, 1)]);
     for id in 0..10 {
@@ -645,7 +645,7 @@
 
 /// Incident i4182c2: refused calls use up the limit, and first and second attempts alone kept it used up.
 #[test]
-fn where_calls_carry_many_one_refusal_slows_down_to_a_call_an_aim() {
+fn with_batches_one_rejection_limits_the_rate_to_one_call_per_aim() {
     let sends_after_a_refusal = |batch: usize, seconds: u64| {
         let base = settings(vec![safe()]);
         let kinds = vec![Kind { max_batch: batch, own_limits: false }];
@@ -670,7 +670,7 @@
 /// Later kingston, fresh-big: a clump met a hung partner's refusals at many light couriers at once, and their first
 /// repeats met its return at once.
 #[test]
-fn light_couriers_refused_together_come_back_apart() {
+fn low_traffic_couriers_rejected_together_do_not_return_together() {
     let back_after = |seed: u64| {
         let mut bench = one(safe());
         bench.restart(Settings { couriers: 200, ..bench.settings.clone() }, seed, vec![endpoint(7, 1)]);
@@ -690,7 +690,7 @@
 /// An endpoint that answers is up, also where what it says cannot be read: a few such answers open no spell, as
 /// lost calls do.
 #[test]
-fn spoilt_answers_are_no_outage() {
+fn malformed_answers_are_no_outage() {
     let outages_after = |outcome| {
         let mut bench = one(unsafe_class());
         for id in 1..=4 {
@@ -708,7 +708,7 @@
 
 /// A list may name a limit that answers correct. Told again and again, neither may wear the pace down.
 #[test]
-fn a_list_that_repeats_itself_leaves_pace_and_told_limit() {
+fn a_repeated_listing_keeps_rate_and_advertised_limit() {
     let mut bench = one(safe());
     bench.restart(Settings { couriers: 2, ..bench.settings.clone() }, 1, vec![endpoint(7, 1)]);
     let told = LimitReport { remaining_share: 0.4, limit: 60.0 };
@@ -717,12 +717,12 @@
         assert_eq!(bench.routes().len(), 1);
         bench.now = bench.now + ms(50);
         bench.accept(1000 + id, 0, 1, None);
-        bench.finish_telling(id, 7, Outcome::Ok, ms(50), Some(told));
+        bench.finish_with_report(id, 7, Outcome::Ok, ms(50), Some(told));
         let standing = bench.courier.destination_statuses(bench.now).next().expect("a message waits");
         for (more, to, _) in bench.routes() {
-            bench.finish_telling(more, to, Outcome::Ok, ms(50), Some(told));
+            bench.finish_with_report(more, to, Outcome::Ok, ms(50), Some(told));
         }
-        bench.tell(Event::Listed(Listing::Changes(vec![endpoint(7, 1)])));
+        bench.handle(Event::Listed(Listing::Changes(vec![endpoint(7, 1)])));
         bench.now = bench.now + ms(500);
         (standing.rate, standing.limit)
     };
--- a/crates/cloverstile/tests/settings.rs
+++ b/crates/cloverstile/tests/settings.rs
@@ -1,4 +1,5 @@
-//! The settings mean the same as lines, on the bench's wire, and as nested JSON, in the courier's configuration.
+//! Settings as lines, as in the simulator's wire protocol, and as nested JSON, as in the courier's configuration, have the
+//! same meaning.
 
 use cloverstile::{parse_settings, parse_settings_json, Decay, SettingError, ZoneId};
 use serde_json::json;
@@ -25,7 +26,7 @@
 ";
 
 #[test]
-fn lines_and_json_read_alike() {
+fn lines_and_json_parse_to_the_same_settings() {
     let nested = json!({
         "Balancers": 3,
         "Locality": 1,
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn a_bad_value_is_named() {
+fn an_invalid_value_is_reported_with_its_path() {
     let error = parse_settings_json(&json!({"Permissions": {"MostHeld": "many"}})).unwrap_err();
     assert_eq!(error, SettingError::Value { path: "Permissions.MostHeld".into(), value: "many".into() });
 }
--- a/crates/cloverstile/tests/shared_limit.rs
+++ b/crates/cloverstile/tests/shared_limit.rs
@@ -208,12 +208,12 @@
 }
 
 #[test]
-fn after_a_common_start() {
+fn after_a_simultaneous_start() {
     settle("a common start", 1.2, |fleet| fleet.restart(10, 400 / fleet.members.len()));
 }
 
 #[test]
-fn after_most_were_started_again() {
+fn after_most_were_restarted() {
     settle("a herd restart", 1.2, |fleet| {
         fleet.run(5, 0.7);
         fleet.restart(7, 300 / fleet.members.len());
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn below_the_limit_nothing_is_refused_and_nothing_waits() {
+fn below_the_limit_nothing_is_rejected_and_nothing_waits() {
     for couriers in SIZES {
         let mut fleet = Fleet::new(couriers, 3);
         fleet.run(5, 0.6);
@@ -249,7 +249,7 @@
 
 /// Every courier meets its first messages of a partner at one moment: what is refused then uses the limit up.
 #[test]
-fn a_first_clump_is_not_sent_by_all_at_once() {
+fn a_first_burst_is_not_sent_by_all_couriers_at_once() {
     for couriers in [100, 200] {
         let mut fleet = Fleet::new(couriers, 5);
         fleet.restart(10, 1000 / couriers as usize);
--- a/crates/cloverstile/tests/trials.rs
+++ b/crates/cloverstile/tests/trials.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn what_fails_at_once_is_tried_again_at_the_pace_of_the_fall_budget() {
+fn calls_that_fail_fast_are_limited_by_the_collapse_budget() {
     let silent = trials(safe(), Outcome::ConnectFailed, Duration::from_secs(1));
     for outcome in [Outcome::Error, Outcome::ConnectFailed] {
         let at_once = trials(safe(), outcome, ms(20));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn what_may_not_be_repeated_is_risked_seldom_in_a_spell() {
+fn unsafe_messages_are_rarely_risked_in_an_outage() {
     let unsafe_ones = trials(unsafe_class(), Outcome::Error, ms(20));
     assert!(unsafe_ones < 60, "{unsafe_ones} unsafe messages were lost to a failing destination");
 }
@@ -76,17 +76,17 @@
 }
 
 #[test]
-fn one_silent_trial_does_not_keep_the_next_one_back() {
+fn one_unanswered_trial_call_does_not_delay_the_next() {
     assert!(beside_a_silent_trial(&[0, 0]).contains(&20));
 }
 
 #[test]
-fn nothing_is_risked_beside_a_silent_trial() {
+fn no_unsafe_message_is_risked_during_an_unanswered_trial_call() {
     assert_eq!(beside_a_silent_trial(&[1, 1]), Vec::<u32>::new());
 }
 
 #[test]
-fn silent_trials_do_not_gather() {
+fn unanswered_trial_calls_do_not_accumulate() {
     let sent = beside_a_silent_trial(&[0; 12]);
     // A quarter of eight slots, with the one that is out.
     assert_eq!(sent.len(), 1, "{sent:?}");
@@ -100,7 +100,7 @@
     let (mut out, mut sent) = (Vec::new(), 0);
     let end = bench.now + Duration::from_secs(10);
     while bench.now < end {
-        bench.tell(Event::TrialOwnerChanged(DestinationId(1), who(bench.now)));
+        bench.handle(Event::TrialOwnerChanged(DestinationId(1), who(bench.now)));
         std::mem::take(&mut out).into_iter().for_each(|id| bench.finish(id, 7, outcome, ms(20)));
         out = bench.routes().into_iter().map(|(id, ..)| id).collect();
         sent += out.len();
@@ -112,7 +112,7 @@
 /// Who tries for 300 couriers tries about as often as a few of them would, and those for whom it tries not at all; whatever was
 /// agreed on once, nobody is idle once it is over.
 #[test]
-fn one_tries_for_all_and_nobody_waits_for_it_for_ever() {
+fn the_trial_owner_calls_for_all_couriers_and_its_term_expires() {
     for outcome in [Outcome::Error, Outcome::ConnectFailed] {
         let held = trials_of(|now| TrialOwner::ThisCourier(now + ms(500)), outcome);
         let own = trials_of(|_| TrialOwner::EachCourier, outcome);
--- a/crates/cloverstile/tests/windows.rs
+++ b/crates/cloverstile/tests/windows.rs
@@ -94,7 +94,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
     #[test]
-    fn what_fits_is_repeated_and_what_does_not_ends_at_once(
+    fn a_repeat_is_sent_if_it_fits_the_window_and_otherwise_the_message_ends_at_once(
         window in prop_oneof![200_u64..1000, 1000_u64..10_000, 10_000_u64..60_000],
         deadline in prop_oneof![500_u64..2000, 2000_u64..30_000, 30_000_u64..180_000],
         aim_part in 0.05..0.5,
@@ -123,7 +123,7 @@
 
 /// A call that hangs used to get all the time that its message had, as its time-out would have come behind the window.
 #[test]
-fn a_window_shorter_than_the_usual_time_out_leaves_room_for_a_repeat() {
+fn a_repeat_window_shorter_than_the_timeout_leaves_time_for_a_repeat() {
     for window in [400, 1000, 2000] {
         let mut bench = familiar(class(3000, 24_000, window));
         let seen = reset_after(&mut bench, Duration::from_secs(60));
@@ -137,12 +137,12 @@
 /// It may have run at any time since it was handed in: where that is longer ago than the window, no call may go, and its end
 /// does not wait for its deadline.
 #[test]
-fn a_message_of_a_dead_courier_behind_its_window_ends_at_once() {
+fn a_message_of_a_dead_courier_after_its_repeat_window_fails_at_once() {
     let class = class(3000, 24_000, 1000);
     let mut bench = familiar(class.clone());
     let mut accepted = accepted(bench.now, ONE, (ClassId(0), &class), 1, None);
     (accepted.from_dead_courier, accepted.deadline) = (true, bench.now + Duration::from_secs(20));
-    bench.tell(Event::Accept(accepted));
+    bench.handle(Event::Accept(accepted));
     let actions = bench.decide();
     assert!(actions.contains(&Action::ReportFailure { message: MessageId(ONE) }), "{actions:?}");
 }
