--- a/crates/cloverstile/examples/turn_cost.rs
+++ b/crates/cloverstile/examples/turn_cost.rs
@@ -1,5 +1,5 @@
-//! Prints what one turn of decisions costs: by messages held for a few silent destinations, and by destinations in an
-//! outage that wait.
+//! Prints the time of one turn (events and `decide`) for growing numbers of open messages for destinations that do not
+//! answer, and for growing numbers of destinations in an outage.
 //!
 //! `cargo run --release -p cloverstile --example turn_cost`
 
@@ -7,10 +7,10 @@
 use std::time::{Duration, Instant};
 
 const STEP: Duration = Duration::from_millis(1);
-/// Each figure is a mean over so many turns, or over as many as fit into `LONGEST`.
+/// Each figure is the mean of this many turns, or of as many as fit into `MAX_TIME`.
 const TURNS: u32 = 2000;
 const KEYS: u32 = 16;
-const LONGEST: Duration = Duration::from_secs(3);
+const MAX_TIME: Duration = Duration::from_secs(3);
 
 struct Bench {
     courier: Courier,
@@ -18,9 +18,9 @@
     now: Time,
     destinations: u32,
     accepted: u32,
-    /// Outcome of each call in the turn after it; none where calls are not answered.
+    /// Outcome of each call in the next turn; `None` if calls are not answered.
     outcome: Option<Outcome>,
-    begun: Vec<(MessageId, EndpointId)>,
+    in_flight: Vec<(MessageId, EndpointId)>,
 }
 
 impl Bench {
@@ -45,7 +45,8 @@
             weight: 50.0,
         };
         courier.handle(now, Event::Listed(Listing::Whole((0..destinations).map(endpoint).collect())));
-        let mut bench = Bench { courier, class, now, destinations, accepted: 0, outcome, begun: Vec::new() };
+        let mut bench =
+            Bench { courier, class, now, destinations, accepted: 0, outcome, in_flight: Vec::new() };
         for _ in 0..messages {
             bench.now = bench.now + Duration::from_nanos(1000);
             bench.accept();
@@ -67,7 +68,7 @@
         self.courier.handle(self.now, Event::Accept(accepted));
     }
 
-    fn out_of_service(&mut self) {
+    fn begin_outages(&mut self) {
         for destination in 0..self.destinations {
             let outage = OutageRecord {
                 destination: DestinationId(destination),
@@ -82,12 +83,12 @@
         }
     }
 
-    /// One message comes, one is withdrawn, and calls that went out in the turn before end.
+    /// One message is accepted, one is withdrawn, and the calls of the previous turn end.
     fn turn(&mut self) {
         self.now = self.now + STEP;
         self.accept();
         self.courier.handle(self.now, Event::ClientGone(MessageId(self.accepted / 2)));
-        for (message, endpoint) in self.begun.drain(..) {
+        for (message, endpoint) in self.in_flight.drain(..) {
             if let Some(outcome) = self.outcome {
                 let (attempt, latency, complete, limit_report) = (0, STEP, false, None);
                 let finished =
@@ -99,20 +100,20 @@
         self.courier.decide(self.now, &mut actions);
         for action in actions {
             if let Action::Route { message, endpoint, .. } = action {
-                self.begun.push((message, endpoint));
+                self.in_flight.push((message, endpoint));
             }
         }
     }
 
-    fn nanoseconds_a_turn(&mut self) -> u128 {
-        // Calls go out, and are seen to be silent.
+    fn nanoseconds_per_turn(&mut self) -> u128 {
+        // Sends calls and waits until they are stalled.
         for _ in 0..20 {
             self.now = self.now + Duration::from_millis(200);
             self.turn();
         }
         let begin = Instant::now();
         let mut turns = 0;
-        while turns < TURNS && begin.elapsed() < LONGEST {
+        while turns < TURNS && begin.elapsed() < MAX_TIME {
             self.turn();
             turns += 1;
         }
@@ -122,17 +123,17 @@
 
 fn main() {
     for (in_order, order) in [(true, "in order under 16 keys"), (false, "in any order")] {
-        println!("messages held for 8 silent destinations, {order}: ns a turn");
+        println!("open messages for 8 destinations that do not answer, {order}: ns per turn");
         for messages in [1_000, 10_000, 100_000, 1_000_000] {
             let mut bench = Bench::new(8, messages, in_order, None);
-            println!("{messages:>10} {:>12}", bench.nanoseconds_a_turn());
+            println!("{messages:>10} {:>12}", bench.nanoseconds_per_turn());
         }
     }
-    println!("destinations in an outage that wait, with 4 messages each: ns a turn");
+    println!("destinations in an outage with 4 waiting messages each: ns per turn");
     for destinations in [10, 100, 1_000, 10_000] {
         let messages = 4 * destinations;
         let mut bench = Bench::new(destinations, messages, false, Some(Outcome::ConnectFailed));
-        bench.out_of_service();
-        println!("{destinations:>10} {:>12}", bench.nanoseconds_a_turn());
+        bench.begin_outages();
+        println!("{destinations:>10} {:>12}", bench.nanoseconds_per_turn());
     }
 }
--- a/crates/cloverstile/src/choice/tests.rs
+++ b/crates/cloverstile/src/choice/tests.rs
@@ -1,4 +1,4 @@
-//! The index of waiting messages against a plain walk over them, and the work that a turn takes.
+//! Compares the message index with a scan of all messages, and checks that the work per `decide` is bounded.
 
 use super::*;
 use proptest::prelude::*;
@@ -9,7 +9,8 @@
     static EXAMINED: Cell<u64> = const { Cell::new(0) };
 }
 
-/// A message's class was looked at, as whoever asks what it is worth or when it may be sent has to; or a destination.
+/// Counts each access to the class of a message, which every check of its worth or send time needs, and each evaluation of
+/// a destination.
 pub(super) fn note_examined() {
     EXAMINED.with(|count| count.set(count.get() + 1));
 }
@@ -24,8 +25,8 @@
     Duration::from_millis(count)
 }
 
-/// What `pick` decides, by a walk over all messages of the destination in the order in which they came.
-fn walk(courier: &Courier, now: Time, route: RouteId, next: &mut Option<Time>) -> Option<(MessageId, f64)> {
+/// The result of `best_message`, by a scan of all messages of the destination in the order of acceptance.
+fn scan(courier: &Courier, now: Time, route: RouteId, next: &mut Option<Time>) -> Option<(MessageId, f64)> {
     let outage = courier.routes.get(&route).and_then(|r| r.outage.as_ref());
     let mut queue: Vec<&Message> = courier.messages.values().collect();
     queue.retain(|message| message.accepted.destination == route.0 && !message.closed);
@@ -56,21 +57,21 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Time passes.
+    /// Time passes (milliseconds).
     Pass(u64),
-    /// Until shortly before or after a moment at which a message's worth may change its course.
+    /// Time passes until shortly before or after a time at which the trend of a message's worth may change.
     PassTo {
         message: usize,
         kink: usize,
-        off: i64,
+        offset_ns: i64,
     },
     Accept {
         class: u8,
         destination: u32,
         key: u64,
-        early: usize,
+        deadline_offset: usize,
         tenant: u32,
-        again: bool,
+        from_dead_courier: bool,
     },
     Restore {
         class: u8,
@@ -80,11 +81,11 @@
         ran: Option<u64>,
     },
     Finish {
-        which: usize,
-        how: usize,
+        index: usize,
+        outcome_index: usize,
     },
-    Gone(usize),
-    Heard(usize),
+    ClientGone(usize),
+    AnswerAcknowledged(usize),
     Resume,
 }
 
@@ -94,16 +95,16 @@
     let step = prop_oneof![
         4 => (0u64..300).prop_map(Step::Pass),
         6 => (0usize..64, 0usize..10, -3i64..4)
-            .prop_map(|(message, kink, off)| Step::PassTo { message, kink, off }),
-        9 => accept.prop_map(|(class, destination, key, early, tenant, again)| {
-            Step::Accept { class, destination, key, early, tenant, again }
+            .prop_map(|(message, kink, offset_ns)| Step::PassTo { message, kink, offset_ns }),
+        9 => accept.prop_map(|(class, destination, key, deadline_offset, tenant, from_dead_courier)| {
+            Step::Accept { class, destination, key, deadline_offset, tenant, from_dead_courier }
         }),
         1 => restore.prop_map(|(class, destination, key, attempts, ran)| {
             Step::Restore { class, destination, key, attempts, ran }
         }),
-        4 => (0usize..64, 0usize..9).prop_map(|(which, how)| Step::Finish { which, how }),
-        1 => (0usize..64).prop_map(Step::Gone),
-        1 => (0usize..64).prop_map(Step::Heard),
+        4 => (0usize..64, 0usize..9).prop_map(|(index, outcome_index)| Step::Finish { index, outcome_index }),
+        1 => (0usize..64).prop_map(Step::ClientGone),
+        1 => (0usize..64).prop_map(Step::AnswerAcknowledged),
         1 => Just(Step::Resume),
     ];
     proptest::collection::vec(step, 1..150)
@@ -153,8 +154,8 @@
     )
 }
 
-fn outcome(how: usize) -> Outcome {
-    match how {
+fn outcome(outcome_index: usize) -> Outcome {
+    match outcome_index {
         0 => Outcome::Rejected(None),
         1 => Outcome::Rejected(Some(ms(700))),
         2 => Outcome::Error,
@@ -178,44 +179,51 @@
     Event::Listed(Listing::Whole((1..=destinations).map(endpoint).collect()))
 }
 
-/// Parts of a nanosecond scale by which deadlines are shorter (or longer) than their class allows.
-const EARLY: [i64; 8] = [0, 0, 0, 1, -1, 50_000_000, 900_000_000, -400_000_000];
+/// Nanoseconds by which deadlines are shorter (or longer) than the class says.
+const DEADLINE_OFFSETS: [i64; 8] = [0, 0, 0, 1, -1, 50_000_000, 900_000_000, -400_000_000];
 
-struct Play {
+struct Simulation {
     courier: Courier,
     now: Time,
     accepted: u32,
 }
 
-impl Play {
+impl Simulation {
     fn new(settings: Settings) -> Self {
         let now = Time::ZERO + Duration::from_secs(100);
         let mut courier = Courier::new(settings, 3);
         courier.handle(now, listing(4, 4.0));
-        Play { courier, now, accepted: 0 }
+        Simulation { courier, now, accepted: 0 }
     }
 
-    fn accepted(&mut self, class: u8, destination: u32, key: u64, early: i64, tenant: u32) -> Accepted {
+    fn accepted(
+        &mut self,
+        class: u8,
+        destination: u32,
+        key: u64,
+        deadline_offset: i64,
+        tenant: u32,
+    ) -> Accepted {
         self.accepted += 1;
         let full = self.now + self.courier.settings.classes[usize::from(class)].deadline;
         Accepted {
-            // Neither rising nor falling.
+            // Ids in no particular order.
             id: MessageId(self.accepted.wrapping_mul(0x9E37_79B1)),
             class: ClassId(class),
             destination: DestinationId(destination),
             key: (key > 0).then_some(OrderKey(key)),
-            deadline: Time(full.0.saturating_add_signed(-early).max(self.now.0)),
+            deadline: Time(full.0.saturating_add_signed(-deadline_offset).max(self.now.0)),
             from_dead_courier: false,
             tenant: TenantId(tenant),
         }
     }
 
-    fn message(&self, which: usize) -> Option<&Message> {
+    fn message(&self, index: usize) -> Option<&Message> {
         let count = self.courier.messages.len();
-        self.courier.messages.values().nth(which % count.max(1))
+        self.courier.messages.values().nth(index % count.max(1))
     }
 
-    /// A moment at which something about a message may change.
+    /// A time at which the trend of a message's worth or its send time may change.
     fn kink(&self, message: usize, kink: usize) -> Option<Time> {
         let message = self.message(message)?;
         let class = self.courier.class(message);
@@ -238,13 +246,14 @@
     fn step(&mut self, step: Step) {
         match step {
             Step::Pass(span) => self.now = self.now + ms(span),
-            Step::PassTo { message, kink, off } => {
-                let at = self.kink(message, kink).map(|at| Time(at.0.saturating_add_signed(off)));
+            Step::PassTo { message, kink, offset_ns } => {
+                let at = self.kink(message, kink).map(|at| Time(at.0.saturating_add_signed(offset_ns)));
                 self.now = at.map_or(self.now, |at| at.max(self.now));
             }
-            Step::Accept { class, destination, key, early, tenant, again } => {
-                let accepted = self.accepted(class, destination, key, EARLY[early], tenant);
-                let accepted = Accepted { from_dead_courier: again, ..accepted };
+            Step::Accept { class, destination, key, deadline_offset, tenant, from_dead_courier } => {
+                let accepted =
+                    self.accepted(class, destination, key, DEADLINE_OFFSETS[deadline_offset], tenant);
+                let accepted = Accepted { from_dead_courier, ..accepted };
                 self.courier.handle(self.now, Event::Accept(accepted));
             }
             Step::Restore { class, destination, key, attempts, ran } => {
@@ -253,17 +262,17 @@
                 let restored = Restored { accepted, attempts, may_have_run, answered: attempts == 3 };
                 self.courier.handle(self.now, Event::Restored(restored));
             }
-            Step::Finish { which, how } => self.finish(which, outcome(how)),
-            Step::Gone(which) => {
-                if let Some(id) = self.message(which).map(|message| message.accepted.id) {
+            Step::Finish { index, outcome_index } => self.finish(index, outcome(outcome_index)),
+            Step::ClientGone(index) => {
+                if let Some(id) = self.message(index).map(|message| message.accepted.id) {
                     self.courier.handle(self.now, Event::ClientGone(id));
                 }
             }
-            Step::Heard(which) => {
+            Step::AnswerAcknowledged(index) => {
                 let unacknowledged = self.courier.messages.values().filter(|message| message.unacknowledged);
                 let ids: Vec<MessageId> = unacknowledged.map(|message| message.accepted.id).collect();
                 if !ids.is_empty() {
-                    self.courier.handle(self.now, Event::AnswerAcknowledged(ids[which % ids.len()]));
+                    self.courier.handle(self.now, Event::AnswerAcknowledged(ids[index % ids.len()]));
                 }
             }
             Step::Resume => {
@@ -273,11 +282,11 @@
         }
     }
 
-    fn finish(&mut self, which: usize, outcome: Outcome) {
+    fn finish(&mut self, index: usize, outcome: Outcome) {
         let out = self.courier.messages.values().filter(|message| message.in_flight_call.is_some());
         let out: Vec<(MessageId, u32, u64)> =
             out.map(|m| (m.accepted.id, m.attempts, m.in_flight_call.unwrap_or_default())).collect();
-        let Some((message, attempts, call)) = out.get(which % out.len().max(1)).copied() else { return };
+        let Some((message, attempts, call)) = out.get(index % out.len().max(1)).copied() else { return };
         let call = &self.courier.calls[&call];
         let finished = Finished {
             message,
@@ -291,7 +300,7 @@
         self.courier.handle(self.now, Event::Finished(finished));
     }
 
-    /// Compares index and walk, with each route as it is and as it might be.
+    /// Compares index and scan, with the current outage state of each route and with others.
     fn compare(&mut self) {
         self.courier.reindex_outdated(self.now);
         let later = self.now + ms(1);
@@ -321,7 +330,7 @@
     fn compare_route(&self, route: RouteId) {
         let (mut next, mut expected_next) = (None, None);
         let picked = self.courier.best_message(self.now, route, &mut next);
-        let expected = walk(&self.courier, self.now, route, &mut expected_next);
+        let expected = scan(&self.courier, self.now, route, &mut expected_next);
         let bits = |found: Option<(MessageId, f64)>| found.map(|(id, worth)| (id, worth.to_bits()));
         assert_eq!(bits(picked), bits(expected), "at {:?}", self.now);
         assert_eq!(next, expected_next, "at {:?}", self.now);
@@ -335,12 +344,12 @@
     let config = Config { cases: 1500, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[17; 32]));
     let check = |(settings, steps): (Settings, Vec<Step>)| {
-        let mut play = Play::new(settings);
+        let mut simulation = Simulation::new(settings);
         for step in steps {
-            play.step(step);
-            play.compare();
-            play.courier.decide(play.now, &mut Vec::new());
-            play.compare();
+            simulation.step(step);
+            simulation.compare();
+            simulation.courier.decide(simulation.now, &mut Vec::new());
+            simulation.compare();
         }
         Ok(())
     };
@@ -350,9 +359,9 @@
 const DESTINATIONS: u32 = 8;
 const KEYS: u32 = 16;
 
-/// A courier that holds so many messages for destinations that are all silent, handed in within a second; in order under a
-/// few keys, or each for itself.
-fn silent(messages: u32, in_order: bool) -> (Courier, Time) {
+/// A courier with `messages` messages, enqueued within a second, for destinations that do not answer; either ordered under a
+/// few keys or independent.
+fn unanswered_backlog(messages: u32, in_order: bool) -> (Courier, Time) {
     let settings = Settings {
         classes: vec![Class { in_order, ..Class::default() }],
         call_slots: 64,
@@ -383,10 +392,10 @@
     (courier, now)
 }
 
-/// Messages examined in a turn, in the mean over a time in which none of them comes near its aim or its end.
-fn examined_a_turn(messages: u32, in_order: bool) -> u64 {
+/// Mean number of messages examined per `decide`, over a time in which none of them reaches its aim or deadline.
+fn examined_per_decide(messages: u32, in_order: bool) -> u64 {
     const TURNS: u64 = 50;
-    let (mut courier, begin) = silent(messages, in_order);
+    let (mut courier, begin) = unanswered_backlog(messages, in_order);
     let begin = begin + ms(200);
     courier.decide(begin, &mut Vec::new());
     let examined = examined_by(|| {
@@ -400,20 +409,20 @@
 #[test]
 fn the_work_per_decide_does_not_grow_with_the_messages_held() {
     for in_order in [true, false] {
-        let few = examined_a_turn(1_000, in_order);
+        let few = examined_per_decide(1_000, in_order);
         for messages in [10_000, 100_000] {
-            let many = examined_a_turn(messages, in_order);
-            assert!(many <= 2 * few + 20, "{many} examined a turn with {messages} held, {few} with 1000");
+            let many = examined_per_decide(messages, in_order);
+            assert!(many <= 2 * few + 20, "{many} examined per decide with {messages} held, {few} with 1000");
         }
     }
 }
 
-/// A message is filed anew a few times in its life, however many there are.
+/// A message is indexed anew a few times, however many messages there are.
 #[test]
 fn the_total_work_per_message_does_not_grow_with_the_messages_held() {
     let of_each = |messages: u32, in_order: bool| {
         let examined = examined_by(|| {
-            let (mut courier, begin) = silent(messages, in_order);
+            let (mut courier, begin) = unanswered_backlog(messages, in_order);
             for turn in 0..440 {
                 courier.decide(begin + ms(50 * turn), &mut Vec::new());
             }
@@ -424,21 +433,21 @@
     for in_order in [true, false] {
         let few = of_each(1_000, in_order);
         let many = of_each(20_000, in_order);
-        assert!(many <= 2 * few, "{many} looks at each message of 20000, {few} of 1000");
+        assert!(many <= 2 * few, "{many} examinations per message of 20000, {few} of 1000");
     }
 }
 
-/// Actions of a play in which each turn looks at every destination, or only at those that are due.
-fn actions(settings: &Settings, steps: &[Step], looks_at_all: bool) -> Vec<Action> {
-    let mut play = Play::new(settings.clone());
+/// Actions of a simulation in which each `decide` evaluates all destinations, or only those that are due.
+fn actions(settings: &Settings, steps: &[Step], evaluate_all: bool) -> Vec<Action> {
+    let mut simulation = Simulation::new(settings.clone());
     let mut actions = Vec::new();
     let after = (0..200).map(|_| Step::Pass(45));
     for step in steps.iter().cloned().chain(after) {
-        play.step(step);
-        if looks_at_all {
-            play.courier.mark_all_due();
+        simulation.step(step);
+        if evaluate_all {
+            simulation.courier.mark_all_due();
         }
-        play.courier.decide(play.now, &mut actions);
+        simulation.courier.decide(simulation.now, &mut actions);
     }
     actions
 }
@@ -456,13 +465,13 @@
 
 const SLOTS: usize = 64;
 
-/// A courier to which many destinations are out and wait for their trials.
-fn with_waiting(destinations: u32) -> Play {
+/// A courier with many destinations in an outage that wait for their trial calls.
+fn with_waiting_destinations(destinations: u32) -> Simulation {
     let settings =
         Settings { call_slots: SLOTS, max_held: 100_000, acknowledged_answers: true, ..Settings::default() };
     let now = Time::ZERO + Duration::from_secs(100);
-    let mut play = Play { courier: Courier::new(settings, 3), now, accepted: 0 };
-    play.courier.handle(now, listing(destinations, 50.0));
+    let mut simulation = Simulation { courier: Courier::new(settings, 3), now, accepted: 0 };
+    simulation.courier.handle(now, listing(destinations, 50.0));
     for destination in 1..=destinations {
         let outage = OutageRecord {
             destination: DestinationId(destination),
@@ -473,51 +482,54 @@
             slow_start_since: None,
             served_rate: 1.0,
         };
-        play.courier.handle(now, Event::OutageRestored(outage));
-        let accepted = play.accepted(0, destination, 0, 0, 0);
-        play.courier.handle(now, Event::Accept(accepted));
+        simulation.courier.handle(now, Event::OutageRestored(outage));
+        let accepted = simulation.accepted(0, destination, 0, 0, 0);
+        simulation.courier.handle(now, Event::Accept(accepted));
     }
-    play.courier.decide(now, &mut Vec::new());
-    // All messages are filed anew once they have an age.
-    play.now = now + ms(1);
-    play.courier.decide(play.now, &mut Vec::new());
-    play
+    simulation.courier.decide(now, &mut Vec::new());
+    // All messages are indexed anew once their age is above zero.
+    simulation.now = now + ms(1);
+    simulation.courier.decide(simulation.now, &mut Vec::new());
+    simulation
 }
 
-/// A turn with a message for one destination.
-fn turn_for_one(play: &mut Play) {
-    play.now = play.now + Duration::from_micros(10);
-    let accepted = play.accepted(0, 1, 0, 0, 0);
-    play.courier.handle(play.now, Event::Accept(accepted));
-    play.courier.decide(play.now, &mut Vec::new());
+/// Calls `decide` after a message for one destination.
+fn decide_for_one(simulation: &mut Simulation) {
+    simulation.now = simulation.now + Duration::from_micros(10);
+    let accepted = simulation.accepted(0, 1, 0, 0, 0);
+    simulation.courier.handle(simulation.now, Event::Accept(accepted));
+    simulation.courier.decide(simulation.now, &mut Vec::new());
 }
 
-/// Looks and messages examined in a turn with a message for one destination, while many are out and wait for their trials.
-fn examined_with_waiting(destinations: u32) -> u64 {
+/// Evaluations and messages examined per `decide` with a message for one destination, while many wait for trial calls.
+fn examined_with_waiting_destinations(destinations: u32) -> u64 {
     const TURNS: u32 = 50;
-    let mut play = with_waiting(destinations);
-    let examined = examined_by(|| (0..TURNS).for_each(|_| turn_for_one(&mut play)));
+    let mut simulation = with_waiting_destinations(destinations);
+    let examined = examined_by(|| (0..TURNS).for_each(|_| decide_for_one(&mut simulation)));
     examined / u64::from(TURNS)
 }
 
 #[test]
 fn take_changed_outages_returns_only_destinations_whose_outages_may_have_changed() {
-    let mut play = with_waiting(1_000);
-    play.courier.take_changed_outages();
-    turn_for_one(&mut play);
-    let changed = play.courier.take_changed_outages();
+    let mut simulation = with_waiting_destinations(1_000);
+    simulation.courier.take_changed_outages();
+    decide_for_one(&mut simulation);
+    let changed = simulation.courier.take_changed_outages();
     assert!(changed.contains(&DestinationId(1)));
-    // Those with calls out are looked at in every turn.
+    // Destinations with calls in flight are evaluated each time.
     assert!(changed.len() <= SLOTS + 1, "{} of 1,000", changed.len());
-    assert_eq!(play.courier.outages().count(), 1_000);
-    assert!(play.courier.take_changed_outages().is_empty());
+    assert_eq!(simulation.courier.outages().count(), 1_000);
+    assert!(simulation.courier.take_changed_outages().is_empty());
 }
 
 #[test]
 fn the_work_per_decide_does_not_grow_with_the_destinations_that_wait() {
-    let few = examined_with_waiting(10);
+    let few = examined_with_waiting_destinations(10);
     for destinations in [100, 1_000, 10_000] {
-        let many = examined_with_waiting(destinations);
-        assert!(many <= 2 * few + 20, "{many} looks a turn with {destinations} waiting, {few} with 10");
+        let many = examined_with_waiting_destinations(destinations);
+        assert!(
+            many <= 2 * few + 20,
+            "{many} examined per decide with {destinations} waiting, {few} with 10"
+        );
     }
 }
--- a/crates/cloverstile/tests/rules.rs
+++ b/crates/cloverstile/tests/rules.rs
@@ -1,4 +1,4 @@
-//! One test for each rule and each failure found; no bench needed.
+//! One test per rule, and per fault found so far, for a single courier.
 
 mod common;
 
@@ -6,17 +6,17 @@
 use common::*;
 use std::time::Duration;
 
-const MAYBE_RAN: [Outcome; 5] =
+const MAY_HAVE_RUN: [Outcome; 5] =
     [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Malformed, Outcome::Cancelled];
 const NEVER_RAN: [Outcome; 3] = [Outcome::Rejected(None), Outcome::ConnectFailed, Outcome::NotSent];
 
-fn one(class: Class) -> Bench {
+fn with_one_endpoint(class: Class) -> Bench {
     Bench::new(settings(vec![class]), vec![endpoint(7, 1)])
 }
 
-/// Message 1 was sent to endpoint 7, and its attempt ended so.
+/// Message 1 was sent to endpoint 7, and its attempt ended with `outcome`.
 fn after_one_attempt(class: Class, outcome: Outcome) -> Bench {
-    let mut bench = one(class);
+    let mut bench = with_one_endpoint(class);
     bench.accept(1, 0, 1, None);
     assert_eq!(bench.routes().len(), 1);
     bench.now = bench.now + ms(50);
@@ -37,7 +37,7 @@
 
 #[test]
 fn an_unsafe_message_that_may_have_run_is_never_resent_and_ends_as_failed() {
-    for outcome in MAYBE_RAN {
+    for outcome in MAY_HAVE_RUN {
         let mut bench = after_one_attempt(unsafe_class(), outcome);
         let end = bench.until_action(Duration::from_secs(30));
         assert_eq!(end, [Action::ReportFailure { message: MessageId(1) }], "{outcome:?}");
@@ -55,7 +55,7 @@
 
 #[test]
 fn a_keyed_message_is_resent_only_within_its_repeat_window() {
-    let mut bench = one(keyed());
+    let mut bench = with_one_endpoint(keyed());
     bench.accept(1, 0, 1, None);
     let sent = bench.now;
     assert_eq!(bench.routes().len(), 1);
@@ -76,10 +76,10 @@
     assert!(repeats < bench.settings.max_attempts);
 }
 
-/// Between a decision and its first byte a connection may take its time to come up: the window binds there too.
+/// A connection may be established long after the decision to send: the repeat window must also limit the time of sending.
 #[test]
 fn a_repeat_has_a_latest_send_time() {
-    let mut bench = one(keyed());
+    let mut bench = with_one_endpoint(keyed());
     bench.accept(1, 0, 1, None);
     let (sent, window) = (bench.now, bench.settings.classes[0].repeat_window);
     let send_by = |action: &Action| match action {
@@ -92,7 +92,7 @@
         bench.now = bench.now + ms(700);
         bench.finish(1, 7, outcome, ms(700));
         let by = send_by(&bench.until_action(Duration::from_secs(9))[0]);
-        // What never ran binds nothing; from the first attempt that may have run on, its window does.
+        // The repeat window starts with the first attempt that may have run; attempts that did not run set no limit.
         let first = sent + ms(700);
         repeats += usize::from(by.is_some_and(|by| by > first && by < bench.now + window));
         assert_eq!(by.is_some(), outcome != Outcome::ConnectFailed || repeats > 0, "{outcome:?}");
@@ -117,7 +117,7 @@
     assert_eq!(end, [Action::ReportFailure { message: MessageId(1) }]);
 }
 
-/// Zones beyond those that can be numbered share one number: a repeat that needs the same one stays where it is.
+/// Endpoints with `ZoneId::UNNUMBERED` may be in different zones: a repeat that must go to the same zone is not sent.
 #[test]
 fn a_keyed_message_is_not_resent_if_its_zone_is_unknown() {
     let class = Class { dedup_scope: DedupScope::Zone, ..keyed() };
@@ -145,7 +145,7 @@
     let mean_gap = |failures: u32| {
         let gaps: Vec<u64> = (0..40)
             .map(|seed| {
-                let mut bench = one(safe());
+                let mut bench = with_one_endpoint(safe());
                 bench.courier = Courier::new(bench.settings.clone(), seed);
                 bench.handle(Event::Listed(Listing::Whole(vec![endpoint(7, 1)])));
                 bench.accept(1, 0, 1, None);
@@ -169,7 +169,7 @@
 
 #[test]
 fn the_repeat_window_of_a_message_from_a_dead_courier_starts_when_it_was_enqueued() {
-    let mut bench = one(keyed());
+    let mut bench = with_one_endpoint(keyed());
     let class = bench.settings.classes[0].clone();
     bench.handle(Event::Accept(Accepted {
         id: MessageId(1),
@@ -205,14 +205,14 @@
     bench.accept(1, 0, 1, None);
     let first = bench.routes()[0].1;
     bench.finish(1, first, Outcome::Rejected(Some(ms(800))), ms(20));
-    let told = bench.now;
+    let reported_at = bench.now;
     bench.accept(2, 0, 1, None);
     assert!(bench.routes().is_empty());
     assert!(!bench.until_action(Duration::from_secs(5)).is_empty());
-    assert!(bench.now - told >= ms(800));
+    assert!(bench.now - reported_at >= ms(800));
 }
 
-/// Incident ie8d4eb: a wait told by the first outcomes of a batched call was dropped.
+/// Guards against dropping the retry-after time reported with the first outcomes of a batched call.
 #[test]
 fn a_retry_after_time_reported_by_any_message_of_a_call_is_kept() {
     let base = settings(vec![safe()]);
@@ -225,9 +225,9 @@
     bench.finish(1, 7, Outcome::Rejected(Some(ms(900))), ms(20));
     bench.finish(2, 7, Outcome::Rejected(None), ms(20));
     bench.finish(3, 7, Outcome::Rejected(None), ms(20));
-    let told = bench.now;
+    let reported_at = bench.now;
     assert!(!bench.until_action(Duration::from_secs(5)).is_empty());
-    assert!(bench.now - told >= ms(900));
+    assert!(bench.now - reported_at >= ms(900));
 }
 
 #[test]
@@ -241,7 +241,8 @@
     let sent = bench.routes();
     assert_eq!(sent.len(), 1);
     assert_eq!(sent[0].0, 1);
-    // The client goes, the attempt runs on: the key stays taken until its outcome is known, and rests after it.
+    // The client withdraws the message while the attempt is running: the key stays in use until its outcome, and is blocked
+    // after it.
     bench.handle(Event::ClientGone(MessageId(1)));
     assert!(bench.until_action(ms(100)).is_empty());
     bench.finish(1, sent[0].1, Outcome::Reset, ms(100));
@@ -253,7 +254,7 @@
 
 #[test]
 fn a_dead_destination_gets_single_trial_calls_and_a_slow_start() {
-    let mut bench = one(safe());
+    let mut bench = with_one_endpoint(safe());
     (0..390).for_each(|id| bench.accept(id, 0, 1, None));
     for (id, to, _) in bench.routes() {
         bench.finish(id, to, Outcome::ConnectFailed, ms(10));
@@ -267,10 +268,10 @@
         trials += 1;
         bench.finish(message.0, 7, Outcome::ConnectFailed, ms(5));
     }
-    // Refused at once, they go at the pace of the fall budget, 32 a second, of which four fifths are used, at gaps
-    // of a quarter to the whole of that.
+    // Calls that fail fast are sent at the rate of the collapse budget, 32 a second, of which four fifths are used, with
+    // gaps of a quarter to the whole of the mean.
     assert!((20..320).contains(&trials), "{trials}");
-    // It is back: all that is sent in the fall window stays inside the budget of a cold destination.
+    // The destination returns: calls in the collapse window stay within the budget of a cold destination.
     let (mut sent, mut back) = (0.0, bench.now);
     let rules = bench.settings.rules.clone();
     while bench.now - back < rules.collapse_window {
@@ -290,11 +291,11 @@
     );
 }
 
-/// Rehearsal cold-return, seed 1: a cold partner's refusals opened a spell for a moment, and with its end the slow
-/// start was forgotten: 85 calls went at once.
+/// Guards against ending a slow start with a short outage: rejections of a cold partner started one for a moment, and at its
+/// end 85 calls were sent at once.
 #[test]
 fn a_short_outage_during_a_slow_start_does_not_end_it() {
-    let mut bench = one(safe());
+    let mut bench = with_one_endpoint(safe());
     (0..390).for_each(|id| bench.accept(id, 0, 1, None));
     for (id, to, _) in bench.routes() {
         bench.finish(id, to, Outcome::ConnectFailed, ms(10));
@@ -303,7 +304,7 @@
     let mut outcomes = [Outcome::Ok, Outcome::ConnectFailed, Outcome::Ok].into_iter();
     let mut next = Outcome::ConnectFailed;
     let rules = bench.settings.rules.clone();
-    // Out for six seconds; then a success, a failure, and a success a moment later.
+    // An outage of six seconds; then a success, a failure, and a success a moment later.
     let (mut sent, mut back) = (0.0, None);
     while back.is_none_or(|back| bench.now - back < rules.collapse_window) {
         bench.now = bench.now + ms(5);
@@ -316,15 +317,15 @@
             bench.finish(id, to, next, ms(5));
         }
     }
-    assert_eq!(outcomes.next(), None, "the spell was over in time");
+    assert_eq!(outcomes.next(), None, "the short outage ended in time");
     let capacity = 100.0 * (rules.cold_capacity_share + (1.0 - rules.cold_capacity_share) * 0.2);
     assert!(sent <= rules.collapse_multiple * capacity * rules.collapse_window.as_secs_f64(), "{sent}");
 }
 
-/// Hang of a destination: the silence stops further calls long before a time-out would.
+/// A destination hangs: missing answers stop further calls long before the calls time out.
 #[test]
 fn a_destination_that_does_not_answer_gets_only_trial_calls() {
-    let mut bench = one(unsafe_class());
+    let mut bench = with_one_endpoint(unsafe_class());
     for id in 0..20 {
         bench.accept(id, 0, 1, None);
         bench.routes();
@@ -340,7 +341,7 @@
     assert!(late <= 6, "{late} unsafe messages risked");
 }
 
-/// Incident id37437: hung destinations pinned all slots.
+/// Guards against hung destinations that occupy all slots.
 #[test]
 fn hung_destinations_leave_slots_for_the_healthy() {
     let all = (1..=5).map(|d| endpoint(d, d)).collect();
@@ -394,10 +395,10 @@
     assert_eq!(bench.routes().len(), 5);
 }
 
-/// Incident i10b789: in a slow spell the time-outs stayed short and repeats met the first call still running.
+/// Guards against timeouts that stay short while a partner is slow: repeats arrived while the first call was still running.
 #[test]
 fn timeouts_grow_after_timeouts() {
-    let mut bench = one(safe());
+    let mut bench = with_one_endpoint(safe());
     bench.accept(1, 0, 1, None);
     let first = bench.routes()[0].2;
     let mut last = first;
@@ -420,7 +421,7 @@
 
 #[test]
 fn events_for_unknown_things_are_ignored() {
-    let mut bench = one(safe());
+    let mut bench = with_one_endpoint(safe());
     bench.finish(99, 7, Outcome::Ok, ms(5));
     bench.finish(99, 98, Outcome::Rejected(Some(ms(5))), ms(5));
     bench.handle(Event::ClientGone(MessageId(99)));
@@ -431,7 +432,7 @@
 
 #[test]
 fn the_clock_may_jump_far_ahead() {
-    let mut bench = one(keyed());
+    let mut bench = with_one_endpoint(keyed());
     (0..5).for_each(|id| bench.accept(id, 0, 1, None));
     bench.routes();
     bench.now = bench.now + Duration::from_secs(100_000);
@@ -475,7 +476,7 @@
     assert_ne!(other[0].1, first);
 }
 
-/// Where each courier has few calls, a tie by id sends all of them to the same endpoint of a destination.
+/// Guards against breaking ties by id: couriers with few calls would all call the same endpoint of a destination.
 #[test]
 fn couriers_prefer_different_endpoints_of_a_destination() {
     let chosen: std::collections::BTreeSet<u32> = (0..30)
@@ -490,11 +491,11 @@
     assert_eq!(chosen.len(), 3, "{chosen:?}");
 }
 
-/// A message that can never be sent again must not keep its order key from the messages behind it.
+/// A message that can never be resent must not block the messages behind it in its order key.
 #[test]
 fn a_message_that_cannot_be_resent_is_answered_at_once_and_releases_its_key() {
     let class = Class { in_order: true, ..unsafe_class() };
-    let mut bench = one(class);
+    let mut bench = with_one_endpoint(class);
     bench.accept(1, 0, 1, Some(5));
     bench.accept(2, 0, 1, Some(5));
     assert_eq!(bench.routes().len(), 1);
@@ -508,7 +509,7 @@
 
 #[test]
 fn a_message_without_attempts_left_is_returned_at_once() {
-    let mut bench = one(unsafe_class());
+    let mut bench = with_one_endpoint(unsafe_class());
     bench.restart(Settings { max_attempts: 1, ..bench.settings.clone() }, 1, vec![endpoint(7, 1)]);
     bench.accept(1, 0, 1, None);
     bench.routes();
@@ -517,8 +518,8 @@
     assert!(bench.decide().iter().any(refused));
 }
 
-/// Sends a message to each of `count` destinations in turn, each with a connection idle for two seconds; calls
-/// on these end so, those on new ones well. Returns how often idle connections were closed before use.
+/// Sends a message to each of `count` destinations in turn, each with a connection idle for two seconds. Calls on these end
+/// with `outcome`, calls on new connections succeed. Returns how often idle connections were closed before use.
 fn closes_after(outcome: Outcome, count: u32) -> usize {
     let all = (1..=count).map(|d| endpoint(d, d)).collect();
     let mut bench = Bench::new(settings(vec![safe()]), all);
@@ -538,18 +539,18 @@
     (1..=count).map(|to| call(&mut bench, to, outcome)).sum()
 }
 
-/// Idle connections dropped unseen: the next call on one is lost.
+/// Idle connections may be dropped without notice: the next call on one is lost.
 #[test]
 fn idle_connections_are_closed_before_use_once_calls_on_them_get_lost() {
     assert_eq!(closes_after(Outcome::Ok, 12), 0);
     assert!(closes_after(Outcome::Reset, 12) >= 6);
 }
 
-/// One lost answer is not an outage: with a share of the answers lost, messages must not wait for trials.
+/// One lost answer is not an outage: if some answers are lost, messages must not wait for trial calls.
 #[test]
 fn a_single_reset_is_no_outage_but_a_failed_connection_is() {
     let next_send = |outcome: Outcome| {
-        let mut bench = one(safe());
+        let mut bench = with_one_endpoint(safe());
         bench.restart(Settings { couriers: 2, ..bench.settings.clone() }, 1, vec![endpoint(7, 1)]);
         bench.accept(1, 0, 1, None);
         bench.routes();
@@ -562,11 +563,12 @@
     assert!(!next_send(Outcome::ConnectFailed));
 }
 
-/// Hunt h560941: a hung partner with its queue full refuses although its limit has room.
+/// Guards against treating these rejections as an exceeded limit: a hung partner with a full queue rejects although its
+/// limit is not used up.
 #[test]
 fn rejections_with_an_unused_limit_count_as_an_outage() {
     let sends_after = |left: f64| {
-        let mut bench = one(safe());
+        let mut bench = with_one_endpoint(safe());
         (0..200).for_each(|id| bench.accept(id, 0, 1, None));
         let mut sends = 0;
         let began = bench.now;
@@ -582,7 +584,7 @@
     assert!(sends_after(0.9) < sends_after(0.0), "{} {}", sends_after(0.9), sends_after(0.0));
 }
 
-/// Calls that hang take the slots of others: with none left, the oldest one is called off.
+/// Hung calls take the slots of other destinations: if no slot is free, the oldest one is cancelled.
 #[test]
 fn with_all_slots_taken_a_stalled_call_is_cancelled() {
     let base = settings(vec![safe()]);
@@ -594,7 +596,7 @@
     assert_eq!(off, [Action::CancelAttempt { message: MessageId(0), attempt: 0 }]);
 }
 
-/// A slot is worth most where a message of more worth waits, not where the list starts.
+/// Among destinations with equally many calls, the slot goes to the message of most worth, not to the first destination.
 #[test]
 fn ties_between_destinations_are_broken_by_worth() {
     let rich = Class { worth: 5.0, ..safe() };
@@ -605,12 +607,12 @@
     assert_eq!(bench.routes()[0].0, 2);
 }
 
-/// Incident i88d54c: light couriers that had all failed to connect came back every few seconds together.
+/// Guards against couriers with low traffic that all failed to connect and retried together every few seconds.
 #[test]
 fn low_traffic_couriers_call_a_dead_destination_rarely() {
     let mut trials = 0;
     for seed in 0..100 {
-        let mut bench = one(safe());
+        let mut bench = with_one_endpoint(safe());
         bench.restart(Settings { couriers: 400, ..bench.settings.clone() }, seed, vec![endpoint(7, 1)]);
         bench.accept(1, 0, 1, None);
         bench.routes();
@@ -628,11 +630,11 @@
     assert!((1..=160).contains(&trials), "{trials} trials of 100 couriers in 12 s");
 }
 
-/// At full size a courier's even part of a limit is a call in minutes: it must not hold back its messages, but where
-/// they come faster than one an aim.
+/// With many couriers the fair share of a limit is one call in minutes: it must not delay messages that come at most once per
+/// aim.
 #[test]
 fn a_courier_with_low_traffic_sends_at_once_while_nothing_was_rejected() {
-    let mut bench = one(safe());
+    let mut bench = with_one_endpoint(safe());
     bench.restart(Settings { couriers: 400, ..bench.settings.clone() }, 1, vec![endpoint(7, 1)]);
     for id in 0..10 {
         bench.accept(id, 0, 1, None);
@@ -643,7 +645,7 @@
     }
 }
 
-/// Incident i4182c2: refused calls use up the limit, and first and second attempts alone kept it used up.
+/// Rejected calls use up the limit too. Guards against first and second attempts that keep it used up.
 #[test]
 fn with_batches_one_rejection_limits_the_rate_to_one_call_per_aim() {
     let sends_after_a_refusal = |batch: usize, seconds: u64| {
@@ -667,12 +669,12 @@
     assert_eq!(sends_after_a_refusal(20, 3), 1);
 }
 
-/// Later kingston, fresh-big: a clump met a hung partner's refusals at many light couriers at once, and their first
-/// repeats met its return at once.
+/// Guards against synchronized repeats: a hung partner rejected a burst at many couriers with low traffic at once, and their
+/// first repeats all arrived when it returned.
 #[test]
 fn low_traffic_couriers_rejected_together_do_not_return_together() {
     let back_after = |seed: u64| {
-        let mut bench = one(safe());
+        let mut bench = with_one_endpoint(safe());
         bench.restart(Settings { couriers: 200, ..bench.settings.clone() }, seed, vec![endpoint(7, 1)]);
         bench.accept(1, 0, 1, None);
         bench.routes();
@@ -687,12 +689,11 @@
     assert!(gaps[39] - gaps[0] > aim, "from {:?} to {:?}, aim {aim:?}", gaps[0], gaps[39]);
 }
 
-/// An endpoint that answers is up, also where what it says cannot be read: a few such answers open no spell, as
-/// lost calls do.
+/// An endpoint that answers is up, even if its answers are malformed: unlike lost calls, a few such answers are no outage.
 #[test]
 fn malformed_answers_are_no_outage() {
     let outages_after = |outcome| {
-        let mut bench = one(unsafe_class());
+        let mut bench = with_one_endpoint(unsafe_class());
         for id in 1..=4 {
             bench.accept(id, 0, 1, None);
             for (message, endpoint, _) in bench.routes() {
@@ -706,25 +707,25 @@
     assert_eq!(outages_after(Outcome::Reset), 1);
 }
 
-/// A list may name a limit that answers correct. Told again and again, neither may wear the pace down.
+/// The listing may give a limit that answers correct. Neither may reduce the rate when it is repeated.
 #[test]
 fn a_repeated_listing_keeps_rate_and_advertised_limit() {
-    let mut bench = one(safe());
+    let mut bench = with_one_endpoint(safe());
     bench.restart(Settings { couriers: 2, ..bench.settings.clone() }, 1, vec![endpoint(7, 1)]);
-    let told = LimitReport { remaining_share: 0.4, limit: 60.0 };
+    let report = LimitReport { remaining_share: 0.4, limit: 60.0 };
     let mut answer = |id: u32| {
         bench.accept(id, 0, 1, None);
         assert_eq!(bench.routes().len(), 1);
         bench.now = bench.now + ms(50);
         bench.accept(1000 + id, 0, 1, None);
-        bench.finish_with_report(id, 7, Outcome::Ok, ms(50), Some(told));
-        let standing = bench.courier.destination_statuses(bench.now).next().expect("a message waits");
+        bench.finish_with_report(id, 7, Outcome::Ok, ms(50), Some(report));
+        let status = bench.courier.destination_statuses(bench.now).next().expect("a message waits");
         for (more, to, _) in bench.routes() {
-            bench.finish_with_report(more, to, Outcome::Ok, ms(50), Some(told));
+            bench.finish_with_report(more, to, Outcome::Ok, ms(50), Some(report));
         }
         bench.handle(Event::Listed(Listing::Changes(vec![endpoint(7, 1)])));
         bench.now = bench.now + ms(500);
-        (standing.rate, standing.limit)
+        (status.rate, status.limit)
     };
     let first = answer(1);
     for id in 2..12 {
--- a/crates/cloverstile/tests/windows.rs
+++ b/crates/cloverstile/tests/windows.rs
@@ -1,5 +1,5 @@
-//! Windows for repeats from 0.2 s to a minute, with deadlines from half a second to minutes: what fits is repeated, what does
-//! not ends at once, and nothing goes behind the window.
+//! Repeat windows from 0.2 s to a minute, with deadlines from half a second to minutes: a repeat that fits into the window is
+//! sent, a message for which none fits ends at once, and nothing is sent after the window.
 
 mod common;
 
@@ -8,15 +8,15 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// A message that is of interest; all others are answered.
-const ONE: u32 = 1000;
+/// Id of the observed message; all others are answered.
+const OBSERVED: u32 = 1000;
 
-/// What became of a message of which the first attempt was reset.
+/// What happened to the observed message.
 #[derive(Debug)]
-struct Seen {
-    /// When its attempts went.
+struct Observation {
+    /// When its attempts were sent.
     sent: Vec<Time>,
-    /// When its end was told.
+    /// When it got its final answer.
     ended: Option<Time>,
     timeout: Duration,
 }
@@ -25,8 +25,8 @@
     Class { aim: ms(aim), deadline: ms(deadline), repeat_window: ms(window), ..Class::default() }
 }
 
-/// A courier that knows its partner: sixty messages were answered in 30 ms each.
-fn familiar(class: Class) -> Bench {
+/// A courier that has measured the latency of its partner: sixty messages were answered in 30 ms each.
+fn warmed_up(class: Class) -> Bench {
     let mut bench = Bench::new(settings(vec![class]), vec![endpoint(7, 1), endpoint(8, 1)]);
     for id in 0..60 {
         bench.accept(id, 0, 1, None);
@@ -39,17 +39,17 @@
     bench
 }
 
-/// Hands the message in and lets its first attempt be reset after so long; later ones are never answered. The partner is well:
-/// what else goes there, ten messages a second, is answered.
-fn reset_after(bench: &mut Bench, after: Duration) -> Seen {
-    bench.accept(ONE, 0, 1, None);
+/// Enqueues the observed message and resets its first attempt after a time; later attempts are never answered. The partner
+/// works: all other messages, ten a second, are answered.
+fn reset_after(bench: &mut Bench, after: Duration) -> Observation {
+    bench.accept(OBSERVED, 0, 1, None);
     let begun = bench.now;
     let deadline = bench.settings.classes[0].deadline;
-    let mut seen = Seen { sent: Vec::new(), ended: None, timeout: Duration::ZERO };
+    let mut observation = Observation { sent: Vec::new(), ended: None, timeout: Duration::ZERO };
     let (mut first, mut others, mut next) = (None, Vec::new(), 0);
-    while bench.now < begun + deadline && seen.ended.is_none() {
+    while bench.now < begun + deadline && observation.ended.is_none() {
         if bench.now - begun >= ms(100 * next) {
-            bench.accept(ONE + 1 + next as u32, 0, 1, None);
+            bench.accept(OBSERVED + 1 + next as u32, 0, 1, None);
             next += 1;
         }
         others.retain(|(message, endpoint, sent): &(u32, u32, Time)| {
@@ -61,34 +61,34 @@
         });
         for action in bench.decide() {
             match action {
-                Action::Route { message: MessageId(ONE), endpoint, timeout, send_by, .. } => {
-                    if seen.sent.is_empty() {
-                        (first, seen.timeout) = (Some(endpoint), timeout);
+                Action::Route { message: MessageId(OBSERVED), endpoint, timeout, send_by, .. } => {
+                    if observation.sent.is_empty() {
+                        (first, observation.timeout) = (Some(endpoint), timeout);
                     } else {
                         assert!(
                             send_by.is_some_and(|by| by >= bench.now),
-                            "a repeat without an end: {send_by:?}"
+                            "a repeat without a latest send time: {send_by:?}"
                         );
                     }
-                    seen.sent.push(bench.now);
+                    observation.sent.push(bench.now);
                 }
                 Action::Route { message, endpoint, .. } => others.push((message.0, endpoint.0, bench.now)),
-                Action::ReportFailure { message: MessageId(ONE) }
-                | Action::Return { message: MessageId(ONE), .. } => {
-                    seen.ended = Some(bench.now);
+                Action::ReportFailure { message: MessageId(OBSERVED) }
+                | Action::Return { message: MessageId(OBSERVED), .. } => {
+                    observation.ended = Some(bench.now);
                 }
                 _ => {}
             }
         }
         bench.now = bench.now + ms(1);
-        if let (Some(endpoint), Some(sent)) = (first, seen.sent.first()) {
+        if let (Some(endpoint), Some(sent)) = (first, observation.sent.first()) {
             if bench.now >= *sent + after {
-                bench.finish(ONE, endpoint.0, Outcome::Reset, after);
+                bench.finish(OBSERVED, endpoint.0, Outcome::Reset, after);
                 first = None;
             }
         }
     }
-    seen
+    observation
 }
 
 proptest! {
@@ -102,47 +102,51 @@
     ) {
         let aim = (deadline as f64 * aim_part) as u64;
         let after = ms((window as f64 * reset_part) as u64);
-        let mut bench = familiar(class(aim, deadline, window));
+        let mut bench = warmed_up(class(aim, deadline, window));
         let begun = bench.now;
-        let seen = reset_after(&mut bench, after);
-        let first = seen.sent[0];
+        let observation = reset_after(&mut bench, after);
+        let first = observation.sent[0];
         let (window, until) = (ms(window), begun + ms(deadline));
-        prop_assert!(seen.sent.iter().all(|at| *at < first + window), "behind the window: {seen:?}");
+        prop_assert!(observation.sent.iter().all(|at| *at < first + window), "sent after the window: {observation:?}");
         let reset = first + after;
-        // Told a millisecond later, and the shortest gap is that of the loop.
+        // The reset is reported up to a millisecond later, and the shortest gap is one step of the loop.
         if reset_part < 0.8 && reset + ms(5) < until && window.mul_f64(0.9 - reset_part) / 2 < until - reset {
-            prop_assert!(seen.sent.len() > 1, "no repeat, though it fits: {seen:?}");
+            prop_assert!(observation.sent.len() > 1, "no repeat, though it fits: {observation:?}");
         }
         if reset_part > 0.91 && reset + ms(5) < until {
-            prop_assert_eq!(seen.sent.len(), 1);
-            let ended = seen.ended.unwrap_or(until);
-            prop_assert!(ended - reset <= ms(5), "it waited for its deadline: {seen:?}");
+            prop_assert_eq!(observation.sent.len(), 1);
+            let ended = observation.ended.unwrap_or(until);
+            prop_assert!(ended - reset <= ms(5), "it waited for its deadline: {observation:?}");
         }
     }
 }
 
-/// A call that hangs used to get all the time that its message had, as its time-out would have come behind the window.
+/// Guards against a hung call that takes all the time of its message because its timeout would end after the window.
 #[test]
 fn a_repeat_window_shorter_than_the_timeout_leaves_time_for_a_repeat() {
     for window in [400, 1000, 2000] {
-        let mut bench = familiar(class(3000, 24_000, window));
-        let seen = reset_after(&mut bench, Duration::from_secs(60));
-        assert!(seen.timeout <= ms(window).mul_f64(0.46), "window {window}: {:?}", seen.timeout);
+        let mut bench = warmed_up(class(3000, 24_000, window));
+        let observation = reset_after(&mut bench, Duration::from_secs(60));
+        assert!(
+            observation.timeout <= ms(window).mul_f64(0.46),
+            "window {window}: {:?}",
+            observation.timeout
+        );
     }
-    // Where a usual answer takes longer than half of it, the one attempt has all the time.
-    let mut bench = familiar(class(3000, 24_000, 200));
+    // If the expected latency exceeds half of the window, the only attempt gets all the time.
+    let mut bench = warmed_up(class(3000, 24_000, 200));
     assert!(reset_after(&mut bench, Duration::from_secs(60)).timeout > Duration::from_secs(20));
 }
 
-/// It may have run at any time since it was handed in: where that is longer ago than the window, no call may go, and its end
-/// does not wait for its deadline.
+/// The message may have run at any time since it was enqueued. If that is longer ago than the window, it is not sent and does
+/// not wait for its deadline.
 #[test]
 fn a_message_of_a_dead_courier_after_its_repeat_window_fails_at_once() {
     let class = class(3000, 24_000, 1000);
-    let mut bench = familiar(class.clone());
-    let mut accepted = accepted(bench.now, ONE, (ClassId(0), &class), 1, None);
+    let mut bench = warmed_up(class.clone());
+    let mut accepted = accepted(bench.now, OBSERVED, (ClassId(0), &class), 1, None);
     (accepted.from_dead_courier, accepted.deadline) = (true, bench.now + Duration::from_secs(20));
     bench.handle(Event::Accept(accepted));
     let actions = bench.decide();
-    assert!(actions.contains(&Action::ReportFailure { message: MessageId(ONE) }), "{actions:?}");
+    assert!(actions.contains(&Action::ReportFailure { message: MessageId(OBSERVED) }), "{actions:?}");
 }
