--- a/crates/cloverstile-wirehost/tests/wire.rs
+++ b/crates/cloverstile-wirehost/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The wire page's byte examples, a round trip for every record, and bad input.
+//! Byte examples of the protocol description, the encoding of every record, and invalid input.
 
 use cloverstile_wirehost::{host, wire};
 use std::io::Write;
@@ -19,27 +19,27 @@
     out
 }
 
-fn host_with(input: &[u8]) -> Output {
+fn run_host(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_cloverstile-wirehost"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // The host may end before it has read all of a bad input.
+    // The host may exit before it has read all of an invalid input.
     let _ = child.stdin.take().unwrap().write_all(input);
     child.wait_with_output().unwrap()
 }
 
 #[test]
 fn an_empty_batch_has_an_empty_reply() {
-    let out = host_with(&hex("0000000c 00000001f568bf90 00000000"));
+    let out = run_host(&hex("0000000c 00000001f568bf90 00000000"));
     assert!(out.status.success());
     assert_eq!(out.stdout, hex("00000000"));
 }
 
 #[test]
-fn events_of_the_wire_page() {
+fn events_of_the_protocol_description() {
     let body = hex("00000001f568bf90 00000003
         1e 0003 5d3a91c4 00 42640000 91f03b7c55d20a64 0000000203b6db90 0000000000b71b00 01 00000000
         46 0003 000000000000004d  3c 0005 0e6f2b19");
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn list_and_outcome_of_the_wire_page() {
+fn list_and_outcome_of_the_protocol_description() {
     let body = hex("00000001f568bf90 00000003
         6e 0000 00000002
         03124a07 00 0000 0039 03 3f800000 0000000000000000
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn actions_of_the_wire_page() {
+fn actions_of_the_protocol_description() {
     let text = "two servers known".to_owned();
     let replies = [
         Reply::Route { instance: 3, message: 0x5d3a_91c4, endpoint: 0x0312_4a07, timeout: 80_000_000 },
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn every_other_action_has_its_bytes() {
+fn every_other_action_is_encoded() {
     let cases = [
         (Reply::Return { instance: 1, message: 2, retry_after: 3 }, "14 0001 00000002 0000000000000003"),
         (Reply::ReportFailure { instance: 1, message: 2 }, "1e 0001 00000002"),
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn every_other_event_is_read() {
+fn every_other_event_is_decoded() {
     let cases = [
         (
             "0a 0001 0000000000000002 00000003 613d62",
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn bad_input_ends_with_one_plain_line() {
+fn invalid_input_ends_with_one_error_line() {
     let bad_setting = {
         let settings = b"Balancers=two";
         let mut record = hex("0a 0001 0000000000000002");
@@ -171,28 +171,28 @@
         (frame(9, &[hex("64 0001"), hex("64 0001 00")]), "left over"),
         (bad_setting, "Balancers: 'two'"),
     ];
-    for (input, says) in cases {
-        let out = host_with(&input);
+    for (input, expected) in cases {
+        let out = run_host(&input);
         let error = String::from_utf8(out.stderr).unwrap();
-        assert!(!out.status.success(), "{says}");
-        assert!(error.contains(says), "{error}");
+        assert!(!out.status.success(), "{expected}");
+        assert!(error.contains(expected), "{error}");
         assert_eq!(error.lines().count(), 1, "{error}");
     }
 }
 
 #[test]
-fn unknown_settings_are_skipped_and_lists_follow_their_sheet() {
+fn unknown_settings_are_ignored_and_lists_can_be_replaced() {
     let settings =
         "Balancers=3\nLanes.count=1\nLanes.0.Effect=read_like\nNew.Thing=1,2\nFamilyInfo.KindBatch=1,4\n";
     let parsed = cloverstile::parse_settings(settings).unwrap();
     assert_eq!(parsed.settings.couriers, 3);
     assert_eq!(parsed.settings.kinds[1].max_batch, 4);
-    // A sheet's number taken over later in a batch does not touch what referred to it before.
-    let sheet = |endpoint| {
+    // Replacing an endpoint list later in a batch does not affect earlier references to its number.
+    let list = |endpoint| {
         let entry = Entry { endpoint, zone: 0, kind: 0, cell: 1, mode: 3, weight: 9.0, up_since: 0 };
         Record::EndpointList { slot: 0, entries: vec![entry] }
     };
-    let members = |instance| Record::ListingChanged { instance, slot: 0, generation: 1, kind: 2 };
+    let listing_changed = |instance| Record::ListingChanged { instance, slot: 0, generation: 1, kind: 2 };
     let start = |instance| Record::NewInstance { instance, seed: 1, settings: settings.to_owned() };
     let (key, weight_hint, options, tenant, deadline) = (0, 0, 0, 0, 60_000_000_000);
     let accept = |instance| Record::Accept {
@@ -207,7 +207,16 @@
         tenant,
     };
     let mut host = host::Host::default();
-    let batch = vec![start(1), start(2), sheet(10), members(1), sheet(20), members(2), accept(1), accept(2)];
+    let batch = vec![
+        start(1),
+        start(2),
+        list(10),
+        listing_changed(1),
+        list(20),
+        listing_changed(2),
+        accept(1),
+        accept(2),
+    ];
     let replies = host.run(50_000_000_000, batch).unwrap();
     let routed = |instance, to| {
         let is = |r: &&Reply| matches!(r, Reply::Route { instance: w, endpoint, .. } if (*w, *endpoint) == (instance, to));
--- a/crates/cloverstile/src/choice/tests.rs
+++ b/crates/cloverstile/src/choice/tests.rs
@@ -40,10 +40,10 @@
         }
         let spare = message.attempts * 2 <= courier.settings.max_attempts;
         let fit = outage.is_none() || (spare && courier.is_repeatable(message));
-        if !fit && outage.is_some_and(|s| s.repeatable_only) {
+        if !fit && outage.is_some_and(|outage| outage.repeatable_only) {
             continue;
         }
-        if let Some(at) = outage.map(|s| s.next_unrepeatable_trial).filter(|at| !fit && *at > now) {
+        if let Some(at) = outage.map(|outage| outage.next_unrepeatable_trial).filter(|at| !fit && *at > now) {
             keep_earliest(next, Some(at));
             continue;
         }
@@ -62,7 +62,7 @@
     /// Time passes until shortly before or after a time at which the trend of a message's worth may change.
     PassTo {
         message: usize,
-        kink: usize,
+        change: usize,
         offset_ns: i64,
     },
     Accept {
@@ -78,7 +78,7 @@
         destination: u32,
         key: u64,
         attempts: u32,
-        ran: Option<u64>,
+        may_have_run_ms_ago: Option<u64>,
     },
     Finish {
         index: usize,
@@ -95,12 +95,12 @@
     let step = prop_oneof![
         4 => (0u64..300).prop_map(Step::Pass),
         6 => (0usize..64, 0usize..10, -3i64..4)
-            .prop_map(|(message, kink, offset_ns)| Step::PassTo { message, kink, offset_ns }),
+            .prop_map(|(message, change, offset_ns)| Step::PassTo { message, change, offset_ns }),
         9 => accept.prop_map(|(class, destination, key, deadline_offset, tenant, from_dead_courier)| {
             Step::Accept { class, destination, key, deadline_offset, tenant, from_dead_courier }
         }),
-        1 => restore.prop_map(|(class, destination, key, attempts, ran)| {
-            Step::Restore { class, destination, key, attempts, ran }
+        1 => restore.prop_map(|(class, destination, key, attempts, may_have_run_ms_ago)| {
+            Step::Restore { class, destination, key, attempts, may_have_run_ms_ago }
         }),
         4 => (0usize..64, 0usize..9).prop_map(|(index, outcome_index)| Step::Finish { index, outcome_index }),
         1 => (0usize..64).prop_map(Step::ClientGone),
@@ -185,7 +185,7 @@
 struct Simulation {
     courier: Courier,
     now: Time,
-    accepted: u32,
+    accepted_count: u32,
 }
 
 impl Simulation {
@@ -193,10 +193,10 @@
         let now = Time::ZERO + Duration::from_secs(100);
         let mut courier = Courier::new(settings, 3);
         courier.handle(now, listing(4, 4.0));
-        Simulation { courier, now, accepted: 0 }
+        Simulation { courier, now, accepted_count: 0 }
     }
 
-    fn accepted(
+    fn new_message(
         &mut self,
         class: u8,
         destination: u32,
@@ -204,15 +204,15 @@
         deadline_offset: i64,
         tenant: u32,
     ) -> Accepted {
-        self.accepted += 1;
-        let full = self.now + self.courier.settings.classes[usize::from(class)].deadline;
+        self.accepted_count += 1;
+        let class_deadline = self.now + self.courier.settings.classes[usize::from(class)].deadline;
         Accepted {
             // Ids in no particular order.
-            id: MessageId(self.accepted.wrapping_mul(0x9E37_79B1)),
+            id: MessageId(self.accepted_count.wrapping_mul(0x9E37_79B1)),
             class: ClassId(class),
             destination: DestinationId(destination),
             key: (key > 0).then_some(OrderKey(key)),
-            deadline: Time(full.0.saturating_add_signed(-deadline_offset).max(self.now.0)),
+            deadline: Time(class_deadline.0.saturating_add_signed(-deadline_offset).max(self.now.0)),
             from_dead_courier: false,
             tenant: TenantId(tenant),
         }
@@ -224,12 +224,12 @@
     }
 
     /// A time at which the trend of a message's worth or its send time may change.
-    fn kink(&self, message: usize, kink: usize) -> Option<Time> {
+    fn change_time(&self, message: usize, change: usize) -> Option<Time> {
         let message = self.message(message)?;
         let class = self.courier.class(message);
         let end = self.courier.last_send(message).unwrap_or(message.accepted.deadline);
         let least = class.aim.mul_f64((1.0 - class.late_share.max(0.01).log2()).min(20.0));
-        Some(match kink {
+        Some(match change {
             0 => message.enqueued_at,
             1 => message.enqueued_at + class.aim,
             2 => message.enqueued_at + class.deadline,
@@ -246,19 +246,20 @@
     fn step(&mut self, step: Step) {
         match step {
             Step::Pass(span) => self.now = self.now + ms(span),
-            Step::PassTo { message, kink, offset_ns } => {
-                let at = self.kink(message, kink).map(|at| Time(at.0.saturating_add_signed(offset_ns)));
+            Step::PassTo { message, change, offset_ns } => {
+                let at =
+                    self.change_time(message, change).map(|at| Time(at.0.saturating_add_signed(offset_ns)));
                 self.now = at.map_or(self.now, |at| at.max(self.now));
             }
             Step::Accept { class, destination, key, deadline_offset, tenant, from_dead_courier } => {
                 let accepted =
-                    self.accepted(class, destination, key, DEADLINE_OFFSETS[deadline_offset], tenant);
+                    self.new_message(class, destination, key, DEADLINE_OFFSETS[deadline_offset], tenant);
                 let accepted = Accepted { from_dead_courier, ..accepted };
                 self.courier.handle(self.now, Event::Accept(accepted));
             }
-            Step::Restore { class, destination, key, attempts, ran } => {
-                let accepted = self.accepted(class, destination, key, 0, 0);
-                let may_have_run = ran.map(|ago| (self.now - ms(ago), Some(ZoneId(0))));
+            Step::Restore { class, destination, key, attempts, may_have_run_ms_ago } => {
+                let accepted = self.new_message(class, destination, key, 0, 0);
+                let may_have_run = may_have_run_ms_ago.map(|ago| (self.now - ms(ago), Some(ZoneId(0))));
                 let restored = Restored { accepted, attempts, may_have_run, answered: attempts == 3 };
                 self.courier.handle(self.now, Event::Restored(restored));
             }
@@ -283,10 +284,12 @@
     }
 
     fn finish(&mut self, index: usize, outcome: Outcome) {
-        let out = self.courier.messages.values().filter(|message| message.in_flight_call.is_some());
-        let out: Vec<(MessageId, u32, u64)> =
-            out.map(|m| (m.accepted.id, m.attempts, m.in_flight_call.unwrap_or_default())).collect();
-        let Some((message, attempts, call)) = out.get(index % out.len().max(1)).copied() else { return };
+        let in_flight = self.courier.messages.values().filter(|message| message.in_flight_call.is_some());
+        let in_flight: Vec<(MessageId, u32, u64)> =
+            in_flight.map(|m| (m.accepted.id, m.attempts, m.in_flight_call.unwrap_or_default())).collect();
+        let Some((message, attempts, call)) = in_flight.get(index % in_flight.len().max(1)).copied() else {
+            return;
+        };
         let call = &self.courier.calls[&call];
         let finished = Finished {
             message,
@@ -315,9 +318,9 @@
             let Some(known) = self.courier.routes.get_mut(&route) else { continue };
             let before = known.outage.take();
             for outage in &outages {
-                let outage = outage.as_ref().map(|s| OutageState {
-                    next_unrepeatable_trial: s.next_unrepeatable_trial,
-                    repeatable_only: s.repeatable_only,
+                let outage = outage.as_ref().map(|outage| OutageState {
+                    next_unrepeatable_trial: outage.next_unrepeatable_trial,
+                    repeatable_only: outage.repeatable_only,
                     ..OutageState::default()
                 });
                 self.courier.routes.get_mut(&route).expect("known").outage = outage;
@@ -329,10 +332,10 @@
 
     fn compare_route(&self, route: RouteId) {
         let (mut next, mut expected_next) = (None, None);
-        let picked = self.courier.best_message(self.now, route, &mut next);
+        let selected = self.courier.best_message(self.now, route, &mut next);
         let expected = scan(&self.courier, self.now, route, &mut expected_next);
         let bits = |found: Option<(MessageId, f64)>| found.map(|(id, worth)| (id, worth.to_bits()));
-        assert_eq!(bits(picked), bits(expected), "at {:?}", self.now);
+        assert_eq!(bits(selected), bits(expected), "at {:?}", self.now);
         assert_eq!(next, expected_next, "at {:?}", self.now);
         let open = self.courier.messages.values().filter(|m| !m.closed && m.accepted.destination == route.0);
         assert_eq!(self.courier.queues.open_messages(route.0), open.count());
@@ -470,7 +473,7 @@
     let settings =
         Settings { call_slots: SLOTS, max_held: 100_000, acknowledged_answers: true, ..Settings::default() };
     let now = Time::ZERO + Duration::from_secs(100);
-    let mut simulation = Simulation { courier: Courier::new(settings, 3), now, accepted: 0 };
+    let mut simulation = Simulation { courier: Courier::new(settings, 3), now, accepted_count: 0 };
     simulation.courier.handle(now, listing(destinations, 50.0));
     for destination in 1..=destinations {
         let outage = OutageRecord {
@@ -483,7 +486,7 @@
             served_rate: 1.0,
         };
         simulation.courier.handle(now, Event::OutageRestored(outage));
-        let accepted = simulation.accepted(0, destination, 0, 0, 0);
+        let accepted = simulation.new_message(0, destination, 0, 0, 0);
         simulation.courier.handle(now, Event::Accept(accepted));
     }
     simulation.courier.decide(now, &mut Vec::new());
@@ -496,7 +499,7 @@
 /// Calls `decide` after a message for one destination.
 fn decide_for_one(simulation: &mut Simulation) {
     simulation.now = simulation.now + Duration::from_micros(10);
-    let accepted = simulation.accepted(0, 1, 0, 0, 0);
+    let accepted = simulation.new_message(0, 1, 0, 0, 0);
     simulation.courier.handle(simulation.now, Event::Accept(accepted));
     simulation.courier.decide(simulation.now, &mut Vec::new());
 }
--- a/crates/cloverstile/tests/by_hand.rs
+++ b/crates/cloverstile/tests/by_hand.rs
@@ -16,9 +16,9 @@
 fn calls(bench: &mut Bench, from: u32, seconds: u32, endpoint: u32) -> Vec<(u32, u32)> {
     let couriers = bench.settings.couriers;
     let mut counts = vec![(0, 0); seconds as usize];
-    let mut out = std::collections::VecDeque::new();
+    let mut in_flight = std::collections::VecDeque::new();
     for step in 0..seconds * 50 {
-        while let Some((message, to, _)) = out.pop_front_if(|(_, _, since)| step >= *since + 5) {
+        while let Some((message, to, _)) = in_flight.pop_front_if(|(_, _, since)| step >= *since + 5) {
             bench.finish(message, to, Outcome::Ok, ms(100));
         }
         if (step + from).is_multiple_of(couriers) {
@@ -27,11 +27,11 @@
         for (message, to, _) in bench.routes() {
             let count = &mut counts[(step / 50) as usize];
             *(if to == endpoint { &mut count.0 } else { &mut count.1 }) += 1;
-            out.push_back((message, to, step));
+            in_flight.push_back((message, to, step));
         }
         bench.now = bench.now + ms(20);
     }
-    for (message, to, _) in out {
+    for (message, to, _) in in_flight {
         bench.finish(message, to, Outcome::Ok, ms(100));
     }
     counts
@@ -42,10 +42,10 @@
     let mut bench = bench(1, 2);
     calls(&mut bench, 1, 2, 1);
     bench.handle(Event::Suspended(EndpointId(1)));
-    assert!(calls(&mut bench, 1000, 2, 1).iter().all(|(out, others)| *out == 0 && *others >= 40));
+    assert!(calls(&mut bench, 1000, 2, 1).iter().all(|(suspended, others)| *suspended == 0 && *others >= 40));
     // A new listing does not change that.
     bench.handle(Event::Listed(Listing::Whole(vec![endpoint(1, 3), endpoint(2, 3)])));
-    assert!(calls(&mut bench, 2000, 2, 1).iter().all(|(out, _)| *out == 0));
+    assert!(calls(&mut bench, 2000, 2, 1).iter().all(|(suspended, _)| *suspended == 0));
 }
 
 #[test]
@@ -77,12 +77,18 @@
                 *sum = (sum.0 + more.0, sum.1 + more.1);
             }
         }
-        for (second, (back, _)) in sum.iter().enumerate().take(9) {
-            let can = 50.0 * (0.2 + 0.8 * second as f64 / 10.0);
-            let got = f64::from(*back);
-            assert!(got <= can * 2.0, "{couriers} couriers, second {second}: {got} of {can}: {sum:?}");
+        for (second, (calls, _)) in sum.iter().enumerate().take(9) {
+            let capacity = 50.0 * (0.2 + 0.8 * second as f64 / 10.0);
+            let sent = f64::from(*calls);
+            assert!(
+                sent <= capacity * 2.0,
+                "{couriers} couriers, second {second}: {sent} of {capacity}: {sum:?}"
+            );
         }
-        assert!(sum.iter().map(|(back, _)| back).sum::<u32>() > 0, "{couriers} couriers: it is never called");
+        assert!(
+            sum.iter().map(|(calls, _)| calls).sum::<u32>() > 0,
+            "{couriers} couriers: it is never called"
+        );
     }
 }
 
@@ -93,7 +99,7 @@
     bench.handle(Event::Suspended(EndpointId(1)));
     calls(&mut bench, 1000, 3, 1);
     bench.handle(Event::Reinstated(EndpointId(1)));
-    let back = calls(&mut bench, 2000, 3, 1);
-    assert!(back.iter().all(|(got, _)| (1..=60).contains(got)), "{back:?}");
-    assert!(back[0].0 <= 40, "{back:?}");
+    let calls = calls(&mut bench, 2000, 3, 1);
+    assert!(calls.iter().all(|(sent, _)| (1..=60).contains(sent)), "{calls:?}");
+    assert!(calls[0].0 <= 40, "{calls:?}");
 }
--- a/crates/cloverstile/tests/properties.rs
+++ b/crates/cloverstile/tests/properties.rs
@@ -14,8 +14,8 @@
 enum Step {
     Pass(u64),
     Accept { class: u8, destination: u32, key: u64 },
-    Finish { which: usize, how: usize },
-    Gone(usize),
+    Finish { index: usize, outcome_index: usize },
+    ClientGone(usize),
     Mode { endpoint: u32, mode: usize },
 }
 
@@ -23,8 +23,8 @@
     let step = prop_oneof![
         5 => (1u64..400).prop_map(Step::Pass),
         5 => (0u8..4, 1u32..4, 0u64..4).prop_map(|(class, destination, key)| Step::Accept { class, destination, key }),
-        5 => (0usize..64, 0usize..9).prop_map(|(which, how)| Step::Finish { which, how }),
-        1 => (0usize..64).prop_map(Step::Gone),
+        5 => (0usize..64, 0usize..9).prop_map(|(index, outcome_index)| Step::Finish { index, outcome_index }),
+        1 => (0usize..64).prop_map(Step::ClientGone),
         1 => (0u32..6, 0usize..3).prop_map(|(endpoint, mode)| Step::Mode { endpoint, mode }),
     ];
     proptest::collection::vec(step, 1..300)
@@ -42,6 +42,7 @@
     (settings, endpoints)
 }
 
+/// A message and its attempts, as far as the rules need them.
 #[derive(Debug)]
 struct TrackedMessage {
     class: usize,
@@ -67,75 +68,75 @@
     fn check(&mut self, now: Time, actions: &[Action]) {
         for action in actions {
             match action {
-                Action::Route { message, endpoint, .. } => self.route(now, message.0, endpoint.0),
+                Action::Route { message, endpoint, .. } => self.check_route(now, message.0, endpoint.0),
                 Action::Return { message, .. } => {
-                    let messages = self.end(now, message.0);
-                    let effect = self.settings.classes[self.messages[&messages].class].effect;
-                    let messages = &self.messages[&messages];
+                    let id = self.check_final_answer(now, message.0);
+                    let effect = self.settings.classes[self.messages[&id].class].effect;
+                    let message = &self.messages[&id];
                     assert!(
                         effect == Effect::Safe
-                            || (messages.first_may_have_run.is_none() && messages.in_flight.is_none())
+                            || (message.first_may_have_run.is_none() && message.in_flight.is_none())
                     );
                 }
                 Action::ReportFailure { message } => {
-                    self.end(now, message.0);
+                    self.check_final_answer(now, message.0);
                 }
                 _ => {}
             }
         }
     }
 
-    fn end(&mut self, now: Time, id: u32) -> u32 {
-        let messages = self.messages.get_mut(&id).expect("answers only known messages");
-        assert!(!messages.is_final, "one final answer");
-        assert!(now <= messages.deadline + self.settings.rules.answer_slack, "in time");
-        messages.is_final = true;
+    fn check_final_answer(&mut self, now: Time, id: u32) -> u32 {
+        let message = self.messages.get_mut(&id).expect("answers only known messages");
+        assert!(!message.is_final, "at most one final answer");
+        assert!(now <= message.deadline + self.settings.rules.answer_slack, "final answer in time");
+        message.is_final = true;
         id
     }
 
-    fn route(&mut self, now: Time, id: u32, endpoint: u32) {
-        let messages = &self.messages[&id];
-        let class = &self.settings.classes[messages.class];
+    fn check_route(&mut self, now: Time, id: u32, endpoint: u32) {
+        let message = &self.messages[&id];
+        let class = &self.settings.classes[message.class];
         assert!(
-            !messages.is_final && messages.in_flight.is_none(),
+            !message.is_final && message.in_flight.is_none(),
             "at most one attempt in flight, none after the final answer"
         );
         assert_eq!(self.modes[&endpoint], Mode::Ready, "no calls to a draining endpoint");
         assert!(
-            self.retry_after.get(&messages.destination).is_none_or(|until| *until <= now),
+            self.retry_after.get(&message.destination).is_none_or(|until| *until <= now),
             "retry-after times are kept"
         );
-        assert!(messages.sends < self.settings.max_attempts);
-        if let Some(first) = messages.first_may_have_run {
-            assert_ne!(class.effect, Effect::Unsafe, "no unsafe resend");
+        assert!(message.sends < self.settings.max_attempts);
+        if let Some(first) = message.first_may_have_run {
+            assert_ne!(class.effect, Effect::Unsafe, "unsafe messages are not resent");
             assert!(
                 class.effect == Effect::Safe || now < first + class.repeat_window,
                 "within the repeat window"
             );
         }
-        if class.in_order && messages.key != 0 {
-            let mut earlier = self.messages.range(..id).map(|(_, h)| h);
-            let accepted =
-                |h: &TrackedMessage| self.settings.classes[h.class].in_order && h.key == messages.key;
+        if class.in_order && message.key != 0 {
+            let mut earlier = self.messages.range(..id).map(|(_, m)| m);
+            let has_same_key =
+                |m: &TrackedMessage| self.settings.classes[m.class].in_order && m.key == message.key;
             assert!(
-                !earlier.any(|h| accepted(h) && (!h.is_final || h.in_flight.is_some())),
+                !earlier.any(|m| has_same_key(m) && (!m.is_final || m.in_flight.is_some())),
                 "order keys are kept in order"
             );
             assert!(
-                messages.sends > 0 || self.blocked_keys.get(&messages.key).is_none_or(|until| *until <= now),
+                message.sends > 0 || self.blocked_keys.get(&message.key).is_none_or(|until| *until <= now),
                 "order keys are blocked after unsettled attempts"
             );
         }
-        let messages = self.messages.get_mut(&id).expect("known");
-        messages.in_flight = Some((endpoint, now));
-        messages.sends += 1;
-        let in_flight = self.messages.values().filter(|h| h.in_flight.is_some()).count();
-        assert!(in_flight <= self.settings.call_slots * 3, "slots");
+        let message = self.messages.get_mut(&id).expect("known");
+        message.in_flight = Some((endpoint, now));
+        message.sends += 1;
+        let in_flight = self.messages.values().filter(|m| m.in_flight.is_some()).count();
+        assert!(in_flight <= self.settings.call_slots * 3, "call slots");
     }
 }
 
-fn outcome(how: usize) -> Outcome {
-    match how {
+fn outcome(outcome_index: usize) -> Outcome {
+    match outcome_index {
         0 => Outcome::Rejected(None),
         1 => Outcome::Rejected(Some(ms(700))),
         2 => Outcome::Error,
@@ -148,7 +149,7 @@
 }
 
 /// Runs the steps, checks every action, and returns all actions.
-fn play(steps: &[Step], seed: u64) -> Vec<Action> {
+fn run_steps(steps: &[Step], seed: u64) -> Vec<Action> {
     let (settings, endpoints) = test_setup();
     let mut bench = Bench::new(settings.clone(), endpoints.clone());
     bench.courier = Courier::new(settings.clone(), seed);
@@ -156,7 +157,7 @@
     let modes = endpoints.iter().map(|e| (e.id.0, e.mode)).collect();
     let (messages, retry_after, blocked_keys) = Default::default();
     let mut checker = RuleChecker { settings, messages, retry_after, blocked_keys, modes };
-    let mut all = Vec::new();
+    let mut all_actions = Vec::new();
     let mut id = 0;
     for step in steps.iter().cloned().chain((0..120).map(|_| Step::Pass(250))) {
         match step {
@@ -168,18 +169,18 @@
                     let due: Vec<u32> = checker
                         .messages
                         .iter()
-                        .filter(|(_, h)| h.in_flight.is_some() && h.deadline <= bench.now)
+                        .filter(|(_, m)| m.in_flight.is_some() && m.deadline <= bench.now)
                         .map(|(id, _)| *id)
                         .collect();
                     due.iter().for_each(|id| finish(&mut bench, &mut checker, *id, Outcome::Timeout));
                     let actions = bench.decide();
                     checker.check(bench.now, &actions);
-                    all.extend(actions);
+                    all_actions.extend(actions);
                 }
                 continue;
             }
             Step::Accept { class, destination, key } => {
-                if checker.messages.values().filter(|h| !h.is_final).count() >= checker.settings.max_held {
+                if checker.messages.values().filter(|m| !m.is_final).count() >= checker.settings.max_held {
                     continue;
                 }
                 id += 1;
@@ -187,7 +188,7 @@
                 let deadline = bench.now + checker.settings.classes[usize::from(class)].deadline;
                 let class = usize::from(class);
                 let (in_flight, first_may_have_run) = (None, None);
-                let messages = TrackedMessage {
+                let message = TrackedMessage {
                     class,
                     destination,
                     key,
@@ -197,22 +198,27 @@
                     sends: 0,
                     is_final: false,
                 };
-                checker.messages.insert(id, messages);
+                checker.messages.insert(id, message);
             }
-            Step::Finish { which, how } => {
+            Step::Finish { index, outcome_index } => {
                 let in_flight: Vec<u32> =
-                    checker.messages.iter().filter(|(_, h)| h.in_flight.is_some()).map(|(i, _)| *i).collect();
+                    checker.messages.iter().filter(|(_, m)| m.in_flight.is_some()).map(|(i, _)| *i).collect();
                 if !in_flight.is_empty() {
-                    finish(&mut bench, &mut checker, in_flight[which % in_flight.len()], outcome(how));
+                    finish(
+                        &mut bench,
+                        &mut checker,
+                        in_flight[index % in_flight.len()],
+                        outcome(outcome_index),
+                    );
                 }
             }
-            Step::Gone(which) => {
+            Step::ClientGone(index) => {
                 let open: Vec<u32> =
-                    checker.messages.iter().filter(|(_, h)| !h.is_final).map(|(i, _)| *i).collect();
+                    checker.messages.iter().filter(|(_, m)| !m.is_final).map(|(i, _)| *i).collect();
                 if !open.is_empty() {
-                    let gone = open[which % open.len()];
-                    bench.handle(Event::ClientGone(MessageId(gone)));
-                    checker.messages.get_mut(&gone).expect("open").is_final = true;
+                    let withdrawn = open[index % open.len()];
+                    bench.handle(Event::ClientGone(MessageId(withdrawn)));
+                    checker.messages.get_mut(&withdrawn).expect("open").is_final = true;
                 }
             }
             Step::Mode { endpoint, mode } => {
@@ -224,29 +230,29 @@
         }
         let actions = bench.decide();
         checker.check(bench.now, &actions);
-        all.extend(actions);
+        all_actions.extend(actions);
     }
-    assert!(checker.messages.values().all(|h| h.is_final), "every message has its final answer");
-    all
+    assert!(checker.messages.values().all(|m| m.is_final), "every message has its final answer");
+    all_actions
 }
 
 fn finish(bench: &mut Bench, checker: &mut RuleChecker, id: u32, outcome: Outcome) {
-    let messages = checker.messages.get_mut(&id).expect("known");
-    let (endpoint, sent) = messages.in_flight.take().expect("out");
-    let never = matches!(outcome, Outcome::Rejected(_) | Outcome::ConnectFailed | Outcome::NotSent);
-    if !never && messages.first_may_have_run.is_none() {
-        messages.first_may_have_run = Some(sent);
+    let message = checker.messages.get_mut(&id).expect("known");
+    let (endpoint, sent) = message.in_flight.take().expect("in flight");
+    let never_ran = matches!(outcome, Outcome::Rejected(_) | Outcome::ConnectFailed | Outcome::NotSent);
+    if !never_ran && message.first_may_have_run.is_none() {
+        message.first_may_have_run = Some(sent);
     }
     if outcome == Outcome::Ok {
-        messages.is_final = true;
+        message.is_final = true;
     }
     if let Outcome::Rejected(Some(wait)) = outcome {
-        let until = checker.retry_after.entry(messages.destination).or_insert(Time::ZERO);
+        let until = checker.retry_after.entry(message.destination).or_insert(Time::ZERO);
         *until = (*until).max(bench.now + wait);
     }
-    let in_order = checker.settings.classes[messages.class].in_order;
+    let in_order = checker.settings.classes[message.class].in_order;
     if in_order && matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
-        checker.blocked_keys.insert(messages.key, bench.now + checker.settings.rules.order_settle);
+        checker.blocked_keys.insert(message.key, bench.now + checker.settings.rules.order_settle);
     }
     bench.finish(id, endpoint, outcome, bench.now - sent);
 }
@@ -259,7 +265,7 @@
 #[test]
 fn the_rules_hold_whatever_happens() {
     let check = |steps: Vec<Step>| {
-        play(&steps, 3);
+        run_steps(&steps, 3);
         Ok(())
     };
     runner().run(&steps(), check).unwrap();
@@ -268,7 +274,7 @@
 #[test]
 fn identical_events_give_identical_actions() {
     let check = |steps: Vec<Step>| {
-        prop_assert_eq!(play(&steps, 5), play(&steps, 5));
+        prop_assert_eq!(run_steps(&steps, 5), run_steps(&steps, 5));
         Ok(())
     };
     runner().run(&steps(), check).unwrap();
@@ -292,12 +298,12 @@
         let (settings, endpoints) = test_setup();
         Bench::new(settings, endpoints)
     };
-    let (mut alone, mut one, mut two) = (fresh(), fresh(), fresh());
-    two.now = two.now + Duration::from_secs(9);
+    let (mut alone, mut first, mut second) = (fresh(), fresh(), fresh());
+    second.now = second.now + Duration::from_secs(9);
     for step in 0..300 {
         let expected = run(&mut alone, step);
-        let seen = run(&mut one, step);
-        run(&mut two, step * 2);
+        let seen = run(&mut first, step);
+        run(&mut second, step * 2);
         assert_eq!(seen, expected);
     }
 }
--- a/crates/cloverstile/tests/restart.rs
+++ b/crates/cloverstile/tests/restart.rs
@@ -9,7 +9,7 @@
 fn bench(classes: Vec<Class>, acknowledged_answers: bool) -> Bench {
     let settings = Settings { acknowledged_answers, ..settings(classes) };
     let rules = Rules { order_settle: ms(100), ..settings.rules.clone() };
-    Bench::new(Settings { rules: rules, ..settings }, vec![endpoint(11, 3)])
+    Bench::new(Settings { rules, ..settings }, vec![endpoint(11, 3)])
 }
 
 fn restored(bench: &Bench, id: u32, key: Option<u64>, attempts: u32, may_have_run: Option<Time>) -> Restored {
--- a/crates/cloverstile/tests/shared_limit.rs
+++ b/crates/cloverstile/tests/shared_limit.rs
@@ -98,7 +98,8 @@
         self.members[member].0.has_events = true;
     }
 
-    /// Runs for a time with `load` messages per call of the limit. Returns calls sent and calls served, relative to the limit.
+    /// Enqueues `load` messages per call of the limit for some seconds. Returns calls sent and calls served, relative to the
+    /// limit.
     fn run(&mut self, seconds: u64, load: f64) -> (f64, f64) {
         (self.calls, self.served) = (0, 0);
         let end = self.now + Duration::from_secs(seconds);
@@ -120,8 +121,8 @@
             self.deliver_events();
             (0..self.members.len()).for_each(|member| self.decide(member));
         }
-        let whole = self.limit * seconds as f64;
-        (self.calls as f64 / whole, self.served as f64 / whole)
+        let limit_calls = self.limit * seconds as f64;
+        (self.calls as f64 / limit_calls, self.served as f64 / limit_calls)
     }
 
     fn deliver_events(&mut self) {
@@ -171,7 +172,7 @@
                 Action::Route { message: MessageId(message), .. } => {
                     self.calls += 1;
                     self.tokens -= 1.0;
-                    let refused = self.tokens < 0.0;
+                    let rejected = self.tokens < 0.0;
                     self.tokens = self.tokens.max(-1.0);
                     let known = self.reports.iter().rev().find(|(at, _)| *at + REPORT_DELAY <= self.now);
                     let report = known
@@ -179,7 +180,7 @@
                             *report
                         });
                     let (outcome, after) =
-                        if refused { (Outcome::Rejected(None), ms(20)) } else { (Outcome::Ok, CALL_TIME) };
+                        if rejected { (Outcome::Rejected(None), ms(20)) } else { (Outcome::Ok, CALL_TIME) };
                     let attempts = self.attempts.entry(message).or_default();
                     let attempt = *attempts;
                     *attempts += 1;
@@ -204,15 +205,16 @@
 
 /// Disturbs fleets of all sizes, with two seeds each, and asserts that five seconds later the calls are near the limit and most
 /// of the limit is used.
-fn assert_settles(what: &str, load: f64, disturb: impl Fn(&mut Fleet)) {
+fn assert_settles(disturbance: &str, load: f64, disturb: impl Fn(&mut Fleet)) {
     for couriers in COURIER_COUNTS {
         for seed in 1..=2 {
             let mut fleet = Fleet::new(couriers, seed);
             disturb(&mut fleet);
             fleet.run(5, load);
             let (calls, served) = fleet.run(8, load);
-            let case =
-                format!("{what}, {couriers} couriers: {calls:.2} of the limit called, {served:.2} used");
+            let case = format!(
+                "{disturbance}, {couriers} couriers: {calls:.2} of the limit called, {served:.2} used"
+            );
             println!("{case}");
             assert!(calls <= 1.15 && served >= 0.6, "{case}");
         }
@@ -221,12 +223,12 @@
 
 #[test]
 fn after_a_simultaneous_start() {
-    assert_settles("a common start", 1.2, |fleet| fleet.restart(10, 400 / fleet.members.len()));
+    assert_settles("a simultaneous start", 1.2, |fleet| fleet.restart(10, 400 / fleet.members.len()));
 }
 
 #[test]
 fn after_most_were_restarted() {
-    assert_settles("a herd restart", 1.2, |fleet| {
+    assert_settles("a restart of most couriers", 1.2, |fleet| {
         fleet.run(5, 0.7);
         fleet.restart(7, 300 / fleet.members.len());
     });
--- a/crates/cloverstile/tests/trials.rs
+++ b/crates/cloverstile/tests/trials.rs
@@ -46,13 +46,13 @@
 
 #[test]
 fn unsafe_messages_are_rarely_risked_in_an_outage() {
-    let unsafe_ones = trials(unsafe_class(), Outcome::Error, ms(20));
-    assert!(unsafe_ones < 60, "{unsafe_ones} unsafe messages were lost to a failing destination");
+    let sent = trials(unsafe_class(), Outcome::Error, ms(20));
+    assert!(sent < 60, "{sent} unsafe messages were lost to a failing destination");
 }
 
 /// The messages sent in five seconds to a destination that does not answer, with half of the call slots taken elsewhere.
 /// `waiting` holds the class of each message: 0 is repeatable, 1 is not.
-fn during_an_unanswered_trial(waiting: &[u8]) -> Vec<u32> {
+fn sent_during_an_unanswered_trial(waiting: &[u8]) -> Vec<u32> {
     let settings = Settings { call_slots: 8, cancel: false, ..settings(vec![safe(), unsafe_class()]) };
     let mut bench = Bench::new(settings, vec![endpoint(7, 1), endpoint(8, 2)]);
     // Other calls hold four of eight slots, so that a quarter of the free slots allows no second trial call.
@@ -80,17 +80,17 @@
 
 #[test]
 fn one_unanswered_trial_call_does_not_delay_the_next() {
-    assert!(during_an_unanswered_trial(&[0, 0]).contains(&20));
+    assert!(sent_during_an_unanswered_trial(&[0, 0]).contains(&20));
 }
 
 #[test]
-fn no_unsafe_message_is_risked_during_an_unanswered_trial_call() {
-    assert_eq!(during_an_unanswered_trial(&[1, 1]), Vec::<u32>::new());
+fn no_unsafe_message_is_risked_sent_during_an_unanswered_trial_call() {
+    assert_eq!(sent_during_an_unanswered_trial(&[1, 1]), Vec::<u32>::new());
 }
 
 #[test]
 fn unanswered_trial_calls_do_not_accumulate() {
-    let sent = during_an_unanswered_trial(&[0; 12]);
+    let sent = sent_during_an_unanswered_trial(&[0; 12]);
     // A quarter of eight slots, including the call in flight.
     assert_eq!(sent.len(), 1, "{sent:?}");
 }
@@ -118,12 +118,15 @@
 #[test]
 fn the_trial_owner_calls_for_all_couriers_and_its_term_expires() {
     for outcome in [Outcome::Error, Outcome::ConnectFailed] {
-        let owner = trials_with_owner(|now| TrialOwner::ThisCourier(now + ms(500)), outcome);
+        let by_owner = trials_with_owner(|now| TrialOwner::ThisCourier(now + ms(500)), outcome);
         let own = trials_with_owner(|_| TrialOwner::EachCourier, outcome);
-        assert!((25..400).contains(&owner), "{outcome:?}: {owner} by the trial owner");
-        assert!(owner > 2 * own, "{outcome:?}: {owner} by the trial owner, {own} by a courier without one");
-        let other = trials_with_owner(|now| TrialOwner::OtherCourier(now + ms(500)), outcome);
-        assert!(other < 10, "{outcome:?}: {other} by another courier");
+        assert!((25..400).contains(&by_owner), "{outcome:?}: {by_owner} by the trial owner");
+        assert!(
+            by_owner > 2 * own,
+            "{outcome:?}: {by_owner} by the trial owner, {own} by a courier without one"
+        );
+        let by_other = trials_with_owner(|now| TrialOwner::OtherCourier(now + ms(500)), outcome);
+        assert!(by_other < 10, "{outcome:?}: {by_other} by another courier");
         let (start, expiry) = (Time(0), Time(0) + Duration::from_secs(1));
         for past in [TrialOwner::ThisCourier(start), TrialOwner::OtherCourier(expiry)] {
             assert_eq!(trials_with_owner(|_| past, outcome), own, "{outcome:?}: {past:?} has expired");
--- a/crates/cloverstile/tests/windows.rs
+++ b/crates/cloverstile/tests/windows.rs
@@ -43,12 +43,12 @@
 /// works: all other messages, ten a second, are answered.
 fn reset_after(bench: &mut Bench, after: Duration) -> Observation {
     bench.accept(OBSERVED, 0, 1, None);
-    let begun = bench.now;
+    let begin = bench.now;
     let deadline = bench.settings.classes[0].deadline;
     let mut observation = Observation { sent: Vec::new(), ended: None, timeout: Duration::ZERO };
     let (mut first, mut others, mut next) = (None, Vec::new(), 0);
-    while bench.now < begun + deadline && observation.ended.is_none() {
-        if bench.now - begun >= ms(100 * next) {
+    while bench.now < begin + deadline && observation.ended.is_none() {
+        if bench.now - begin >= ms(100 * next) {
             bench.accept(OBSERVED + 1 + next as u32, 0, 1, None);
             next += 1;
         }
@@ -103,10 +103,10 @@
         let aim = (deadline as f64 * aim_part) as u64;
         let after = ms((window as f64 * reset_part) as u64);
         let mut bench = warmed_up(class(aim, deadline, window));
-        let begun = bench.now;
+        let begin = bench.now;
         let observation = reset_after(&mut bench, after);
         let first = observation.sent[0];
-        let (window, until) = (ms(window), begun + ms(deadline));
+        let (window, until) = (ms(window), begin + ms(deadline));
         prop_assert!(observation.sent.iter().all(|at| *at < first + window), "sent after the window: {observation:?}");
         let reset = first + after;
         // The reset is reported up to a millisecond later, and the shortest gap is one step of the loop.
@@ -116,7 +116,7 @@
         if reset_part > 0.91 && reset + ms(5) < until {
             prop_assert_eq!(observation.sent.len(), 1);
             let ended = observation.ended.unwrap_or(until);
-            prop_assert!(ended - reset <= ms(5), "it waited for its deadline: {observation:?}");
+            prop_assert!(ended - reset <= ms(5), "the message waited for its deadline: {observation:?}");
         }
     }
 }
