--- a/crates/cloverstile/src/choice.rs
+++ b/crates/cloverstile/src/choice.rs
@@ -26,20 +26,19 @@
 const BACKOFF_BASE_AIMS: f64 = 0.05;
 /// Maximum backoff: a repeat that waits longer rarely pays off.
 const MAX_BACKOFF_AIMS: f64 = 0.7;
-/// Share of the repeat window at its end in which nothing is resent, so that the call still arrives within
-/// it.
+/// Last part of the repeat window in which nothing is resent, so that calls still arrive within the window.
 const REPEAT_WINDOW_MARGIN: f64 = 0.1;
 /// Latency assumed before the first answer, in shortest aims.
 const INITIAL_LATENCY_AIMS: f64 = 0.1;
-/// Minimum weight of a new sample in the average latency.
+/// Minimum weight of a new sample in the average latency; the first samples weigh more.
 const MIN_LATENCY_GAIN: f64 = 0.15;
 /// Timeout of a repeatable attempt, in latencies (mean plus deviation) of its route, and its bounds in aims.
 const TIMEOUT_LATENCIES: f64 = 4.0;
 const MIN_TIMEOUT_AIMS: f64 = 0.5;
 const MAX_TIMEOUT_AIMS: f64 = 3.0;
-/// Time without an answer after which a call counts as stalled, in latencies of its route, ...
+/// Time without an answer after which a call counts as stalled, in latencies of its route.
 const STALL_LATENCIES: f64 = 3.0;
-/// and its minimum in shortest aims: short pauses of a partner must not count.
+/// Minimum of that time in shortest aims: short pauses of a partner must not count.
 const MIN_STALL_AIMS: f64 = 0.25;
 /// Stall timeouts after which an unrepeatable call is cancelled: its messages are lost then.
 const UNSAFE_CANCEL_STALLS: u32 = 2;
@@ -57,21 +56,19 @@
 const LOW_TRAFFIC_SPREAD_CALLS: f64 = 4.0;
 /// Random delay of the first call after a restart during a possible outage, in calls at the allowed rate.
 const RESTART_SPREAD_CALLS: f64 = 3.0;
-/// Minimum jitter factor of a trial gap: couriers that failed together must not retry together.
+/// Minimum jitter factor of trial gaps. Couriers whose calls failed together must not retry together.
 const MIN_TRIAL_JITTER: f64 = 0.25;
 /// An outage shorter than this is not followed by a slow start.
 const SHORT_OUTAGE_WINDOWS: f64 = 0.6;
-/// Evidence from which on a route is in an outage, and how much each failure adds. A failed connection is
-/// proof. Two lost calls or errors are enough, as a courier with low traffic sees few. Single rejections are
-/// normal.
+/// Evidence from which on a route is in an outage, and the evidence of each kind of failure. One failed
+/// connection is enough, or two lost calls or errors, as a courier with low traffic sees few of them.
 const OUTAGE_EVIDENCE: u32 = 6;
 const EVIDENCE_NO_CONNECTION: u32 = 6;
 const EVIDENCE_LOST: u32 = 3;
 const EVIDENCE_REJECTED: u32 = 1;
 /// Share of the collapse budget that is used. Rejected calls, batches and random variation need the rest.
 const COLLAPSE_BUDGET_USED: f64 = 0.8;
-/// Further share left unused when there are many couriers: those with low traffic get a fair share
-/// regardless.
+/// Further share left unused with many couriers, as those with low traffic still have their fair share.
 const COLLAPSE_BUDGET_RESERVE: f64 = 0.05;
 /// Up to this many couriers no such reserve is needed.
 const FEW_COURIERS: f64 = 4.0;
@@ -90,14 +87,13 @@
 const TARGET_REMAINING: f64 = 0.4;
 const REMAINING_GAIN: f64 = 0.5;
 const REMAINING_GROWTH_PER_S: f64 = 0.5;
-/// Fair shares of the limit below which only the last rate cut goes: all couriers at this rate stay within
-/// it.
+/// Part of the fair share below which only the last rate cut goes: at this rate all couriers keep the limit.
 const FAIR_SHARE_USED: f64 = 0.9;
-/// Rate of a new route: if many couriers started at the whole limit, they would exceed it many times.
+/// Initial rate of a new route. If all couriers started at the whole limit, they would exceed it many times.
 const INITIAL_FAIR_SHARES: f64 = 2.0;
 /// Time over which recent calls are counted.
 const RECENT_CALLS_S: f64 = 1.0;
-/// Size of the token bucket in seconds of the rate; at least one call.
+/// Size of the token bucket in seconds of the allowed rate; at least one call.
 const BURST_S: f64 = 0.4;
 /// Part of a tenant's quota that this courier grants: more than a fair share, as traffic is uneven.
 const QUOTA_FAIR_SHARES: f64 = 1.25;
@@ -111,11 +107,11 @@
 const SHED_ABOVE_SHARE: f64 = 0.93;
 /// Weight of a new sample in the risk that idle connections are dropped without notice.
 const IDLE_DROP_GAIN: f64 = 0.15;
-/// Risk from which on idle connections are closed before use: by an unrepeatable message, which would be
-/// lost, and by a repeatable one, which would only be late.
+/// Risk from which on idle connections are closed before use: for unrepeatable messages, which would be lost,
+/// and for repeatable ones, which would only be late.
 const MAX_IDLE_RISK_UNSAFE: f64 = 0.03;
 const MAX_IDLE_RISK_REPEATABLE: f64 = 0.25;
-/// Added to that: this multiple of the risk on new connections, which varies randomly.
+/// Multiple of the risk on new connections that is added to these limits, as the estimates vary randomly.
 const IDLE_DROP_BASELINES: f64 = 2.0;
 /// A connection used more recently than this, in shortest aims, is not idle: its losses have other causes.
 const MIN_IDLE_AIMS: f64 = 0.1;
