--- a/crates/cloverstile/src/choice.rs
+++ b/crates/cloverstile/src/choice.rs
@@ -330,7 +330,7 @@
     }
 
     fn on_outage_restored(&mut self, now: Time, record: OutageRecord) {
-        let (settings, chance) = (&self.settings, self.rng.f64());
+        let (settings, random) = (&self.settings, self.rng.f64());
         let Some(route) = self.routes.get_mut(&RouteId(record.destination, record.endpoint)) else { return };
         route.last_success = record.since;
         route.outage_evidence = record.evidence;
@@ -338,25 +338,24 @@
         route.unanswered_call = record.evidence >= EVIDENCE_LOST;
         route.slow_start_since = record.slow_start_since;
         route.served_rate = record.served_rate;
-        // Couriers that restart together must not each start with a saved call.
-        route.tokens = if record.evidence > 0 { 0.5 - chance * RESTART_SPREAD_CALLS } else { 0.0 };
+        // Random, as couriers that restart together must not each send a call at once.
+        route.tokens = if record.evidence > 0 { 0.5 - random * RESTART_SPREAD_CALLS } else { 0.0 };
         if let Some(calls_lost) = record.calls_lost {
             let (began, confirmed) = (record.since, true);
             route.outage = Some(OutageState { began, confirmed, calls_lost, ..OutageState::default() });
-            route.schedule_trial(now, settings, chance);
+            route.schedule_trial(now, settings, random);
         }
     }
 
-    /// Treats the result of another courier's trial call like an own one, unless this courier has newer
-    /// results.
+    /// Treats the result of another courier's trial call like its own, unless it has newer results.
     fn on_peer_report(&mut self, now: Time, destination: DestinationId, report: PeerReport) {
-        let (settings, chance) = (&self.settings, self.rng.f64());
+        let (settings, random) = (&self.settings, self.rng.f64());
         let short_outage = settings.rules.collapse_window.mul_f64(SHORT_OUTAGE_WINDOWS);
         let Some(route) = self.routes.get_mut(&RouteId(destination, None)) else { return };
         match report {
             PeerReport::RetryAfter(until) if until - now > short_outage => {
                 route.retry_after_until = route.retry_after_until.max(until);
-                route.close_until_retry_after(now, settings, chance);
+                route.close_until_retry_after(now, settings, random);
             }
             PeerReport::RetryAfter(_) => {}
             PeerReport::Served(at) => {
@@ -368,8 +367,8 @@
         }
     }
 
-    /// Whether a tenant exceeds its quota. The quota is shared by all couriers, whose use of it is unknown
-    /// here: this courier grants a fixed part of it.
+    /// Whether a tenant exceeds this courier's part of its quota. The part is fixed, as it is not known how much
+    /// of the quota the other couriers use.
     fn is_over_quota(&mut self, now: Time, tenant: TenantId) -> bool {
         let Some(quota) = self.settings.tenants.get(tenant.0 as usize).map(|t| t.quota) else { return false };
         let part = (QUOTA_FAIR_SHARES / courier_count(&self.settings)).min(1.0);
@@ -384,8 +383,7 @@
     }
 
     fn on_finished(&mut self, now: Time, finished: Finished) {
-        // A retry-after time applies at once, whichever message of a call reports it, even if the message is
-        // gone.
+        // A retry-after time applies whichever message of a call reports it, and even if that message is gone.
         if let Outcome::Rejected(Some(wait)) = finished.outcome {
             let route = self.endpoints.get(&finished.endpoint).map(|e| self.route_of(&e.entry));
             if let Some(route) = route.and_then(|id| self.routes.get_mut(&id)) {
@@ -518,7 +516,7 @@
 
     /// Updates limit, rate, latency and outage state of a route with the outcome of a call.
     fn update_route(&mut self, now: Time, finished: &Finished, call: &Call) {
-        let (settings, chance) = (&self.settings, self.rng.f64());
+        let (settings, random) = (&self.settings, self.rng.f64());
         let waiting = self.queues.open_messages(call.route.0) as f64;
         let Some(route) = self.routes.get_mut(&call.route) else { return };
         let report = finished.limit_report.filter(|report| report.limit > 0.0);
@@ -535,7 +533,7 @@
             }
             route.limit_reported_at = now;
         }
-        // A single courier never needs more than the whole limit.
+        // The rate of one courier never exceeds the limit of all.
         if settings.weight_source != WeightSource::Unspecified {
             route.rate = route.rate.min(route.limit);
         }
@@ -573,14 +571,13 @@
             // Closed for a given time: all rejected couriers would return at once. The slow start begins at
             // that time, with a random delay, and no tokens are saved up before.
             Outcome::Rejected(Some(wait)) if wait > short_outage => {
-                route.close_until_retry_after(now, settings, chance);
+                route.close_until_retry_after(now, settings, random);
                 return;
             }
             Outcome::Rejected(_) => {
-                // Rejected although the limit is not used up: the destination is closed, or hangs with a full
-                // queue.
-                let room = report.is_some_and(|report| report.remaining_share > REJECTED_WITH_ROOM);
-                route.outage_evidence += if room { EVIDENCE_LOST } else { EVIDENCE_REJECTED };
+                // Rejected with the limit not used up: the destination is closed, or hangs with a full queue.
+                let has_room = report.is_some_and(|report| report.remaining_share > REJECTED_WITH_ROOM);
+                route.outage_evidence += if has_room { EVIDENCE_LOST } else { EVIDENCE_REJECTED };
                 if now - route.last_rate_cut > RATE_CUT_INTERVAL {
                     let cut = RATE_CUTS[route.rate_cuts.min(RATE_CUTS.len() - 1)];
                     route.rate_cuts += 1;
@@ -589,9 +586,8 @@
                         // Every other courier has a backlog too.
                         fair_share * (1.0 + 1.0 / waiting.max(1.0))
                     } else {
-                        // A burst must not expire because it waits at the usual rate: the backlog counts.
-                        // Where a call carries several messages they go together, and one call per aim is
-                        // enough.
+                        // The backlog counts, or a burst would expire while it waits at the usual rate. Where
+                        // calls carry several messages it goes together, and one call per aim is enough.
                         let call_per_aim = shortest_aim_seconds(settings).recip();
                         let single = route.max_batch <= 1;
                         let (waiting, max) = if single { (waiting, f64::MAX) } else { (0.0, call_per_aim) };
@@ -609,7 +605,7 @@
                 // Random, as couriers that were rejected together would otherwise return together.
                 let spread =
                     if route.has_low_traffic(now, settings) { LOW_TRAFFIC_SPREAD_CALLS } else { 1.0 };
-                route.tokens = route.tokens.min(0.5 - chance * spread);
+                route.tokens = route.tokens.min(0.5 - random * spread);
                 // No tokens are saved up before the retry-after time, which ends for all couriers at once.
                 route.refilled_at = route.refilled_at.max(route.retry_after_until);
             }
@@ -636,11 +632,11 @@
                 _ => false,
             };
             // A slow start continues after a short outage and starts over after a long one.
-            route.schedule_trial(now, settings, chance);
+            route.schedule_trial(now, settings, random);
         }
     }
 
-    /// Marks the calls that have become stalled. Returns when the next call will be.
+    /// Marks the calls that have become stalled. Returns when the next call becomes stalled.
     fn mark_stalled_calls(&mut self, now: Time) -> Option<Time> {
         let mut next = None;
         for id in self.calls.iter().filter(|(_, call)| !call.stalled).map(|(id, _)| *id).collect::<Vec<_>>() {
@@ -749,8 +745,7 @@
     // ---- Selection and sending ----
 
     /// Assigns each free slot to the ready destination with the fewest live calls; among equals, to the one
-    /// whose best message has the highest value. Lowers `next` to the time when a further destination may be
-    /// ready.
+    /// whose best message has the highest value. Lowers `next` to the time when another may be ready.
     fn fill_free_slots(&mut self, now: Time, next: &mut Option<Time>) {
         self.reindex_outdated(now);
         let mut ready: Vec<ReadyDestination> = Vec::new();
@@ -804,8 +799,7 @@
     }
 
     /// The message with the highest priority that may be sent now, and its priority. In an outage, messages
-    /// that are fit for trial calls come first; others are risked only at the slower unrepeatable trial
-    /// times.
+    /// that fit a trial call come first; others are risked only at the slower `next_unrepeatable_trial`.
     fn best_message(&self, now: Time, route: RouteId, next: &mut Option<Time>) -> Option<(MessageId, f64)> {
         let outage = self.routes.get(&route).and_then(|r| r.outage.as_ref());
         let queue = self.queues.get(route.0)?;
@@ -1205,12 +1199,12 @@
     }
 
     /// No calls until the retry-after time is over; the slow start begins then.
-    fn close_until_retry_after(&mut self, now: Time, settings: &Settings, chance: f64) {
+    fn close_until_retry_after(&mut self, now: Time, settings: &Settings, random: f64) {
         let spread = if self.has_low_traffic(now, settings) { LOW_TRAFFIC_SPREAD_CALLS } else { 1.0 };
         self.outage = None;
         self.slow_start_since = Some(self.retry_after_until);
         self.refilled_at = self.retry_after_until;
-        self.tokens = 1.0 - chance * spread;
+        self.tokens = 1.0 - random * spread;
     }
 
     /// Mean time between calls to one cold endpoint of several, from its fair part of the collapse budget.
@@ -1222,19 +1216,19 @@
     /// Sets when the next trial call in an outage may be sent: after growing, jittered gaps, within this
     /// courier's collapse budget. Where calls fail fast, the budget alone limits repeatable messages: no slot
     /// is blocked, some calls get through, and growing gaps would only make messages late.
-    fn schedule_trial(&mut self, now: Time, settings: &Settings, chance: f64) {
+    fn schedule_trial(&mut self, now: Time, settings: &Settings, random: f64) {
         let budget_gap = Duration::from_secs_f64(self.collapse_budget(now, settings, 0.0).max(0.001).recip());
         let owns_trials = self.owns_trials(now);
         let Some(outage) = &mut self.outage else { return };
         let window = settings.rules.collapse_window;
         let backoff = exponential_backoff(window, FIRST_TRIAL_GAP_WINDOWS, outage.trials);
         let gap = backoff.min(window.mul_f64(MAX_TRIAL_GAP_WINDOWS));
-        let jitter = MIN_TRIAL_JITTER + chance * (1.0 - MIN_TRIAL_JITTER);
+        let jitter = MIN_TRIAL_JITTER + random * (1.0 - MIN_TRIAL_JITTER);
         // Gaps start after the retry-after time, or all couriers that wait for it would return together.
         let from = now.max(self.retry_after_until);
         // Where calls are not answered, the mean gap is no shorter than the budget demands, as the calls of
         // all couriers (200, say) add up.
-        let slow_gap = gap.mul_f64(jitter).max(budget_gap.mul_f64(0.5 + chance));
+        let slow_gap = gap.mul_f64(jitter).max(budget_gap.mul_f64(0.5 + random));
         outage.next_unrepeatable_trial = from + slow_gap;
         // The trial owner need not use up the budget of all couriers: the first gap is short enough.
         let min_gap = window.mul_f64(FIRST_TRIAL_GAP_WINDOWS);
