--- a/crates/cloverstile-wirehost/src/wire.rs
+++ b/crates/cloverstile-wirehost/src/wire.rs
@@ -28,9 +28,11 @@
 pub struct Entry {
     pub endpoint: u32,
     pub zone: u8,
+    /// Index of the kind of destination.
     pub kind: u16,
     /// Destination of the endpoint.
     pub cell: u16,
+    /// 1: draining, 2: removed, 3: ready.
     pub mode: u8,
     pub weight: f32,
     /// When the endpoint started.
@@ -49,6 +51,7 @@
         instance: u16,
         /// Number of the endpoint list.
         slot: u16,
+        /// Version of the listing.
         generation: u32,
         /// 0: changed entries, 1 or 2: the complete listing, 3: not available.
         kind: u8,
@@ -59,9 +62,11 @@
         message: u32,
         class: u8,
         destination: f32,
+        /// Order key; 0 for none.
         key: u64,
         deadline: u64,
         weight_hint: u64,
+        /// Bit flags.
         options: u8,
         tenant: u32,
     },
@@ -86,8 +91,10 @@
 pub struct FinishedRecord {
     pub instance: u16,
     pub message: u32,
+    /// Outcome: 100 is success, 301 to 307 are failures.
     pub code: u16,
     pub latency: u64,
+    /// The message is final.
     pub complete: bool,
     pub endpoint: u32,
     pub attempt: u16,
@@ -100,17 +107,29 @@
 /// A record of a reply; see [`cloverstile::Action`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
+    /// Sends a message to an endpoint.
     Route { instance: u16, message: u32, endpoint: u32, timeout: u64 },
+    /// Returns a message that did not run.
     Return { instance: u16, message: u32, retry_after: u64 },
+    /// Abandons a message.
     ReportFailure { instance: u16, message: u32 },
+    /// Cancels an attempt.
     CancelAttempt { instance: u16, message: u32, attempt: u16 },
+    /// Requests a `TimerExpired` record.
     SetTimer { instance: u16, after: u64, token: u64 },
+    /// Probes an endpoint.
     Probe { instance: u16, endpoint: u32 },
+    /// Closes idle connections to an endpoint.
     CloseIdle { instance: u16, endpoint: u32 },
+    /// Sends a note to another courier, or to all if `peer` is 65535.
     SendNote { instance: u16, peer: u16, text: Vec<u8> },
+    /// Writes a line to the log.
     Log { instance: u16, text: String },
+    /// Reports a panic of the instance.
     Panic { instance: u16, text: String },
+    /// Subscribes to changes of the listing, or ends the subscription.
     SubscribeListing { instance: u16, active: bool },
+    /// Requests the complete listing.
     RefreshListing { instance: u16 },
 }
 
--- a/crates/cloverstile/src/choice.rs
+++ b/crates/cloverstile/src/choice.rs
@@ -367,8 +367,8 @@
         }
     }
 
-    /// Whether a tenant exceeds this courier's part of its quota. The part is fixed, as it is not known how much
-    /// of the quota the other couriers use.
+    /// Whether a tenant exceeds this courier's part of its quota. The part is fixed, as it is not known how
+    /// much of the quota the other couriers use.
     fn is_over_quota(&mut self, now: Time, tenant: TenantId) -> bool {
         let Some(quota) = self.settings.tenants.get(tenant.0 as usize).map(|t| t.quota) else { return false };
         let part = (QUOTA_FAIR_SHARES / courier_count(&self.settings)).min(1.0);
@@ -383,7 +383,7 @@
     }
 
     fn on_finished(&mut self, now: Time, finished: Finished) {
-        // A retry-after time applies whichever message of a call reports it, and even if that message is gone.
+        // A retry-after time applies whichever message of a call reports it, even if that message is gone.
         if let Outcome::Rejected(Some(wait)) = finished.outcome {
             let route = self.endpoints.get(&finished.endpoint).map(|e| self.route_of(&e.entry));
             if let Some(route) = route.and_then(|id| self.routes.get_mut(&id)) {
@@ -652,6 +652,7 @@
         next
     }
 
+    /// Time without an answer after which a call on a route counts as stalled.
     fn stall_timeout(&self, id: RouteId) -> Duration {
         let expected = self.routes.get(&id).map_or(0.0, |route| route.latency.scaled(STALL_LATENCIES));
         Duration::from_secs_f64(expected.max(shortest_aim_seconds(&self.settings) * MIN_STALL_AIMS))
@@ -870,6 +871,7 @@
         self.full_worth(message) * ((1.0 + WAITING_LOSS_WEIGHT) * now_share - WAITING_LOSS_WEIGHT * ahead)
     }
 
+    /// Worth of a message that is delivered within its aim.
     fn full_worth(&self, message: &Message) -> f64 {
         let share = if message.over_quota { self.settings.over_quota_worth } else { 1.0 };
         self.class(message).worth * share
@@ -894,8 +896,7 @@
     }
 
     /// The endpoint of a route with the fewest calls in flight, failing ones last, within the dedup scope of
-    /// a repeat. Ties are broken by a random preference: couriers with few calls would otherwise all pick the
-    /// same.
+    /// a repeat. Ties are broken by a random preference, or all couriers with few calls would pick the same.
     fn select_endpoint(&self, now: Time, id: RouteId, message: MessageId) -> Option<EndpointId> {
         let message = self.messages.get(&message)?;
         let class = self.class(message);
@@ -1012,8 +1013,7 @@
         timeout.min(left)
     }
 
-    /// Cancels the oldest stalled call if messages wait and no slot is free. Unrepeatable calls get more
-    /// time.
+    /// If messages wait and no slot is free, cancels the oldest stalled call. Unrepeatable ones get more time.
     fn cancel_stalled_call(&mut self, now: Time) {
         if !self.settings.cancel || self.free_slots() > 0 || self.open_messages <= self.calls.len() {
             return;
@@ -1053,6 +1053,7 @@
         })
     }
 
+    /// Gives an open message its final answer and closes it.
     fn give_final_answer(&mut self, now: Time, id: MessageId) {
         let action = self.final_answer(now, id);
         if action.is_some() {
@@ -1084,6 +1085,7 @@
         self.open_messages < if worth < max_worth { self.shed_threshold() } else { self.settings.max_held }
     }
 
+    /// Number of open messages from which on only messages of the most worth are accepted or kept.
     fn shed_threshold(&self) -> usize {
         (self.settings.max_held as f64 * SHED_ABOVE_SHARE) as usize
     }
@@ -1149,7 +1151,7 @@
 }
 
 impl Route {
-    /// Whether this courier has too few messages for a meaningful demand (`LOW_TRAFFIC_MESSAGES`).
+    /// Whether this courier has too few messages to estimate its demand (see `LOW_TRAFFIC_MESSAGES`).
     fn has_low_traffic(&mut self, now: Time, settings: &Settings) -> bool {
         let warm_up = warm_up_seconds(settings);
         self.demand.add_and_rate(now, warm_up, 0.0) * warm_up < LOW_TRAFFIC_MESSAGES
