--- a/crates/cloverstile/src/choice.rs
+++ b/crates/cloverstile/src/choice.rs
@@ -1013,7 +1013,7 @@
         timeout.min(left)
     }
 
-    /// If messages wait and no slot is free, cancels the oldest stalled call. Unrepeatable ones get more time.
+    /// If messages wait and no slot is free, cancels the oldest stalled call, an unrepeatable one only later.
     fn cancel_stalled_call(&mut self, now: Time) {
         if !self.settings.cancel || self.free_slots() > 0 || self.open_messages <= self.calls.len() {
             return;
