--- a/crates/cloverstile/src/choice/tests.rs
+++ b/crates/cloverstile/src/choice/tests.rs
@@ -1,4 +1,4 @@
-//! The index of waiting messages against a plain walk over them, and the work that a turn takes.
+//! Compares the message index with a scan of all messages, and checks that the work per `decide` is bounded.
 
 use super::*;
 use proptest::prelude::*;
@@ -9,7 +9,8 @@
     static EXAMINED: Cell<u64> = const { Cell::new(0) };
 }
 
-/// A message's class was looked at, as whoever asks what it is worth or when it may be sent has to; or a destination.
+/// Counts each access to the class of a message, which every check of its worth or send time needs, and each evaluation of
+/// a destination.
 pub(super) fn note_examined() {
     EXAMINED.with(|count| count.set(count.get() + 1));
 }
@@ -24,31 +25,31 @@
     Duration::from_millis(count)
 }
 
-/// What `pick` decides, by a walk over all messages of the destination in the order in which they came.
-fn walk(courier: &Courier, now: Time, route: RouteId, next: &mut Option<Time>) -> Option<(MessageId, f64)> {
-    let spell = courier.routes.get(&route).and_then(|r| r.spell.as_ref());
+/// The result of `best_message`, by a scan of all messages of the destination in the order of acceptance.
+fn scan(courier: &Courier, now: Time, route: RouteId, next: &mut Option<Time>) -> Option<(MessageId, f64)> {
+    let outage = courier.routes.get(&route).and_then(|r| r.outage.as_ref());
     let mut queue: Vec<&Message> = courier.messages.values().collect();
-    queue.retain(|message| message.taken.destination == route.0 && !message.closed);
-    queue.sort_by_key(|message| message.arrival);
+    queue.retain(|message| message.accepted.destination == route.0 && !message.closed);
+    queue.sort_by_key(|message| message.ordinal);
     let mut best: Option<(bool, f64, MessageId)> = None;
     for message in queue {
         let at = courier.sendable_at(now, message);
         if at.is_none_or(|at| at > now) {
-            earliest(next, at);
+            keep_earliest(next, at);
             continue;
         }
-        let spare = message.attempts * 2 <= courier.settings.send_cap;
-        let fit = spell.is_none() || (spare && courier.repeatable(message));
-        if !fit && spell.is_some_and(|s| s.only_fit) {
+        let spare = message.attempts * 2 <= courier.settings.max_attempts;
+        let fit = outage.is_none() || (spare && courier.is_repeatable(message));
+        if !fit && outage.is_some_and(|outage| outage.repeatable_only) {
             continue;
         }
-        if let Some(at) = spell.map(|s| s.next_risk).filter(|at| !fit && *at > now) {
-            earliest(next, Some(at));
+        if let Some(at) = outage.map(|outage| outage.next_unrepeatable_trial).filter(|at| !fit && *at > now) {
+            keep_earliest(next, Some(at));
             continue;
         }
-        let worth = courier.worth(now, message);
+        let worth = courier.priority(now, message);
         if best.is_none_or(|(best_fit, most, _)| (fit, worth) > (best_fit, most)) {
-            best = Some((fit, worth, message.taken.id));
+            best = Some((fit, worth, message.accepted.id));
         }
     }
     best.map(|(_, worth, id)| (id, worth))
@@ -56,35 +57,35 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Time passes.
+    /// Time passes (milliseconds).
     Pass(u64),
-    /// Until shortly before or after a moment at which a message's worth may change its course.
+    /// Time passes until shortly before or after a time at which the trend of a message's worth may change.
     PassTo {
         message: usize,
-        kink: usize,
-        off: i64,
+        change: usize,
+        offset_ns: i64,
     },
     Accept {
         class: u8,
         destination: u32,
         key: u64,
-        early: usize,
+        deadline_offset: usize,
         tenant: u32,
-        again: bool,
+        from_dead_courier: bool,
     },
     Restore {
         class: u8,
         destination: u32,
         key: u64,
         attempts: u32,
-        ran: Option<u64>,
+        may_have_run_ms_ago: Option<u64>,
     },
     Finish {
-        which: usize,
-        how: usize,
+        index: usize,
+        outcome_index: usize,
     },
-    Gone(usize),
-    Heard(usize),
+    ClientGone(usize),
+    AnswerAcknowledged(usize),
     Resume,
 }
 
@@ -94,16 +95,16 @@
     let step = prop_oneof![
         4 => (0u64..300).prop_map(Step::Pass),
         6 => (0usize..64, 0usize..10, -3i64..4)
-            .prop_map(|(message, kink, off)| Step::PassTo { message, kink, off }),
-        9 => accept.prop_map(|(class, destination, key, early, tenant, again)| {
-            Step::Accept { class, destination, key, early, tenant, again }
+            .prop_map(|(message, change, offset_ns)| Step::PassTo { message, change, offset_ns }),
+        9 => accept.prop_map(|(class, destination, key, deadline_offset, tenant, from_dead_courier)| {
+            Step::Accept { class, destination, key, deadline_offset, tenant, from_dead_courier }
         }),
-        1 => restore.prop_map(|(class, destination, key, attempts, ran)| {
-            Step::Restore { class, destination, key, attempts, ran }
+        1 => restore.prop_map(|(class, destination, key, attempts, may_have_run_ms_ago)| {
+            Step::Restore { class, destination, key, attempts, may_have_run_ms_ago }
         }),
-        4 => (0usize..64, 0usize..9).prop_map(|(which, how)| Step::Finish { which, how }),
-        1 => (0usize..64).prop_map(Step::Gone),
-        1 => (0usize..64).prop_map(Step::Heard),
+        4 => (0usize..64, 0usize..9).prop_map(|(index, outcome_index)| Step::Finish { index, outcome_index }),
+        1 => (0usize..64).prop_map(Step::ClientGone),
+        1 => (0usize..64).prop_map(Step::AnswerAcknowledged),
         1 => Just(Step::Resume),
     ];
     proptest::collection::vec(step, 1..150)
@@ -132,20 +133,20 @@
 }
 
 fn settings() -> impl Strategy<Value = Settings> {
-    let decay = prop_oneof![Just(Decay::Line), Just(Decay::Halves)];
-    let over_share_worth = prop_oneof![Just(0.0), Just(0.1), Just(1.0)];
+    let decay = prop_oneof![Just(Decay::Linear), Just(Decay::Halving)];
+    let over_quota_worth = prop_oneof![Just(0.0), Just(0.1), Just(1.0)];
     let classes = proptest::collection::vec(class(), 4);
     let call_slots = prop_oneof![Just(4usize), Just(16usize)];
-    (classes, decay, over_share_worth, any::<bool>(), 0u64..3, call_slots).prop_map(
-        |(classes, decay, over_share_worth, answers_take_time, settle, call_slots)| Settings {
+    (classes, decay, over_quota_worth, any::<bool>(), 0u64..3, call_slots).prop_map(
+        |(classes, decay, over_quota_worth, acknowledged_answers, settle, call_slots)| Settings {
             classes,
             decay,
-            over_share_worth,
-            answers_take_time,
+            over_quota_worth,
+            acknowledged_answers,
             tenants: vec![Tenant { quota: 3.0 }],
-            kinds: vec![Kind { batch: 1, own_limits: false }, Kind { batch: 3, own_limits: false }],
+            kinds: vec![Kind { max_batch: 1, own_limits: false }, Kind { max_batch: 3, own_limits: false }],
             call_slots,
-            send_cap: 5,
+            max_attempts: 5,
             couriers: 1,
             rules: Rules { order_settle: ms(settle * 150), ..Settings::default().rules },
             ..Settings::default()
@@ -153,10 +154,10 @@
     )
 }
 
-fn outcome(how: usize) -> Outcome {
-    match how {
-        0 => Outcome::Full(None),
-        1 => Outcome::Full(Some(ms(700))),
+fn outcome(outcome_index: usize) -> Outcome {
+    match outcome_index {
+        0 => Outcome::Rejected(None),
+        1 => Outcome::Rejected(Some(ms(700))),
         2 => Outcome::Error,
         3 => Outcome::Timeout,
         4 => Outcome::ConnectFailed,
@@ -178,59 +179,66 @@
     Event::Listed(Listing::Whole((1..=destinations).map(endpoint).collect()))
 }
 
-/// Parts of a nanosecond scale by which deadlines are shorter (or longer) than their class allows.
-const EARLY: [i64; 8] = [0, 0, 0, 1, -1, 50_000_000, 900_000_000, -400_000_000];
+/// Nanoseconds by which deadlines are shorter (or longer) than the class says.
+const DEADLINE_OFFSETS: [i64; 8] = [0, 0, 0, 1, -1, 50_000_000, 900_000_000, -400_000_000];
 
-struct Play {
+struct Simulation {
     courier: Courier,
     now: Time,
-    accepted: u32,
+    accepted_count: u32,
 }
 
-impl Play {
+impl Simulation {
     fn new(settings: Settings) -> Self {
         let now = Time::ZERO + Duration::from_secs(100);
         let mut courier = Courier::new(settings, 3);
         courier.handle(now, listing(4, 4.0));
-        Play { courier, now, accepted: 0 }
+        Simulation { courier, now, accepted_count: 0 }
     }
 
-    fn taken(&mut self, class: u8, destination: u32, key: u64, early: i64, tenant: u32) -> Accepted {
-        self.accepted += 1;
-        let full = self.now + self.courier.settings.classes[usize::from(class)].deadline;
+    fn new_message(
+        &mut self,
+        class: u8,
+        destination: u32,
+        key: u64,
+        deadline_offset: i64,
+        tenant: u32,
+    ) -> Accepted {
+        self.accepted_count += 1;
+        let class_deadline = self.now + self.courier.settings.classes[usize::from(class)].deadline;
         Accepted {
-            // Neither rising nor falling.
-            id: MessageId(self.accepted.wrapping_mul(0x9E37_79B1)),
+            // Ids in no particular order.
+            id: MessageId(self.accepted_count.wrapping_mul(0x9E37_79B1)),
             class: ClassId(class),
             destination: DestinationId(destination),
             key: (key > 0).then_some(OrderKey(key)),
-            deadline: Time(full.0.saturating_add_signed(-early).max(self.now.0)),
+            deadline: Time(class_deadline.0.saturating_add_signed(-deadline_offset).max(self.now.0)),
             from_dead_courier: false,
             tenant: TenantId(tenant),
         }
     }
 
-    fn message(&self, which: usize) -> Option<&Message> {
+    fn message(&self, index: usize) -> Option<&Message> {
         let count = self.courier.messages.len();
-        self.courier.messages.values().nth(which % count.max(1))
+        self.courier.messages.values().nth(index % count.max(1))
     }
 
-    /// A moment at which something about a message may change.
-    fn kink(&self, message: usize, kink: usize) -> Option<Time> {
+    /// A time at which the trend of a message's worth or its send time may change.
+    fn change_time(&self, message: usize, change: usize) -> Option<Time> {
         let message = self.message(message)?;
         let class = self.courier.class(message);
-        let end = self.courier.last_send(message).unwrap_or(message.taken.deadline);
+        let end = self.courier.last_send(message).unwrap_or(message.accepted.deadline);
         let least = class.aim.mul_f64((1.0 - class.late_share.max(0.01).log2()).min(20.0));
-        Some(match kink {
-            0 => message.born,
-            1 => message.born + class.aim,
-            2 => message.born + class.deadline,
-            3 => message.born + class.deadline - class.aim,
+        Some(match change {
+            0 => message.enqueued_at,
+            1 => message.enqueued_at + class.aim,
+            2 => message.enqueued_at + class.deadline,
+            3 => message.enqueued_at + class.deadline - class.aim,
             4 => end,
             5 => end - class.aim,
             6 => message.not_before,
-            7 => message.born + least,
-            8 => message.born + least - class.aim,
+            7 => message.enqueued_at + least,
+            8 => message.enqueued_at + least - class.aim,
             _ => self.courier.deadlines.first()?.0,
         })
     }
@@ -238,32 +246,34 @@
     fn step(&mut self, step: Step) {
         match step {
             Step::Pass(span) => self.now = self.now + ms(span),
-            Step::PassTo { message, kink, off } => {
-                let at = self.kink(message, kink).map(|at| Time(at.0.saturating_add_signed(off)));
+            Step::PassTo { message, change, offset_ns } => {
+                let at =
+                    self.change_time(message, change).map(|at| Time(at.0.saturating_add_signed(offset_ns)));
                 self.now = at.map_or(self.now, |at| at.max(self.now));
             }
-            Step::Accept { class, destination, key, early, tenant, again } => {
-                let taken = self.taken(class, destination, key, EARLY[early], tenant);
-                let taken = Accepted { from_dead_courier: again, ..taken };
-                self.courier.handle(self.now, Event::Accept(taken));
+            Step::Accept { class, destination, key, deadline_offset, tenant, from_dead_courier } => {
+                let accepted =
+                    self.new_message(class, destination, key, DEADLINE_OFFSETS[deadline_offset], tenant);
+                let accepted = Accepted { from_dead_courier, ..accepted };
+                self.courier.handle(self.now, Event::Accept(accepted));
             }
-            Step::Restore { class, destination, key, attempts, ran } => {
-                let taken = self.taken(class, destination, key, 0, 0);
-                let maybe_ran = ran.map(|ago| (self.now - ms(ago), Some(ZoneId(0))));
-                let restored = Restored { taken, attempts, maybe_ran, answered: attempts == 3 };
+            Step::Restore { class, destination, key, attempts, may_have_run_ms_ago } => {
+                let accepted = self.new_message(class, destination, key, 0, 0);
+                let may_have_run = may_have_run_ms_ago.map(|ago| (self.now - ms(ago), Some(ZoneId(0))));
+                let restored = Restored { accepted, attempts, may_have_run, answered: attempts == 3 };
                 self.courier.handle(self.now, Event::Restored(restored));
             }
-            Step::Finish { which, how } => self.finish(which, outcome(how)),
-            Step::Gone(which) => {
-                if let Some(id) = self.message(which).map(|message| message.taken.id) {
+            Step::Finish { index, outcome_index } => self.finish(index, outcome(outcome_index)),
+            Step::ClientGone(index) => {
+                if let Some(id) = self.message(index).map(|message| message.accepted.id) {
                     self.courier.handle(self.now, Event::ClientGone(id));
                 }
             }
-            Step::Heard(which) => {
-                let unheard = self.courier.messages.values().filter(|message| message.unheard);
-                let ids: Vec<MessageId> = unheard.map(|message| message.taken.id).collect();
+            Step::AnswerAcknowledged(index) => {
+                let unacknowledged = self.courier.messages.values().filter(|message| message.unacknowledged);
+                let ids: Vec<MessageId> = unacknowledged.map(|message| message.accepted.id).collect();
                 if !ids.is_empty() {
-                    self.courier.handle(self.now, Event::Heard(ids[which % ids.len()]));
+                    self.courier.handle(self.now, Event::AnswerAcknowledged(ids[index % ids.len()]));
                 }
             }
             Step::Resume => {
@@ -273,74 +283,76 @@
         }
     }
 
-    fn finish(&mut self, which: usize, outcome: Outcome) {
-        let out = self.courier.messages.values().filter(|message| message.out.is_some());
-        let out: Vec<(MessageId, u32, u64)> =
-            out.map(|m| (m.taken.id, m.attempts, m.out.unwrap_or_default())).collect();
-        let Some((message, attempts, call)) = out.get(which % out.len().max(1)).copied() else { return };
+    fn finish(&mut self, index: usize, outcome: Outcome) {
+        let in_flight = self.courier.messages.values().filter(|message| message.in_flight_call.is_some());
+        let in_flight: Vec<(MessageId, u32, u64)> =
+            in_flight.map(|m| (m.accepted.id, m.attempts, m.in_flight_call.unwrap_or_default())).collect();
+        let Some((message, attempts, call)) = in_flight.get(index % in_flight.len().max(1)).copied() else {
+            return;
+        };
         let call = &self.courier.calls[&call];
         let finished = Finished {
             message,
-            endpoint: call.to,
+            endpoint: call.endpoint,
             attempt: attempts.saturating_sub(1) as u16,
             outcome,
-            latency: self.now - call.sent,
+            latency: self.now - call.sent_at,
             complete: outcome == Outcome::Ok,
-            allowance: None,
+            limit_report: None,
         };
         self.courier.handle(self.now, Event::Finished(finished));
     }
 
-    /// Compares index and walk, with each route as it is and as it might be.
+    /// Compares index and scan, with the current outage state of each route and with others.
     fn compare(&mut self) {
-        self.courier.place_outdated(self.now);
+        self.courier.reindex_outdated(self.now);
         let later = self.now + ms(1);
-        let spells = [
+        let outages = [
             None,
-            Some(Spell { next_risk: self.now, ..Spell::default() }),
-            Some(Spell { next_risk: later, ..Spell::default() }),
-            Some(Spell { only_fit: true, ..Spell::default() }),
+            Some(OutageState { next_unrepeatable_trial: self.now, ..OutageState::default() }),
+            Some(OutageState { next_unrepeatable_trial: later, ..OutageState::default() }),
+            Some(OutageState { repeatable_only: true, ..OutageState::default() }),
         ];
         for route in (1..=4).map(|to| RouteId(DestinationId(to), None)) {
             self.compare_route(route);
             let Some(known) = self.courier.routes.get_mut(&route) else { continue };
-            let before = known.spell.take();
-            for spell in &spells {
-                let spell = spell.as_ref().map(|s| Spell {
-                    next_risk: s.next_risk,
-                    only_fit: s.only_fit,
-                    ..Spell::default()
+            let before = known.outage.take();
+            for outage in &outages {
+                let outage = outage.as_ref().map(|outage| OutageState {
+                    next_unrepeatable_trial: outage.next_unrepeatable_trial,
+                    repeatable_only: outage.repeatable_only,
+                    ..OutageState::default()
                 });
-                self.courier.routes.get_mut(&route).expect("known").spell = spell;
+                self.courier.routes.get_mut(&route).expect("known").outage = outage;
                 self.compare_route(route);
             }
-            self.courier.routes.get_mut(&route).expect("known").spell = before;
+            self.courier.routes.get_mut(&route).expect("known").outage = before;
         }
     }
 
     fn compare_route(&self, route: RouteId) {
         let (mut next, mut expected_next) = (None, None);
-        let picked = self.courier.pick(self.now, route, &mut next);
-        let expected = walk(&self.courier, self.now, route, &mut expected_next);
+        let selected = self.courier.best_message(self.now, route, &mut next);
+        let expected = scan(&self.courier, self.now, route, &mut expected_next);
         let bits = |found: Option<(MessageId, f64)>| found.map(|(id, worth)| (id, worth.to_bits()));
-        assert_eq!(bits(picked), bits(expected), "at {:?}", self.now);
+        assert_eq!(bits(selected), bits(expected), "at {:?}", self.now);
         assert_eq!(next, expected_next, "at {:?}", self.now);
-        let open = self.courier.messages.values().filter(|m| !m.closed && m.taken.destination == route.0);
-        assert_eq!(self.courier.queues.held(route.0), open.count());
+        let open = self.courier.messages.values().filter(|m| !m.closed && m.accepted.destination == route.0);
+        assert_eq!(self.courier.queues.open_messages(route.0), open.count());
     }
 }
 
 #[test]
-fn the_index_picks_what_a_walk_picks() {
+fn the_index_selects_the_same_message_as_a_scan() {
     let config = Config { cases: 1500, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[17; 32]));
     let check = |(settings, steps): (Settings, Vec<Step>)| {
-        let mut play = Play::new(settings);
+        let mut simulation = Simulation::new(settings);
         for step in steps {
-            play.step(step);
-            play.compare();
-            play.courier.decide(play.now, &mut Vec::new());
-            play.compare();
+            simulation.step(step);
+            simulation.compare();
+            simulation.courier.decide(simulation.now, &mut Vec::new());
+            simulation.compare();
         }
         Ok(())
     };
@@ -350,14 +362,14 @@
 const DESTINATIONS: u32 = 8;
 const KEYS: u32 = 16;
 
-/// A courier that holds so many messages for destinations that are all silent, handed in within a second; in order under a
-/// few keys, or each for itself.
-fn silent(messages: u32, in_order: bool) -> (Courier, Time) {
+/// A courier with `messages` messages, enqueued within a second, for destinations that do not answer; either ordered under a
+/// few keys or independent.
+fn unanswered_backlog(messages: u32, in_order: bool) -> (Courier, Time) {
     let settings = Settings {
         classes: vec![Class { in_order, ..Class::default() }],
         call_slots: 64,
-        most_held: 2 * messages as usize,
-        answers_take_time: true,
+        max_held: 2 * messages as usize,
+        acknowledged_answers: true,
         ..Settings::default()
     };
     let (begin, deadline) = (Time::ZERO + Duration::from_secs(100), settings.classes[0].deadline);
@@ -366,7 +378,7 @@
     let mut now = begin;
     for message in 0..messages {
         now = begin + Duration::from_secs(1).mul_f64(f64::from(message) / f64::from(messages));
-        let taken = Accepted {
+        let accepted = Accepted {
             id: MessageId(message),
             class: ClassId(0),
             destination: DestinationId(1 + message % DESTINATIONS),
@@ -375,7 +387,7 @@
             from_dead_courier: false,
             tenant: TenantId(0),
         };
-        courier.handle(now, Event::Accept(taken));
+        courier.handle(now, Event::Accept(accepted));
         if message % (messages / 100) == 0 {
             courier.decide(now, &mut Vec::new());
         }
@@ -383,10 +395,10 @@
     (courier, now)
 }
 
-/// Messages examined in a turn, in the mean over a time in which none of them comes near its aim or its end.
-fn examined_a_turn(messages: u32, in_order: bool) -> u64 {
+/// Mean number of messages examined per `decide`, over a time in which none of them reaches its aim or deadline.
+fn examined_per_decide(messages: u32, in_order: bool) -> u64 {
     const TURNS: u64 = 50;
-    let (mut courier, begin) = silent(messages, in_order);
+    let (mut courier, begin) = unanswered_backlog(messages, in_order);
     let begin = begin + ms(200);
     courier.decide(begin, &mut Vec::new());
     let examined = examined_by(|| {
@@ -398,22 +410,22 @@
 }
 
 #[test]
-fn the_work_of_a_turn_does_not_grow_with_the_messages_held() {
+fn the_work_per_decide_does_not_grow_with_the_messages_held() {
     for in_order in [true, false] {
-        let few = examined_a_turn(1_000, in_order);
+        let few = examined_per_decide(1_000, in_order);
         for messages in [10_000, 100_000] {
-            let many = examined_a_turn(messages, in_order);
-            assert!(many <= 2 * few + 20, "{many} examined a turn with {messages} held, {few} with 1000");
+            let many = examined_per_decide(messages, in_order);
+            assert!(many <= 2 * few + 20, "{many} examined per decide with {messages} held, {few} with 1000");
         }
     }
 }
 
-/// A message is filed anew a few times in its life, however many there are.
+/// A message is indexed anew a few times, however many messages there are.
 #[test]
-fn the_work_for_a_message_over_its_life_does_not_grow_with_the_messages_held() {
+fn the_total_work_per_message_does_not_grow_with_the_messages_held() {
     let of_each = |messages: u32, in_order: bool| {
         let examined = examined_by(|| {
-            let (mut courier, begin) = silent(messages, in_order);
+            let (mut courier, begin) = unanswered_backlog(messages, in_order);
             for turn in 0..440 {
                 courier.decide(begin + ms(50 * turn), &mut Vec::new());
             }
@@ -424,27 +436,27 @@
     for in_order in [true, false] {
         let few = of_each(1_000, in_order);
         let many = of_each(20_000, in_order);
-        assert!(many <= 2 * few, "{many} looks at each message of 20000, {few} of 1000");
+        assert!(many <= 2 * few, "{many} examinations per message of 20000, {few} of 1000");
     }
 }
 
-/// Actions of a play in which each turn looks at every destination, or only at those that are due.
-fn actions(settings: &Settings, steps: &[Step], looks_at_all: bool) -> Vec<Action> {
-    let mut play = Play::new(settings.clone());
+/// Actions of a simulation in which each `decide` evaluates all destinations, or only those that are due.
+fn actions(settings: &Settings, steps: &[Step], evaluate_all: bool) -> Vec<Action> {
+    let mut simulation = Simulation::new(settings.clone());
     let mut actions = Vec::new();
     let after = (0..200).map(|_| Step::Pass(45));
     for step in steps.iter().cloned().chain(after) {
-        play.step(step);
-        if looks_at_all {
-            play.courier.touch_everything();
+        simulation.step(step);
+        if evaluate_all {
+            simulation.courier.mark_all_due();
         }
-        play.courier.decide(play.now, &mut actions);
+        simulation.courier.decide(simulation.now, &mut actions);
     }
     actions
 }
 
 #[test]
-fn a_look_that_is_left_out_would_have_decided_nothing() {
+fn a_skipped_evaluation_would_not_have_led_to_any_action() {
     let config = Config { cases: 1500, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[19; 32]));
     let check = |(settings, steps): (Settings, Vec<Step>)| {
@@ -456,68 +468,71 @@
 
 const SLOTS: usize = 64;
 
-/// A courier to which many destinations are out and wait for their trials.
-fn with_waiting(destinations: u32) -> Play {
+/// A courier with many destinations in an outage that wait for their trial calls.
+fn with_waiting_destinations(destinations: u32) -> Simulation {
     let settings =
-        Settings { call_slots: SLOTS, most_held: 100_000, answers_take_time: true, ..Settings::default() };
+        Settings { call_slots: SLOTS, max_held: 100_000, acknowledged_answers: true, ..Settings::default() };
     let now = Time::ZERO + Duration::from_secs(100);
-    let mut play = Play { courier: Courier::new(settings, 3), now, accepted: 0 };
-    play.courier.handle(now, listing(destinations, 50.0));
+    let mut simulation = Simulation { courier: Courier::new(settings, 3), now, accepted_count: 0 };
+    simulation.courier.handle(now, listing(destinations, 50.0));
     for destination in 1..=destinations {
-        let outage = Outage {
+        let outage = OutageRecord {
             destination: DestinationId(destination),
             endpoint: None,
             since: now,
-            evidence: SPELL_AFTER,
-            lost: Some(true),
-            returned: None,
-            share: 1.0,
+            evidence: OUTAGE_EVIDENCE,
+            calls_lost: Some(true),
+            slow_start_since: None,
+            served_rate: 1.0,
         };
-        play.courier.handle(now, Event::Recalled(outage));
-        let taken = play.taken(0, destination, 0, 0, 0);
-        play.courier.handle(now, Event::Accept(taken));
+        simulation.courier.handle(now, Event::OutageRestored(outage));
+        let accepted = simulation.new_message(0, destination, 0, 0, 0);
+        simulation.courier.handle(now, Event::Accept(accepted));
     }
-    play.courier.decide(now, &mut Vec::new());
-    // All messages are filed anew once they have an age.
-    play.now = now + ms(1);
-    play.courier.decide(play.now, &mut Vec::new());
-    play
+    simulation.courier.decide(now, &mut Vec::new());
+    // All messages are indexed anew once their age is above zero.
+    simulation.now = now + ms(1);
+    simulation.courier.decide(simulation.now, &mut Vec::new());
+    simulation
 }
 
-/// A turn with a message for one destination.
-fn turn_for_one(play: &mut Play) {
-    play.now = play.now + Duration::from_micros(10);
-    let taken = play.taken(0, 1, 0, 0, 0);
-    play.courier.handle(play.now, Event::Accept(taken));
-    play.courier.decide(play.now, &mut Vec::new());
+/// Calls `decide` after a message for one destination.
+fn decide_for_one(simulation: &mut Simulation) {
+    simulation.now = simulation.now + Duration::from_micros(10);
+    let accepted = simulation.new_message(0, 1, 0, 0, 0);
+    simulation.courier.handle(simulation.now, Event::Accept(accepted));
+    simulation.courier.decide(simulation.now, &mut Vec::new());
 }
 
-/// Looks and messages examined in a turn with a message for one destination, while many are out and wait for their trials.
-fn examined_with_waiting(destinations: u32) -> u64 {
+/// Evaluations and messages examined per `decide` with a message for one destination, while many wait for trial calls.
+fn examined_with_waiting_destinations(destinations: u32) -> u64 {
     const TURNS: u32 = 50;
-    let mut play = with_waiting(destinations);
-    let examined = examined_by(|| (0..TURNS).for_each(|_| turn_for_one(&mut play)));
+    let mut simulation = with_waiting_destinations(destinations);
+    let examined = examined_by(|| (0..TURNS).for_each(|_| decide_for_one(&mut simulation)));
     examined / u64::from(TURNS)
 }
 
 #[test]
-fn a_turn_names_the_destinations_whose_outages_may_have_changed_and_no_others() {
-    let mut play = with_waiting(1_000);
-    play.courier.take_changed_outages();
-    turn_for_one(&mut play);
-    let changed = play.courier.take_changed_outages();
+fn take_changed_outages_returns_only_destinations_whose_outages_may_have_changed() {
+    let mut simulation = with_waiting_destinations(1_000);
+    simulation.courier.take_changed_outages();
+    decide_for_one(&mut simulation);
+    let changed = simulation.courier.take_changed_outages();
     assert!(changed.contains(&DestinationId(1)));
-    // Those with calls out are looked at in every turn.
+    // Destinations with calls in flight are evaluated each time.
     assert!(changed.len() <= SLOTS + 1, "{} of 1,000", changed.len());
-    assert_eq!(play.courier.outages().count(), 1_000);
-    assert!(play.courier.take_changed_outages().is_empty());
+    assert_eq!(simulation.courier.outages().count(), 1_000);
+    assert!(simulation.courier.take_changed_outages().is_empty());
 }
 
 #[test]
-fn the_work_of_a_turn_does_not_grow_with_the_destinations_that_wait() {
-    let few = examined_with_waiting(10);
+fn the_work_per_decide_does_not_grow_with_the_destinations_that_wait() {
+    let few = examined_with_waiting_destinations(10);
     for destinations in [100, 1_000, 10_000] {
-        let many = examined_with_waiting(destinations);
-        assert!(many <= 2 * few + 20, "{many} looks a turn with {destinations} waiting, {few} with 10");
+        let many = examined_with_waiting_destinations(destinations);
+        assert!(
+            many <= 2 * few + 20,
+            "{many} examined per decide with {destinations} waiting, {few} with 10"
+        );
     }
 }
--- a/crates/cloverstile/tests/properties.rs
+++ b/crates/cloverstile/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Arbitrary legal event sequences, with a fixed seed: the rules hold on whatever the courier does.
-//! Outcomes are arbitrary; this plays no server.
+//! Property tests with a fixed seed: the delivery rules hold for arbitrary legal event sequences. Outcomes are arbitrary and
+//! do not follow the behaviour of a real partner.
 
 mod common;
 
@@ -14,8 +14,8 @@
 enum Step {
     Pass(u64),
     Accept { class: u8, destination: u32, key: u64 },
-    Finish { which: usize, how: usize },
-    Gone(usize),
+    Finish { index: usize, outcome_index: usize },
+    ClientGone(usize),
     Mode { endpoint: u32, mode: usize },
 }
 
@@ -23,102 +23,122 @@
     let step = prop_oneof![
         5 => (1u64..400).prop_map(Step::Pass),
         5 => (0u8..4, 1u32..4, 0u64..4).prop_map(|(class, destination, key)| Step::Accept { class, destination, key }),
-        5 => (0usize..64, 0usize..9).prop_map(|(which, how)| Step::Finish { which, how }),
-        1 => (0usize..64).prop_map(Step::Gone),
+        5 => (0usize..64, 0usize..9).prop_map(|(index, outcome_index)| Step::Finish { index, outcome_index }),
+        1 => (0usize..64).prop_map(Step::ClientGone),
         1 => (0u32..6, 0usize..3).prop_map(|(endpoint, mode)| Step::Mode { endpoint, mode }),
     ];
     proptest::collection::vec(step, 1..300)
 }
 
-fn world() -> (Settings, Vec<Endpoint>) {
+fn test_setup() -> (Settings, Vec<Endpoint>) {
     let in_order = Class { in_order: true, ..unsafe_class() };
     let base = settings(vec![keyed(), unsafe_class(), safe(), in_order]);
-    let kinds = vec![Kind { batch: 1, own_limits: false }, Kind { batch: 3, own_limits: false }];
+    let kinds = vec![Kind { max_batch: 1, own_limits: false }, Kind { max_batch: 3, own_limits: false }];
     let rules = Rules { order_settle: ms(120), ..base.rules.clone() };
-    let settings = Settings { call_slots: 5, most_held: 60, send_cap: 5, kinds, rules, ..base };
+    let settings = Settings { call_slots: 5, max_held: 60, max_attempts: 5, kinds, rules, ..base };
     let endpoints = (0..6)
         .map(|id| Endpoint { kind: KindId((id % 2) as u16), weight: 20.0, ..endpoint(id, 1 + id / 2) })
         .collect();
     (settings, endpoints)
 }
 
+/// A message and its attempts, as far as the rules need them.
 #[derive(Debug)]
-struct Held {
+struct TrackedMessage {
     class: usize,
     destination: u32,
     key: u64,
     deadline: Time,
-    out: Option<(u32, Time)>,
-    first_maybe: Option<Time>,
+    in_flight: Option<(u32, Time)>,
+    first_may_have_run: Option<Time>,
     sends: u32,
-    ended: bool,
+    is_final: bool,
 }
 
-/// What the rules say of the past, kept apart from the courier's own books.
-struct Judge {
+/// Checks the delivery rules against its own record of the past, independent of the courier's state.
+struct RuleChecker {
     settings: Settings,
-    held: BTreeMap<u32, Held>,
-    waits: BTreeMap<u32, Time>,
-    rests: BTreeMap<u64, Time>,
+    messages: BTreeMap<u32, TrackedMessage>,
+    retry_after: BTreeMap<u32, Time>,
+    blocked_keys: BTreeMap<u64, Time>,
     modes: BTreeMap<u32, Mode>,
 }
 
-impl Judge {
+impl RuleChecker {
     fn check(&mut self, now: Time, actions: &[Action]) {
         for action in actions {
             match action {
-                Action::Route { message, endpoint, .. } => self.route(now, message.0, endpoint.0),
-                Action::Busy { message, .. } => {
-                    let held = self.end(now, message.0);
-                    let effect = self.settings.classes[self.held[&held].class].effect;
-                    let held = &self.held[&held];
-                    assert!(effect == Effect::Safe || (held.first_maybe.is_none() && held.out.is_none()));
+                Action::Route { message, endpoint, .. } => self.check_route(now, message.0, endpoint.0),
+                Action::Return { message, .. } => {
+                    let id = self.check_final_answer(now, message.0);
+                    let effect = self.settings.classes[self.messages[&id].class].effect;
+                    let message = &self.messages[&id];
+                    assert!(
+                        effect == Effect::Safe
+                            || (message.first_may_have_run.is_none() && message.in_flight.is_none())
+                    );
                 }
                 Action::ReportFailure { message } => {
-                    self.end(now, message.0);
+                    self.check_final_answer(now, message.0);
                 }
                 _ => {}
             }
         }
     }
 
-    fn end(&mut self, now: Time, id: u32) -> u32 {
-        let held = self.held.get_mut(&id).expect("answers only what it holds");
-        assert!(!held.ended, "one final answer");
-        assert!(now <= held.deadline + self.settings.rules.answer_slack, "in time");
-        held.ended = true;
+    fn check_final_answer(&mut self, now: Time, id: u32) -> u32 {
+        let message = self.messages.get_mut(&id).expect("answers only known messages");
+        assert!(!message.is_final, "at most one final answer");
+        assert!(now <= message.deadline + self.settings.rules.answer_slack, "final answer in time");
+        message.is_final = true;
         id
     }
 
-    fn route(&mut self, now: Time, id: u32, endpoint: u32) {
-        let held = &self.held[&id];
-        let class = &self.settings.classes[held.class];
-        assert!(!held.ended && held.out.is_none(), "never two attempts, nothing after the end");
-        assert_eq!(self.modes[&endpoint], Mode::Ready, "nothing to a drained endpoint");
-        assert!(self.waits.get(&held.destination).is_none_or(|until| *until <= now), "waits are kept");
-        assert!(held.sends < self.settings.send_cap);
-        if let Some(first) = held.first_maybe {
-            assert_ne!(class.effect, Effect::Unsafe, "no unsafe resend");
-            assert!(class.effect == Effect::Safe || now < first + class.repeat_window, "inside the window");
+    fn check_route(&mut self, now: Time, id: u32, endpoint: u32) {
+        let message = &self.messages[&id];
+        let class = &self.settings.classes[message.class];
+        assert!(
+            !message.is_final && message.in_flight.is_none(),
+            "at most one attempt in flight, none after the final answer"
+        );
+        assert_eq!(self.modes[&endpoint], Mode::Ready, "no calls to a draining endpoint");
+        assert!(
+            self.retry_after.get(&message.destination).is_none_or(|until| *until <= now),
+            "retry-after times are kept"
+        );
+        assert!(message.sends < self.settings.max_attempts);
+        if let Some(first) = message.first_may_have_run {
+            assert_ne!(class.effect, Effect::Unsafe, "unsafe messages are not resent");
+            assert!(
+                class.effect == Effect::Safe || now < first + class.repeat_window,
+                "within the repeat window"
+            );
         }
-        if class.in_order && held.key != 0 {
-            let mut earlier = self.held.range(..id).map(|(_, h)| h);
-            let taken = |h: &Held| self.settings.classes[h.class].in_order && h.key == held.key;
-            assert!(!earlier.any(|h| taken(h) && (!h.ended || h.out.is_some())), "keys in turn");
-            assert!(held.sends > 0 || self.rests.get(&held.key).is_none_or(|until| *until <= now), "rest");
+        if class.in_order && message.key != 0 {
+            let mut earlier = self.messages.range(..id).map(|(_, m)| m);
+            let has_same_key =
+                |m: &TrackedMessage| self.settings.classes[m.class].in_order && m.key == message.key;
+            assert!(
+                !earlier.any(|m| has_same_key(m) && (!m.is_final || m.in_flight.is_some())),
+                "order keys are kept in order"
+            );
+            assert!(
+                message.sends > 0 || self.blocked_keys.get(&message.key).is_none_or(|until| *until <= now),
+                "order keys are blocked after unsettled attempts"
+            );
         }
-        let held = self.held.get_mut(&id).expect("known");
-        held.out = Some((endpoint, now));
-        held.sends += 1;
-        let out = self.held.values().filter(|h| h.out.is_some()).count();
-        assert!(out <= self.settings.call_slots * 3, "slots");
+        let message = self.messages.get_mut(&id).expect("known");
+        message.in_flight = Some((endpoint, now));
+        message.sends += 1;
+        let in_flight = self.messages.values().filter(|m| m.in_flight.is_some()).count();
+        assert!(in_flight <= self.settings.call_slots * 3, "call slots");
     }
 }
 
-fn outcome(how: usize) -> Outcome {
-    match how {
-        0 => Outcome::Full(None),
-        1 => Outcome::Full(Some(ms(700))),
+fn outcome(outcome_index: usize) -> Outcome {
+    match outcome_index {
+        0 => Outcome::Rejected(None),
+        1 => Outcome::Rejected(Some(ms(700))),
         2 => Outcome::Error,
         3 => Outcome::Timeout,
         4 => Outcome::ConnectFailed,
@@ -128,16 +148,16 @@
     }
 }
 
-/// Plays the steps, judges every action, and returns all of them.
-fn play(steps: &[Step], seed: u64) -> Vec<Action> {
-    let (settings, endpoints) = world();
+/// Runs the steps, checks every action, and returns all actions.
+fn run_steps(steps: &[Step], seed: u64) -> Vec<Action> {
+    let (settings, endpoints) = test_setup();
     let mut bench = Bench::new(settings.clone(), endpoints.clone());
     bench.courier = Courier::new(settings.clone(), seed);
-    bench.tell(Event::Listed(Listing::Whole(endpoints.clone())));
+    bench.handle(Event::Listed(Listing::Whole(endpoints.clone())));
     let modes = endpoints.iter().map(|e| (e.id.0, e.mode)).collect();
-    let (held, waits, rests) = Default::default();
-    let mut judge = Judge { settings, held, waits, rests, modes };
-    let mut all = Vec::new();
+    let (messages, retry_after, blocked_keys) = Default::default();
+    let mut checker = RuleChecker { settings, messages, retry_after, blocked_keys, modes };
+    let mut all_actions = Vec::new();
     let mut id = 0;
     for step in steps.iter().cloned().chain((0..120).map(|_| Step::Pass(250))) {
         match step {
@@ -145,80 +165,94 @@
                 let end = bench.now + ms(span);
                 while bench.now < end {
                     bench.now = bench.now + ms(5);
-                    // An attempt cut to its deadline times out there.
-                    let due: Vec<u32> = judge
-                        .held
+                    // An attempt times out at the deadline of its message at the latest.
+                    let due: Vec<u32> = checker
+                        .messages
                         .iter()
-                        .filter(|(_, h)| h.out.is_some() && h.deadline <= bench.now)
+                        .filter(|(_, m)| m.in_flight.is_some() && m.deadline <= bench.now)
                         .map(|(id, _)| *id)
                         .collect();
-                    due.iter().for_each(|id| finish(&mut bench, &mut judge, *id, Outcome::Timeout));
+                    due.iter().for_each(|id| finish(&mut bench, &mut checker, *id, Outcome::Timeout));
                     let actions = bench.decide();
-                    judge.check(bench.now, &actions);
-                    all.extend(actions);
+                    checker.check(bench.now, &actions);
+                    all_actions.extend(actions);
                 }
                 continue;
             }
             Step::Accept { class, destination, key } => {
-                if judge.held.values().filter(|h| !h.ended).count() >= judge.settings.most_held {
+                if checker.messages.values().filter(|m| !m.is_final).count() >= checker.settings.max_held {
                     continue;
                 }
                 id += 1;
                 bench.accept(id, class, destination, (key > 0).then_some(key));
-                let deadline = bench.now + judge.settings.classes[usize::from(class)].deadline;
+                let deadline = bench.now + checker.settings.classes[usize::from(class)].deadline;
                 let class = usize::from(class);
-                let (out, first_maybe) = (None, None);
-                let held =
-                    Held { class, destination, key, deadline, out, first_maybe, sends: 0, ended: false };
-                judge.held.insert(id, held);
+                let (in_flight, first_may_have_run) = (None, None);
+                let message = TrackedMessage {
+                    class,
+                    destination,
+                    key,
+                    deadline,
+                    in_flight,
+                    first_may_have_run,
+                    sends: 0,
+                    is_final: false,
+                };
+                checker.messages.insert(id, message);
             }
-            Step::Finish { which, how } => {
-                let out: Vec<u32> =
-                    judge.held.iter().filter(|(_, h)| h.out.is_some()).map(|(i, _)| *i).collect();
-                if !out.is_empty() {
-                    finish(&mut bench, &mut judge, out[which % out.len()], outcome(how));
+            Step::Finish { index, outcome_index } => {
+                let in_flight: Vec<u32> =
+                    checker.messages.iter().filter(|(_, m)| m.in_flight.is_some()).map(|(i, _)| *i).collect();
+                if !in_flight.is_empty() {
+                    finish(
+                        &mut bench,
+                        &mut checker,
+                        in_flight[index % in_flight.len()],
+                        outcome(outcome_index),
+                    );
                 }
             }
-            Step::Gone(which) => {
-                let open: Vec<u32> = judge.held.iter().filter(|(_, h)| !h.ended).map(|(i, _)| *i).collect();
+            Step::ClientGone(index) => {
+                let open: Vec<u32> =
+                    checker.messages.iter().filter(|(_, m)| !m.is_final).map(|(i, _)| *i).collect();
                 if !open.is_empty() {
-                    let gone = open[which % open.len()];
-                    bench.tell(Event::ClientGone(MessageId(gone)));
-                    judge.held.get_mut(&gone).expect("open").ended = true;
+                    let withdrawn = open[index % open.len()];
+                    bench.handle(Event::ClientGone(MessageId(withdrawn)));
+                    checker.messages.get_mut(&withdrawn).expect("open").is_final = true;
                 }
             }
             Step::Mode { endpoint, mode } => {
                 let mode = [Mode::Ready, Mode::Draining, Mode::Gone][mode];
                 let entry = Endpoint { mode, ..endpoints[endpoint as usize].clone() };
-                bench.tell(Event::Listed(Listing::Changes(vec![entry])));
-                judge.modes.insert(endpoint, mode);
+                bench.handle(Event::Listed(Listing::Changes(vec![entry])));
+                checker.modes.insert(endpoint, mode);
             }
         }
         let actions = bench.decide();
-        judge.check(bench.now, &actions);
-        all.extend(actions);
+        checker.check(bench.now, &actions);
+        all_actions.extend(actions);
     }
-    assert!(judge.held.values().all(|h| h.ended), "every message has its final answer");
-    all
+    assert!(checker.messages.values().all(|m| m.is_final), "every message has its final answer");
+    all_actions
 }
 
-fn finish(bench: &mut Bench, judge: &mut Judge, id: u32, outcome: Outcome) {
-    let held = judge.held.get_mut(&id).expect("known");
-    let (endpoint, sent) = held.out.take().expect("out");
-    let never = matches!(outcome, Outcome::Full(_) | Outcome::ConnectFailed | Outcome::Moot);
-    if !never && held.first_maybe.is_none() {
-        held.first_maybe = Some(sent);
+fn finish(bench: &mut Bench, checker: &mut RuleChecker, id: u32, outcome: Outcome) {
+    let message = checker.messages.get_mut(&id).expect("known");
+    let (endpoint, sent) = message.in_flight.take().expect("in flight");
+    let never_ran = matches!(outcome, Outcome::Rejected(_) | Outcome::ConnectFailed | Outcome::NotSent);
+    if !never_ran && message.first_may_have_run.is_none() {
+        message.first_may_have_run = Some(sent);
     }
     if outcome == Outcome::Ok {
-        held.ended = true;
+        message.is_final = true;
     }
-    if let Outcome::Full(Some(wait)) = outcome {
-        let until = judge.waits.entry(held.destination).or_insert(Time::ZERO);
+    if let Outcome::Rejected(Some(wait)) = outcome {
+        let until = checker.retry_after.entry(message.destination).or_insert(Time::ZERO);
         *until = (*until).max(bench.now + wait);
     }
-    let in_order = judge.settings.classes[held.class].in_order;
+    let in_order = checker.settings.classes[message.class].in_order;
     if in_order && matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
-        judge.rests.insert(held.key, bench.now + judge.settings.rules.order_settle);
+        checker.blocked_keys.insert(message.key, bench.now + checker.settings.rules.order_settle);
     }
     bench.finish(id, endpoint, outcome, bench.now - sent);
 }
@@ -231,7 +265,7 @@
 #[test]
 fn the_rules_hold_whatever_happens() {
     let check = |steps: Vec<Step>| {
-        play(&steps, 3);
+        run_steps(&steps, 3);
         Ok(())
     };
     runner().run(&steps(), check).unwrap();
@@ -240,15 +274,15 @@
 #[test]
 fn identical_events_give_identical_actions() {
     let check = |steps: Vec<Step>| {
-        prop_assert_eq!(play(&steps, 5), play(&steps, 5));
+        prop_assert_eq!(run_steps(&steps, 5), run_steps(&steps, 5));
         Ok(())
     };
     runner().run(&steps(), check).unwrap();
 }
 
-/// Two couriers that take turns act as each does alone.
+/// Couriers share no state: two that run alternately act as each would alone.
 #[test]
-fn interleaved_couriers_act_as_alone() {
+fn interleaved_couriers_act_independently() {
     let run = |bench: &mut Bench, step: u32| {
         bench.now = bench.now + ms(40);
         bench.accept(step, 2, 1 + step % 3, None);
@@ -261,15 +295,15 @@
         actions
     };
     let fresh = || {
-        let (settings, endpoints) = world();
+        let (settings, endpoints) = test_setup();
         Bench::new(settings, endpoints)
     };
-    let (mut alone, mut one, mut two) = (fresh(), fresh(), fresh());
-    two.now = two.now + Duration::from_secs(9);
+    let (mut alone, mut first, mut second) = (fresh(), fresh(), fresh());
+    second.now = second.now + Duration::from_secs(9);
     for step in 0..300 {
         let expected = run(&mut alone, step);
-        let seen = run(&mut one, step);
-        run(&mut two, step * 2);
+        let seen = run(&mut first, step);
+        run(&mut second, step * 2);
         assert_eq!(seen, expected);
     }
 }
--- a/crates/cloverstile/tests/settings.rs
+++ b/crates/cloverstile/tests/settings.rs
@@ -1,4 +1,5 @@
-//! The settings mean the same as lines, on the bench's wire, and as nested JSON, in the courier's configuration.
+//! Settings as lines, as in the simulator's wire protocol, and as nested JSON, as in the courier's configuration, have the
+//! same meaning.
 
 use cloverstile::{parse_settings, parse_settings_json, Decay, SettingError, ZoneId};
 use serde_json::json;
@@ -25,7 +26,7 @@
 ";
 
 #[test]
-fn lines_and_json_read_alike() {
+fn lines_and_json_parse_to_the_same_settings() {
     let nested = json!({
         "Balancers": 3,
         "Locality": 1,
@@ -43,15 +44,15 @@
     });
     let (lines, json) = (parse_settings(LINES).unwrap(), parse_settings_json(&nested).unwrap());
     assert_eq!(format!("{lines:?}"), format!("{json:?}"));
-    assert_eq!(json.settings.most_held, 519);
+    assert_eq!(json.settings.max_held, 519);
     assert_eq!(json.settings.zone, Some(ZoneId(1)));
-    assert_eq!(json.settings.decay, Decay::Halves);
+    assert_eq!(json.settings.decay, Decay::Halving);
     assert_eq!(json.class_names, ["pay-notice"]);
     assert!(json.settings.kinds[1].own_limits);
 }
 
 #[test]
-fn a_bad_value_is_named() {
+fn an_invalid_value_is_reported_with_its_path() {
     let error = parse_settings_json(&json!({"Permissions": {"MostHeld": "many"}})).unwrap_err();
     assert_eq!(error, SettingError::Value { path: "Permissions.MostHeld".into(), value: "many".into() });
 }
