--- a/crates/gullcart-emulator/src/calls.rs
+++ b/crates/gullcart-emulator/src/calls.rs
@@ -4,7 +4,7 @@
 use crate::courier::OutCall;
 use crate::events::{CallInTransit, EndpointCall, Scheduled};
 use crate::world::World;
-use cloverstile::{Allowance, MessageId, Outcome};
+use cloverstile::{LimitReport, MessageId, Outcome};
 use gullcart_engine::{Call, Ended, Input, Stop};
 use gullcart_judge::trace::{Answer, At, By, CallId, CourierId, Event, State};
 use gullcart_rehearsal::Effect;
@@ -18,7 +18,7 @@
 /// After this the kernel says the first word of a connection again, then after twice as long, and so on.
 const FIRST_RETRY: Duration = Duration::from_secs(1);
 
-fn ended(outcome: Outcome, latency: Duration, allowance: Option<Allowance>) -> Ended {
+fn ended(outcome: Outcome, latency: Duration, allowance: Option<LimitReport>) -> Ended {
     Ended { complete: outcome == Outcome::Ok, outcome, latency, allowance }
 }
 
@@ -64,7 +64,7 @@
         match send_by.filter(|by| *by < limit) {
             Some(by) if at > by => self
                 .queue
-                .put(by, Scheduled::Never { courier, epoch, message, serial, outcome: Outcome::Moot }),
+                .put(by, Scheduled::Never { courier, epoch, message, serial, outcome: Outcome::NotSent }),
             _ if fresh && at > limit => {
                 let outcome = Outcome::ConnectFailed;
                 self.queue.put(limit, Scheduled::Never { courier, epoch, message, serial, outcome });
@@ -222,7 +222,10 @@
         let reports = self.scenario.partners[partner].reports;
         let allowance = reports.then(|| {
             let (left, limit) = self.partners[partner].report(now);
-            Allowance { left: (left * 100.0).round() / 100.0, limit: (limit * 10.0).round() / 10.0 }
+            LimitReport {
+                remaining_share: (left * 100.0).round() / 100.0,
+                limit: (limit * 10.0).round() / 10.0,
+            }
         });
         let (answer, outcome, keep) = match fate {
             Fate::Done(_) => (Answer::Ok, Outcome::Ok, true),
@@ -230,11 +233,11 @@
             Fate::Refused(wait) => {
                 self.counts.refused += 1;
                 let wait = wait.map(|wait| wait.as_micros().div_ceil(1000).max(1) as u64);
-                (Answer::Full(wait), Outcome::Full(wait.map(Duration::from_millis)), true)
+                (Answer::Full(wait), Outcome::Rejected(wait.map(Duration::from_millis)), true)
             }
             // In five, four cannot be read, and one has a first line that can.
             Fate::Spoilt(_) if call.0 % 5 == 4 => (Answer::Ok, Outcome::Ok, false),
-            Fate::Spoilt(_) => (Answer::Spoilt, Outcome::Spoilt, false),
+            Fate::Spoilt(_) => (Answer::Spoilt, Outcome::Malformed, false),
             Fate::Reset(_) | Fate::Silent => return self.broken_off(call, courier, epoch, message, serial),
         };
         self.note(Event::CallAnswered { call, answer });
@@ -322,7 +325,7 @@
         let Some(out) = process.out.get(&message).filter(|out| !out.is_done) else { return };
         match (reason, out.is_sent) {
             (Stop::Withdrawn, true) => {}
-            (Stop::Withdrawn, false) => self.close(courier, epoch, message, Outcome::Moot),
+            (Stop::Withdrawn, false) => self.close(courier, epoch, message, Outcome::NotSent),
             (Stop::CalledOff, false) => self.close(courier, epoch, message, Outcome::ConnectFailed),
             (Stop::CalledOff, true) => self.close(courier, epoch, message, Outcome::Cancelled),
         }
--- a/crates/gullcart-emulator/src/world.rs
+++ b/crates/gullcart-emulator/src/world.rs
@@ -4,7 +4,7 @@
 use crate::events::{Endpoint, EndpointCall, PendingRequest, Scheduled, Sending};
 use crate::outcome::EmulationError;
 use crate::queue::Queue;
-use cloverstile::{parse_settings_json, Parsed};
+use cloverstile::{parse_settings_json, ParsedSettings};
 use gullcart_judge::trace::{At, CallId, Entry, Event, MessageId as HandInId, PartnerId};
 use gullcart_rehearsal::book::Book;
 use gullcart_rehearsal::figures::{settings, spec};
@@ -44,7 +44,7 @@
     /// Where each courier runs.
     pub places: Vec<Place>,
     /// The settings of every courier.
-    pub parsed: Parsed,
+    pub parsed: ParsedSettings,
     /// By key: those that wait behind the one whose turn it is.
     pub turns: BTreeMap<u64, VecDeque<Sending>>,
     /// Clients that wait for an answer.
--- a/crates/gullcart-engine/src/directory.rs
+++ b/crates/gullcart-engine/src/directory.rs
@@ -1,6 +1,6 @@
 //! Numbers for the names of the list, and where each endpoint is found.
 
-use cloverstile::{DestinationId, Endpoint, EndpointId, KindId, Listing, Mode, Parsed, ZoneId};
+use cloverstile::{DestinationId, Endpoint, EndpointId, KindId, Listing, Mode, ParsedSettings, ZoneId};
 use gullcart_message::{ListingUpdate, Target};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -37,7 +37,7 @@
 }
 
 impl Directory {
-    pub fn new(parsed: &Parsed) -> Self {
+    pub fn new(parsed: &ParsedSettings) -> Self {
         Directory {
             zones: parsed.zone_names.clone(),
             named_zones: parsed.zone_names.len(),
--- a/crates/gullcart-engine/src/engine.rs
+++ b/crates/gullcart-engine/src/engine.rs
@@ -40,12 +40,12 @@
 
 /// An attempt that was not made.
 const NOT_MADE: Ended =
-    Ended { outcome: Outcome::Moot, latency: Duration::ZERO, complete: false, allowance: None };
+    Ended { outcome: Outcome::NotSent, latency: Duration::ZERO, complete: false, allowance: None };
 
 /// How an engine is begun.
 pub struct Start {
     /// The settings.
-    pub parsed: Parsed,
+    pub parsed: ParsedSettings,
     /// For random numbers.
     pub seed: u64,
     /// The list as the configuration has it; it may be old.
@@ -203,14 +203,14 @@
 
     fn empty(start: Start, journal: Journal<S>) -> Self {
         let Start { mut parsed, seed, epoch_ms, fingerprint, .. } = start;
-        parsed.settings.answers_take_time = true;
-        parsed.settings.held_up = HELD_UP;
+        parsed.settings.acknowledged_answers = true;
+        parsed.settings.max_pause = HELD_UP;
         let directory = Directory::new(&parsed);
         let settings = parsed.settings;
         let mut engine = Engine {
             class_names: parsed.class_names,
             classes: settings.classes.clone(),
-            most_held: settings.most_held,
+            most_held: settings.max_held,
             settings: settings.clone(),
             fingerprint,
             courier: Courier::new(settings, seed),
@@ -276,7 +276,7 @@
         }
         if let Some((_, token)) = self.wake.filter(|(at, _)| *at <= now) {
             self.wake = None;
-            self.courier.handle(now, Event::TickDue(token));
+            self.courier.handle(now, Event::TimerExpired(token));
         }
         self.decide(now);
         if let Some(error) = self.journal.take_maintenance_error() {
@@ -309,7 +309,7 @@
 
     /// The process is about to end: what is taken on from now on is called by the next one.
     pub fn call_no_more(&mut self, now: Time) {
-        self.courier.handle(now, Event::Closing(now));
+        self.courier.handle(now, Event::ShutdownAt(now));
     }
 
     fn restore(&mut self, now: Time, known: ListingUpdate) {
@@ -335,16 +335,16 @@
             if note.uid.is_some() && endpoint.is_none() {
                 continue;
             }
-            let outage = Outage {
+            let outage = OutageRecord {
                 destination: DestinationId(note.destination),
                 endpoint,
                 since: self.clock.of_wall(note.since_ms),
                 evidence: note.failure_weight,
-                lost: note.calls_were_lost,
-                returned: note.slow_start_since_ms.map(|ms| self.clock.of_wall(ms)),
-                share: note.served_per_second,
+                calls_lost: note.calls_were_lost,
+                slow_start_since: note.slow_start_since_ms.map(|ms| self.clock.of_wall(ms)),
+                served_rate: note.served_per_second,
             };
-            self.courier.handle(now, Event::Recalled(outage));
+            self.courier.handle(now, Event::OutageRestored(outage));
         }
         let held: Vec<(u32, PendingMessage)> =
             self.journal.state().pending.iter().map(|(n, h)| (*n, h.clone())).collect();
@@ -381,7 +381,8 @@
             (sent, self.directory.lasting_zone(zone))
         });
         let answered = held.verdict.is_some();
-        let restored = Restored { taken, attempts: held.attempts, maybe_ran, answered };
+        let restored =
+            Restored { accepted: taken, attempts: held.attempts, may_have_run: maybe_ran, answered };
         self.courier.handle(now, Event::Restored(restored));
         if let Some(verdict) = held.verdict {
             self.effects.push(Doing::Tell(Notice { message, id: held.message.id.clone(), verdict }));
@@ -442,7 +443,7 @@
                         trail::heard(&held.message.id);
                     }
                     self.over(now, message);
-                    self.courier.handle(now, Event::Heard(message));
+                    self.courier.handle(now, Event::AnswerAcknowledged(message));
                 }
             }
             Input::Terminate if self.ends.is_some() => {}
@@ -450,7 +451,7 @@
                 let (held, out) = self.load();
                 info!(held, out, "told to end");
                 self.ends = Some((now + CLOSING_LEAST, now + CLOSING));
-                self.courier.handle(now, Event::Closing(now + CLOSING));
+                self.courier.handle(now, Event::ShutdownAt(now + CLOSING));
                 self.effects.push(Doing::Closing);
             }
         }
@@ -494,7 +495,7 @@
         }
         let most = class.deadline;
         if !admitted || self.journal.state().pending.len() >= self.most_held {
-            return Err(Answer::Busy(Some(self.courier.come_back(now, destination))));
+            return Err(Answer::Busy(Some(self.courier.retry_after(now, destination))));
         }
         Ok(most)
     }
@@ -528,7 +529,7 @@
             }
             Err(error) => {
                 self.note(now, Err(error));
-                let answer = Answer::Busy(Some(self.courier.come_back(now, destination)));
+                let answer = Answer::Busy(Some(self.courier.retry_after(now, destination)));
                 trail::not_written(&id, &answer);
                 answer
             }
@@ -627,7 +628,7 @@
         let Some(out) = self.out.remove(&message) else { return };
         let never = matches!(
             ended.outcome,
-            Outcome::Full(_) | Outcome::ConnectFailed | Outcome::Moot | Outcome::Spent
+            Outcome::Rejected(_) | Outcome::ConnectFailed | Outcome::NotSent | Outcome::AttemptsExhausted
         );
         if let Some(held) = self.journal.state().pending.get(&message.0) {
             trail::ended(&held.message.id, out.attempt, ended.outcome, ended.latency, !never);
@@ -635,7 +636,7 @@
         if let Some(destination) = self.directory.destination(endpoint) {
             self.tally.ended(destination, ended.outcome, ended.allowance);
         }
-        if let Outcome::Full(Some(wait)) = ended.outcome {
+        if let Outcome::Rejected(Some(wait)) = ended.outcome {
             let destination = self.directory.destination(endpoint);
             if let Some(more) = self.wait_lines.due(now) {
                 info!(?destination, ?wait, more, "told to wait");
@@ -649,7 +650,7 @@
                     _ => self.counts.abandoned += 1,
                 }
             }
-            if ended.outcome == Outcome::Ok && !self.courier.is_surely_in_time(now, message) {
+            if ended.outcome == Outcome::Ok && !self.courier.is_certainly_in_time(now, message) {
                 let written = self.journal.set_verdict(message.0, Verdict::Failed);
                 self.note(now, written);
                 self.tell(message, Verdict::Failed);
@@ -671,7 +672,7 @@
                 outcome: ended.outcome,
                 latency: ended.latency,
                 complete: ended.complete,
-                allowance: ended.allowance,
+                limit_report: ended.allowance,
             }),
         );
         if self.directory.is_gone(endpoint) {
@@ -712,27 +713,30 @@
 
     fn act(&mut self, now: Time, action: Action) {
         match action {
-            Action::Route { message, endpoint, try_for, send_by } => {
+            Action::Route { message, endpoint, timeout: try_for, send_by } => {
                 self.route(now, message, endpoint, try_for, send_by);
             }
-            Action::StopAttempt { message, .. } => {
+            Action::CancelAttempt { message, .. } => {
                 // A message has one attempt out at most.
                 if let Some(out) = self.out.get_mut(&message).filter(|out| !out.is_stopped) {
                     out.is_stopped = true;
                     self.effects.push(Doing::Stop(message, Stop::CalledOff));
                 }
             }
-            Action::Busy { message, after } => {
+            Action::Return { message, retry_after: after } => {
                 self.owe(now, message, Verdict::Returned { after_ms: after.as_millis() as u64 });
             }
             Action::ReportFailure { message } => {
                 self.owe(now, message, Verdict::Failed);
             }
-            Action::Wake { after, token } => self.wake = Some((now + after, token)),
+            Action::SetTimer { after, token } => self.wake = Some((now + after, token)),
             Action::CloseIdle { endpoint } => self.effects.push(Doing::CloseIdle(endpoint)),
             Action::Log { text } => info!("{text}"),
             // The watch is always on, and the deployment permits neither probes nor notes.
-            Action::KeepInformed { .. } | Action::Refresh | Action::Probe { .. } | Action::Tell { .. } => {}
+            Action::SubscribeListing { .. }
+            | Action::RefreshListing
+            | Action::Probe { .. }
+            | Action::SendNote { .. } => {}
         }
     }
 
@@ -870,15 +874,15 @@
     }
 
     /// Outages as the journal keeps them.
-    fn outage_notes(&self, outages: impl Iterator<Item = Outage>) -> Vec<PersistedOutage> {
-        let note = |outage: Outage| PersistedOutage {
+    fn outage_notes(&self, outages: impl Iterator<Item = OutageRecord>) -> Vec<PersistedOutage> {
+        let note = |outage: OutageRecord| PersistedOutage {
             destination: outage.destination.0,
             uid: outage.endpoint.and_then(|id| self.directory.uid(id)).map(str::to_owned),
             since_ms: self.clock.to_wall(outage.since),
             failure_weight: outage.evidence,
-            calls_were_lost: outage.lost,
-            slow_start_since_ms: outage.returned.map(|at| self.clock.to_wall(at)),
-            served_per_second: outage.share,
+            calls_were_lost: outage.calls_lost,
+            slow_start_since_ms: outage.slow_start_since.map(|at| self.clock.to_wall(at)),
+            served_per_second: outage.served_rate,
         };
         outages.map(note).collect()
     }
@@ -913,14 +917,14 @@
             attempts: self.counts.attempts,
             in_flight: self.journal.state().pending.values().filter(|held| held.verdict.is_none()).count(),
             endpoints_known: self.directory.listed(),
-            endpoints_excluded: self.courier.excluded(now),
+            endpoints_excluded: self.courier.excluded_endpoints(now),
         }
     }
 
     /// Says in the log what each destination was given and what waits for it, where [`crate::TALLY`] is switched on. To be
     /// called once a second.
     pub fn tell_tally(&mut self, now: Time) {
-        self.tally.tell(self.courier.standings(now));
+        self.tally.tell(self.courier.destination_statuses(now));
     }
 
     /// Says in the log what has happened since the last time, and how late the loop was at the most.
--- a/crates/gullcart-engine/src/tally.rs
+++ b/crates/gullcart-engine/src/tally.rs
@@ -1,6 +1,6 @@
 //! What each destination was given and answered in a second, for a look over many couriers at once.
 
-use cloverstile::{Allowance, DestinationId, Outcome, Standing};
+use cloverstile::{DestinationId, DestinationStatus, LimitReport, Outcome};
 use std::collections::BTreeMap;
 use tracing::{debug, enabled, Level};
 
@@ -51,27 +51,27 @@
     }
 
     /// A call ended.
-    pub fn ended(&mut self, destination: DestinationId, outcome: Outcome, told: Option<Allowance>) {
+    pub fn ended(&mut self, destination: DestinationId, outcome: Outcome, told: Option<LimitReport>) {
         let Some(count) = self.of(destination) else { return };
         if let Some(told) = told.filter(|told| told.limit > 0.0) {
-            count.left += told.left;
+            count.left += told.remaining_share;
             count.lefts += 1;
         }
         match outcome {
             Outcome::Ok => count.ok += 1,
-            Outcome::Full(wait) => {
+            Outcome::Rejected(wait) => {
                 count.full += 1;
                 count.told += u32::from(wait.is_some());
             }
             Outcome::ConnectFailed => count.unconnected += 1,
-            Outcome::Error | Outcome::Spoilt => count.error += 1,
+            Outcome::Error | Outcome::Malformed => count.error += 1,
             Outcome::Timeout | Outcome::Reset | Outcome::Cancelled => count.lost += 1,
-            Outcome::Moot | Outcome::Spent => {}
+            Outcome::NotSent | Outcome::AttemptsExhausted => {}
         }
     }
 
     /// Says all that was counted, and what waits.
-    pub fn tell(&mut self, standings: impl Iterator<Item = Standing>) {
+    pub fn tell(&mut self, standings: impl Iterator<Item = DestinationStatus>) {
         if !enabled!(target: TALLY, Level::DEBUG) {
             return;
         }
@@ -101,12 +101,12 @@
     }
 }
 
-fn say(destination: DestinationId, count: &Count, standing: Option<Standing>) {
+fn say(destination: DestinationId, count: &Count, standing: Option<DestinationStatus>) {
     let Count { taken, ok, full, told, lost, error, unconnected, .. } = count;
     let left = (count.lefts > 0).then(|| count.left / f64::from(count.lefts));
-    let (waiting, out) = standing.map_or((0, 0), |s| (s.waiting, s.out));
-    let hold = standing.filter(|s| s.waiting > 0).map(|s| s.hold);
-    let (pace, limit) = standing.map_or((0.0, 0.0), |s| (s.pace, s.limit));
+    let (waiting, out) = standing.map_or((0, 0), |s| (s.waiting, s.calls_in_flight));
+    let hold = standing.filter(|s| s.waiting > 0).map(|s| s.wait_reason);
+    let (pace, limit) = standing.map_or((0.0, 0.0), |s| (s.rate, s.limit));
     debug!(
         target: TALLY, destination = destination.0, taken, ok, full, told, lost, error, unconnected, waiting, out,
         ?hold, pace, limit, left, "tally"
--- a/crates/gullcart-engine/src/trials.rs
+++ b/crates/gullcart-engine/src/trials.rs
@@ -2,7 +2,7 @@
 //! learnt. Each destination that is held to be out is a duty: who holds it tries, tells all that want it what came of it, and
 //! passes it on where it gets nowhere. Without a holder, or without news of one, each courier tries for itself as ever.
 
-use cloverstile::{Courier, DestinationId, Event, News, Outing, Time, Trials};
+use cloverstile::{Courier, DestinationId, Event, OutageView, PeerReport, Time, TrialOwner};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -99,10 +99,10 @@
     }
 
     /// As news here. It is never taken for earlier than it was: a return is rather slow, and a wait rather long.
-    fn news(self, at: Time) -> News {
+    fn news(self, at: Time) -> PeerReport {
         match self {
-            Lesson::Served(ago) => News::Served(at - ago),
-            Lesson::Wait(left) => News::Wait(at + left),
+            Lesson::Served(ago) => PeerReport::Served(at - ago),
+            Lesson::Wait(left) => PeerReport::RetryAfter(at + left),
         }
     }
 }
@@ -148,9 +148,9 @@
             return (events, wishes);
         }
         self.looked = Some(now);
-        for to in courier.outings() {
+        for to in courier.confirmed_outages() {
             let is_new = !self.wanted.contains_key(&to) && self.wanted.len() < MOST;
-            if is_new && courier.outing(to).is_some_and(|outing| outing.waiting) {
+            if is_new && courier.outage_view(to).is_some_and(|outing| outing.has_messages) {
                 self.wanted.insert(to, Wanted { asked: now, ..Wanted::default() });
                 wishes.push(TrialWish::Want(to));
             }
@@ -163,7 +163,7 @@
         }
         let mut over = Vec::new();
         for (to, wanted) in &mut self.wanted {
-            let outing = courier.outing(*to);
+            let outing = courier.outage_view(*to);
             let view = view(*to);
             if view.is_none() && now - wanted.asked > ASK_AGAIN {
                 // The group was not there to be asked, or began anew since.
@@ -177,9 +177,9 @@
                     events.extend(wanted.hear(*to, &view));
                     wanted.stand(now, *to, outing, &view, self.fall * HELD_FALLS, chance, &mut wishes)
                 }
-                None => (false, Trials::Own),
+                None => (false, TrialOwner::EachCourier),
             };
-            events.push(Event::Trials(*to, trials));
+            events.push(Event::TrialOwnerChanged(*to, trials));
             if !stays {
                 wishes.push(TrialWish::GiveUp(*to));
                 over.push(*to);
@@ -201,7 +201,7 @@
         }
         self.heard = Some((*epoch, words.clone()));
         let news = Lesson::read(words)?.news(*at);
-        Some(Event::Learnt(to, news))
+        Some(Event::PeerReported(to, news))
     }
 
     /// Whether it is wanted on, and who tries until this is looked at again.
@@ -210,16 +210,16 @@
         &mut self,
         now: Time,
         to: DestinationId,
-        outing: Outing,
+        outing: OutageView,
         view: &DutyView,
         longest: Duration,
         chance: f64,
         wishes: &mut Vec<TrialWish>,
-    ) -> (bool, Trials) {
-        let is_out = outing.since.is_some();
+    ) -> (bool, TrialOwner) {
+        let is_out = outing.confirmed_since.is_some();
         let (epoch, until) = match view.holder {
-            Holder::Nobody => return (is_out, Trials::Own),
-            Holder::Other { until } => return (is_out, Trials::Elsewhere(until)),
+            Holder::Nobody => return (is_out, TrialOwner::EachCourier),
+            Holder::Other { until } => return (is_out, TrialOwner::OtherCourier(until)),
             Holder::Me { epoch, until } => (epoch, until),
         };
         if self.held.is_none_or(|(held, _)| held != epoch) {
@@ -230,20 +230,20 @@
             // What was told of the outage before is over.
             self.told = None;
             let gets_nowhere = now - since > longest;
-            if !outing.waiting || gets_nowhere {
+            if !outing.has_messages || gets_nowhere {
                 wishes.push(TrialWish::PassOn(to, longest.mul_f64(1.0 + chance)));
-                return (true, Trials::Own);
+                return (true, TrialOwner::EachCourier);
             }
-            return (true, Trials::Held(until));
+            return (true, TrialOwner::ThisCourier(until));
         }
         // It serves, or said when it will. Those that wait for it hear of that before it is given up.
         if self.told.is_none() {
-            let lesson = if outing.told_wait > now {
-                Lesson::Wait(outing.told_wait - now)
-            } else if outing.last_answer >= since {
-                Lesson::Served(now - outing.last_answer)
+            let lesson = if outing.retry_after_until > now {
+                Lesson::Wait(outing.retry_after_until - now)
+            } else if outing.last_success >= since {
+                Lesson::Served(now - outing.last_success)
             } else {
-                return (false, Trials::Own);
+                return (false, TrialOwner::EachCourier);
             };
             let words = lesson.write();
             wishes.push(TrialWish::Tell(to, words.clone()));
@@ -254,7 +254,7 @@
             let is_heard = view.told.as_ref().is_some_and(|told| told.epoch == epoch && told.words == *words);
             is_heard || now - *at > longest
         });
-        (!is_done, Trials::Held(until))
+        (!is_done, TrialOwner::ThisCourier(until))
     }
 }
 
--- a/crates/gullcart-engine/src/trials/tests.rs
+++ b/crates/gullcart-engine/src/trials/tests.rs
@@ -57,7 +57,7 @@
                     outcome,
                     latency: Duration::from_millis(5),
                     complete: outcome == Outcome::Ok,
-                    allowance: None,
+                    limit_report: None,
                 };
                 self.courier.handle(self.now, Event::Finished(finished));
             }
@@ -137,7 +137,7 @@
         scene.view = Some(DutyView { holder, told: served(9, at) });
         // One step: the first call of the return fails again in the next.
         scene.fails(5);
-        assert_eq!(scene.courier.outing(TO).unwrap().since.is_none(), ends);
+        assert_eq!(scene.courier.outage_view(TO).unwrap().confirmed_since.is_none(), ends);
     }
     // A wait that another one was told binds here, too.
     let mut scene = Scene::new();
--- a/crates/gullcart-engine/src/vocabulary.rs
+++ b/crates/gullcart-engine/src/vocabulary.rs
@@ -1,7 +1,7 @@
 //! What the engine is told, and what it wants done.
 
 use bytes::Bytes;
-use cloverstile::{Allowance, EndpointId, MessageId, Outcome, Time};
+use cloverstile::{EndpointId, LimitReport, MessageId, Outcome, Time};
 use gullcart_message::{AcceptedMessage, ListingUpdate, Verdict};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -78,7 +78,7 @@
     pub latency: Duration,
     /// The message is over.
     pub complete: bool,
-    pub allowance: Option<Allowance>,
+    pub allowance: Option<LimitReport>,
 }
 
 /// What happens.
--- a/crates/gullcart-engine/tests/carried.rs
+++ b/crates/gullcart-engine/tests/carried.rs
@@ -53,7 +53,7 @@
     let mut before = engine(&disk, Crash::Process, EPOCH);
     before.handle(EPOCH, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
     let call = calls(&before.turn(EPOCH).unwrap()).remove(0);
-    let wait = Outcome::Full(Some(Duration::from_secs(2)));
+    let wait = Outcome::Rejected(Some(Duration::from_secs(2)));
     before.handle(EPOCH, Input::Ended(call.message, call.endpoint, ended(wait)));
     let block = before.freeze(EPOCH).unwrap().1.unwrap();
     let (mut engine, resumed) = Engine::resume(start(EPOCH), journal(&disk, Crash::Process), &block);
@@ -112,7 +112,7 @@
     let size = |messages: u64| {
         let disk = Disk::new(64 << 20, Crash::Process, 1);
         let mut settings = start(EPOCH);
-        settings.parsed.settings.most_held = 20_000;
+        settings.parsed.settings.max_held = 20_000;
         let journal = Journal::replay(disk.clone(), 64 << 20, Options::default(), 7).unwrap();
         let mut engine = Engine::new(settings, journal);
         for number in 1..=messages {
--- a/crates/gullcart-engine/tests/once.rs
+++ b/crates/gullcart-engine/tests/once.rs
@@ -212,7 +212,7 @@
         match (out.gone, self.rng.u8(..12)) {
             (Gone::Nothing | Gone::Part, _) if too_late => {
                 let untouched = out.gone == Gone::Nothing;
-                self.ended(message, if untouched { Outcome::Moot } else { Outcome::Reset });
+                self.ended(message, if untouched { Outcome::NotSent } else { Outcome::Reset });
             }
             (Gone::Nothing, 0) => self.ended(message, Outcome::ConnectFailed),
             (Gone::Nothing, _) if self.now < out.up => {}
@@ -226,11 +226,11 @@
             (Gone::All, 0..=1) => self.ended(message, Outcome::Ok),
             (Gone::All, 2) => self.ended(message, Outcome::Error),
             (Gone::All, 3..=4) => self.ended(message, Outcome::Reset),
-            (Gone::All, 5) => self.ended(message, Outcome::Spoilt),
+            (Gone::All, 5) => self.ended(message, Outcome::Malformed),
             (Gone::All, 6..=8) => {
                 self.never_ran(&id);
                 let wait = self.rng.bool().then(|| ms(50));
-                let outcomes = [Outcome::Full(wait), Outcome::Moot, Outcome::Spent];
+                let outcomes = [Outcome::Rejected(wait), Outcome::NotSent, Outcome::AttemptsExhausted];
                 let outcome = outcomes[usize::from(self.rng.u8(..20) / 18) * self.rng.usize(..3)];
                 self.ended(message, outcome);
             }
@@ -342,7 +342,7 @@
         for message in self.out.keys().copied().collect::<Vec<_>>() {
             let out = &self.out[&message];
             match (out.gone, out.called_off) {
-                (Gone::Nothing, _) => self.ended(message, Outcome::Moot),
+                (Gone::Nothing, _) => self.ended(message, Outcome::NotSent),
                 (_, true) => self.ended(message, Outcome::Cancelled),
                 (Gone::Part, false) => self.ended(message, Outcome::Reset),
                 (Gone::All, false) => {}
@@ -407,7 +407,7 @@
     fn stops(&mut self, message: MessageId, reason: Stop) {
         let Some(out) = self.out.get_mut(&message) else { return };
         match (reason, out.gone) {
-            (Stop::Withdrawn, Gone::Nothing) => self.ended(message, Outcome::Moot),
+            (Stop::Withdrawn, Gone::Nothing) => self.ended(message, Outcome::NotSent),
             (Stop::Withdrawn, _) => {}
             (Stop::CalledOff, _) => {
                 out.called_off = true;
--- a/crates/gullcart-engine/tests/promises.rs
+++ b/crates/gullcart-engine/tests/promises.rs
@@ -97,7 +97,7 @@
                 let Some((message, endpoint)) = self.out.pop_first() else { return };
                 let outcome = match self.rng.u8(..8) {
                     0 => Outcome::Reset,
-                    1 => Outcome::Full(Some(Duration::from_millis(200))),
+                    1 => Outcome::Rejected(Some(Duration::from_millis(200))),
                     2 => Outcome::ConnectFailed,
                     3 => Outcome::Timeout,
                     _ => Outcome::Ok,
--- a/crates/gullcart-hollow/src/courier.rs
+++ b/crates/gullcart-hollow/src/courier.rs
@@ -1,6 +1,6 @@
 //! The part of a hollow courier that acts on what it is told: a real engine on a journal in memory, without messages.
 
-use cloverstile::{parse_settings_json, Parsed, Time};
+use cloverstile::{parse_settings_json, ParsedSettings, Time};
 use gullcart_engine::{Engine, Input, Start, EPOCH};
 use gullcart_journal::simulated::{Crash, Disk};
 use gullcart_journal::{Journal, JournalError, Options};
@@ -35,7 +35,7 @@
 
 /// Settings that all hollow couriers share.
 #[derive(Clone)]
-pub struct CourierSettings(Parsed);
+pub struct CourierSettings(ParsedSettings);
 
 impl CourierSettings {
     /// The settings of a fleet of so many couriers.
--- a/crates/gullcart-scale/src/capacity/backlog.rs
+++ b/crates/gullcart-scale/src/capacity/backlog.rs
@@ -47,7 +47,7 @@
     }
     let numbers = 2_f64.powi(size_of::<MessageId>() as i32 * BITS_OF_A_BYTE);
     rows.push(both("numbers that messages can have", numbers));
-    rows.push(both("messages held, unless it is told otherwise", Settings::default().most_held as f64));
+    rows.push(both("messages held, unless it is told otherwise", Settings::default().max_held as f64));
     let header = format!("{} messages at one courier", value(messages, Unit::Count));
     Ok(table([&header, "before the index", "now"], rows))
 }
--- a/crates/gullcart-scale/src/shared/crowd.rs
+++ b/crates/gullcart-scale/src/shared/crowd.rs
@@ -105,7 +105,7 @@
     fn happen(&mut self, now: Time, number: usize, happening: Happening) {
         match happening {
             Happening::Takes => self.members[number].take(now),
-            Happening::Wakes(token) => self.members[number].courier.handle(now, Event::TickDue(token)),
+            Happening::Wakes(token) => self.members[number].courier.handle(now, Event::TimerExpired(token)),
             Happening::Ends(message, call) => self.end(now, number, message, call),
         }
         self.decide(now, number);
@@ -125,9 +125,9 @@
         self.members[number].courier.decide(now, &mut actions);
         for action in actions {
             match action {
-                Action::Wake { after, token } => self.push(now + after, number, Happening::Wakes(token)),
+                Action::SetTimer { after, token } => self.push(now + after, number, Happening::Wakes(token)),
                 Action::Route { message, .. } => self.call(now, number, message.0),
-                Action::Busy { .. } | Action::ReportFailure { .. } => {
+                Action::Return { .. } | Action::ReportFailure { .. } => {
                     self.push(now + NEXT_MESSAGE, number, Happening::Takes);
                 }
                 _ => {}
@@ -173,7 +173,7 @@
             outcome,
             latency,
             complete: outcome == Outcome::Ok,
-            allowance: None,
+            limit_report: None,
         };
         *attempts += 1;
         self.courier.handle(now, Event::Finished(finished));
--- a/crates/gullcart-scale/src/shared/partner.rs
+++ b/crates/gullcart-scale/src/shared/partner.rs
@@ -45,7 +45,7 @@
         self.asked = now;
         self.room = (self.room + saved).min(capacity * SAVED_S + 1.0);
         if self.room < 1.0 {
-            return (Outcome::Full(None), FAILS_AFTER);
+            return (Outcome::Rejected(None), FAILS_AFTER);
         }
         self.room -= 1.0;
         (Outcome::Ok, SERVES_WITHIN)
@@ -53,16 +53,16 @@
 
     /// Calls a second so long after the return.
     fn capacity(&self, since: Duration) -> f64 {
-        let warmth = (since.as_secs_f64() / self.rules.cold.as_secs_f64()).min(1.0);
-        CAPACITY * (self.rules.cold_from + (1.0 - self.rules.cold_from) * warmth)
+        let warmth = (since.as_secs_f64() / self.rules.warm_up.as_secs_f64()).min(1.0);
+        CAPACITY * (self.rules.cold_capacity_share + (1.0 - self.rules.cold_capacity_share) * warmth)
     }
 
     fn note(&mut self, now: Time, capacity: f64) {
         self.recent.push_back(now);
-        while self.recent.front().is_some_and(|old| now - *old >= self.rules.fall) {
+        while self.recent.front().is_some_and(|old| now - *old >= self.rules.collapse_window) {
             self.recent.pop_front();
         }
-        let survives = self.rules.tip_multiple * capacity * self.rules.fall.as_secs_f64();
+        let survives = self.rules.collapse_multiple * capacity * self.rules.collapse_window.as_secs_f64();
         self.worst = self.worst.max(self.recent.len() as f64 / survives);
     }
 }
--- a/crates/gullcart/src/calls.rs
+++ b/crates/gullcart/src/calls.rs
@@ -272,7 +272,7 @@
     async fn open_connection(&self, address: SocketAddr, limit: ConnectLimit) -> Result<Connection, Outcome> {
         // Without a descriptor nothing was tried, which says nothing about the endpoint.
         let descriptor =
-            timeout_at(limit.deadline, self.acquire_descriptor()).await.map_err(|_| Outcome::Moot)?;
+            timeout_at(limit.deadline, self.acquire_descriptor()).await.map_err(|_| Outcome::NotSent)?;
         // Refused or timed out: nothing was sent.
         match timeout_at(limit.deadline, connect(address, descriptor)).await {
             Ok(Ok(connection)) => Ok(connection),
@@ -310,7 +310,7 @@
             };
             let (port, before) = (connection.stream.local_port(), connection.stream.call_count());
             debug!(target: TRAIL, id = call.id, fresh = is_new, port, before, after = ?started_at.elapsed(), "connection ready");
-            let Ok(request) = build_request(&call) else { return ended(Outcome::Moot) };
+            let Ok(request) = build_request(&call) else { return ended(Outcome::NotSent) };
             let stream = connection.stream.clone();
             stream.begin_call(call.body.len(), progress.clone(), send_by);
             if let Some(resumed) = resumed.take() {
@@ -341,7 +341,7 @@
             let outcome = match end_of_call {
                 // Not a byte was written, so the call never ran. A missed `send_by` says nothing about the endpoint.
                 CallEnd::Broken | CallEnd::TimedOut if stream.is_unwritten() && stream.is_past_send_by() => {
-                    Outcome::Moot
+                    Outcome::NotSent
                 }
                 CallEnd::Broken if stream.is_unwritten() && !is_new => {
                     // An idle connection that turned out to be closed, or to hold bytes that belong to no call: the call is
@@ -354,7 +354,7 @@
                 CallEnd::Broken | CallEnd::TimedOut if stream.is_unwritten() => Outcome::ConnectFailed,
                 // A status line with 200 counts whatever follows it, unless it may be a copy of an earlier response.
                 _ if stream.is_delivered_by(end) && stream.earlier_answers.borrow().is_empty() => Outcome::Ok,
-                CallEnd::Broken if stream.has_response_bytes() => Outcome::Spoilt,
+                CallEnd::Broken if stream.has_response_bytes() => Outcome::Malformed,
                 // Some of the request was written, and how much of it arrived is unknown: the call may have run.
                 CallEnd::Broken => Outcome::Reset,
                 CallEnd::TimedOut => Outcome::Timeout,
@@ -387,7 +387,7 @@
         if rest.await {
             ended
         } else {
-            Ended { outcome: Outcome::Spoilt, complete: false, allowance: None, ..ended }
+            Ended { outcome: Outcome::Malformed, complete: false, allowance: None, ..ended }
         }
     }
 }
@@ -415,7 +415,7 @@
     /// is known about the endpoint.
     fn new(usual: Instant, send_by: Option<Instant>) -> Self {
         match send_by {
-            Some(at) if at < usual => ConnectLimit { deadline: at, timeout_outcome: Outcome::Moot },
+            Some(at) if at < usual => ConnectLimit { deadline: at, timeout_outcome: Outcome::NotSent },
             _ => ConnectLimit { deadline: usual, timeout_outcome: Outcome::ConnectFailed },
         }
     }
@@ -437,7 +437,7 @@
 fn outcome_if_unsent(reason: Option<Stop>) -> Outcome {
     match reason {
         Some(Stop::CalledOff) => Outcome::ConnectFailed,
-        Some(Stop::Withdrawn) | None => Outcome::Moot,
+        Some(Stop::Withdrawn) | None => Outcome::NotSent,
     }
 }
 
--- a/crates/gullcart/src/calls/response.rs
+++ b/crates/gullcart/src/calls/response.rs
@@ -1,7 +1,7 @@
 //! Interprets an endpoint's response.
 
 use bytes::Bytes;
-use cloverstile::{Allowance, Outcome};
+use cloverstile::{LimitReport, Outcome};
 use gullcart_engine::Ended;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Incoming};
@@ -29,12 +29,12 @@
             let retry_after = header("X-Come-Back-Ms").and_then(|text| text.trim().parse().ok());
             let retry_after =
                 retry_after.filter(|ms| *ms > 0).map(|ms| Duration::from_millis(ms).min(MAX_RETRY_AFTER));
-            (Outcome::Full(retry_after), false)
+            (Outcome::Rejected(retry_after), false)
         }
-        503 if header("X-Line-Busy").is_some_and(|text| text.trim() == "1") => (Outcome::Moot, false),
-        503 => (Outcome::Full(None), false),
-        504 => (Outcome::Spent, false),
-        410 => (Outcome::Moot, true),
+        503 if header("X-Line-Busy").is_some_and(|text| text.trim() == "1") => (Outcome::NotSent, false),
+        503 => (Outcome::Rejected(None), false),
+        504 => (Outcome::AttemptsExhausted, false),
+        410 => (Outcome::NotSent, true),
         // A server error, or a status without a defined meaning: the call may have run.
         _ => (Outcome::Error, false),
     };
@@ -42,7 +42,7 @@
 }
 
 /// Parses the load report header; none where a value is missing or implausible.
-pub(super) fn parse_load_report(text: &str) -> Option<Allowance> {
+pub(super) fn parse_load_report(text: &str) -> Option<LimitReport> {
     let value = |name: &str| -> Option<f64> {
         let fields = text.split(',').filter_map(|field| field.trim().split_once('='));
         fields.filter(|(field, _)| *field == name).find_map(|(_, value)| value.trim().parse().ok())
@@ -50,7 +50,7 @@
     let (share, limit) = (value("x0")?, value("x1")?);
     let is_plausible =
         (0.0..=MAX_REMAINING_SHARE).contains(&share) && (0.0..=MAX_CALL_LIMIT).contains(&limit);
-    is_plausible.then_some(Allowance { left: share, limit })
+    is_plausible.then_some(LimitReport { remaining_share: share, limit })
 }
 
 /// Reads the body of a response; none if it is too long, incomplete, or not received by `end`.
--- a/crates/gullcart/src/calls/tests.rs
+++ b/crates/gullcart/src/calls/tests.rs
@@ -2,7 +2,7 @@
 
 use super::response::parse_load_report;
 use super::*;
-use cloverstile::{Allowance, MessageId};
+use cloverstile::{LimitReport, MessageId};
 use socket2::{Domain, Socket, Type};
 use std::net::TcpListener;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -105,7 +105,7 @@
         });
         over.store(true, Ordering::Relaxed);
         // Without a bound the call is sent late, which shows that the test reproduces the failure.
-        assert_eq!(ended, if is_bound { Outcome::Moot } else { Outcome::Timeout });
+        assert_eq!(ended, if is_bound { Outcome::NotSent } else { Outcome::Timeout });
         assert_eq!(counting.join().unwrap() == 0, is_bound);
     }
 }
@@ -119,7 +119,7 @@
         let send_by = Instant::now() + Duration::from_millis(50);
         pool().call(call(full_queue.address), Some(send_by), stopped, Rc::default(), None).await
     });
-    assert_eq!(ended.outcome, Outcome::Moot);
+    assert_eq!(ended.outcome, Outcome::NotSent);
 }
 
 /// After a hand-over, the courier may cancel a call before its task has run for the first time. The previous process has sent
@@ -160,7 +160,7 @@
         pool.idle.borrow_mut().insert(EndpointId(1), vec![Connection { idle_since: rested, ..connection }]);
         (pool.call(call(address), past, stopped, progress.clone(), None).await, progress)
     });
-    assert_eq!(ended.outcome, Outcome::Moot);
+    assert_eq!(ended.outcome, Outcome::NotSent);
     assert!(!progress.is_unreported());
     let (mut accepted, _) = listener.accept().unwrap();
     assert_eq!(std::io::Read::read(&mut accepted, &mut [0; 1024]).unwrap_or(0), 0, "it was sent");
@@ -168,7 +168,7 @@
 
 #[test]
 fn implausible_load_reports_are_ignored() {
-    assert_eq!(parse_load_report("x0=0.4,x1=25"), Some(Allowance { left: 0.4, limit: 25.0 }));
+    assert_eq!(parse_load_report("x0=0.4,x1=25"), Some(LimitReport { remaining_share: 0.4, limit: 25.0 }));
     for text in ["", "x0=0.4", "x0=-1,x1=25", "x0=0.4,x1=-3", "x0=0.4,x1=1e30", "x0=nan,x1=25", "x0=7e5,x1=2"]
     {
         assert_eq!(parse_load_report(text), None, "{text}");
@@ -282,7 +282,7 @@
         let answer = String::from_utf8_lossy(answer);
         assert!(is_let_go, "{answer}: {outcome:?}, and its connection is open");
         // The call may still run at the endpoint.
-        assert_eq!(outcome, Outcome::Spoilt, "{answer}");
+        assert_eq!(outcome, Outcome::Malformed, "{answer}");
     }
 }
 
@@ -302,6 +302,6 @@
     });
     let took = begun.elapsed();
     drop(endpoint.join().unwrap());
-    assert_eq!(ended.outcome, Outcome::Spoilt);
+    assert_eq!(ended.outcome, Outcome::Malformed);
     assert!(took < BODY_TIMEOUT, "ended {took:?} after the start of a call with a timeout of {TRY_FOR:?}");
 }
--- a/crates/gullcart/src/calls/tests/truth.rs
+++ b/crates/gullcart/src/calls/tests/truth.rs
@@ -230,7 +230,10 @@
             let truth = records.borrow().get(&id).copied().unwrap_or_default();
             let may_have_run = truth.is_complete && !truth.is_reported_never_run;
             match ended.outcome {
-                Outcome::Full(_) | Outcome::ConnectFailed | Outcome::Moot | Outcome::Spent => {
+                Outcome::Rejected(_)
+                | Outcome::ConnectFailed
+                | Outcome::NotSent
+                | Outcome::AttemptsExhausted => {
                     assert!(!may_have_run, "seed {seed}, {id}: {:?}, and it may have run", ended.outcome);
                     never_run += 1;
                 }
--- a/crates/gullcart/src/driver.rs
+++ b/crates/gullcart/src/driver.rs
@@ -135,7 +135,7 @@
 pub fn connection_pool(settings: &Settings, endpoint_sockets: usize, seed: u64) -> Rc<ConnectionPool> {
     Rc::new(ConnectionPool::new(
         settings.connect_timeout,
-        settings.conn_idle,
+        settings.connection_idle_timeout,
         endpoint_sockets,
         // Leaves descriptors for calls, so that these need not wait until an idle connection has closed.
         (IDLE_CONNECTIONS_PER_SLOT * settings.call_slots)
@@ -291,7 +291,7 @@
             }
             let elapsed = call.started_at.elapsed();
             let outcome = match (call.progress.written_part(), call.stop.is_some()) {
-                (WrittenPart::Nothing, _) => Outcome::Moot,
+                (WrittenPart::Nothing, _) => Outcome::NotSent,
                 // The courier has cancelled it already.
                 (_, false) => Outcome::Cancelled,
                 (WrittenPart::Part, true) => Outcome::Reset,
--- a/crates/gullcart/src/service.rs
+++ b/crates/gullcart/src/service.rs
@@ -160,7 +160,7 @@
         let parsed = self.broken.settings(parsed);
         let (slots, couriers, seed) = (parsed.settings.call_slots, parsed.settings.couriers, config.seed());
         let drain_grace = parsed.settings.rules.drain_grace;
-        let trial_duties = TrialDuties::new(parsed.settings.rules.fall, seed ^ DUTY_SEED_MASK);
+        let trial_duties = TrialDuties::new(parsed.settings.rules.collapse_window, seed ^ DUTY_SEED_MASK);
         let budget = DescriptorBudget::split(
             config.limits.sockets,
             slots,
