--- a/crates/gullcart-engine/src/broken.rs
+++ b/crates/gullcart-engine/src/broken.rs
@@ -1,19 +1,19 @@
 //! Deliberately broken couriers, to prove that rehearsals catch them. Compiled with the feature `broken` alone, which
 //! no installed build has; one fault is chosen at start, by the variable [`VARIABLE`].
 
-use crate::vocabulary::Ended;
+use crate::types::CallResult;
 use cloverstile::{Effect, Outcome, Parsed};
 use gullcart_message::{Update, Verdict};
 use std::cell::Cell;
 use std::time::Duration;
 
 /// Names the fault.
-pub const VARIABLE: &str = "GULLCART_BROKEN";
+pub const FAULT_VARIABLE: &str = "GULLCART_BROKEN";
 
 /// Every so many messages are swallowed, and calls sent astray.
-const SELDOM: u32 = 20;
+const PERIOD: u32 = 20;
 /// By how much drains are heard too late.
-pub const DEAF_FOR: Duration = Duration::from_secs(4);
+pub const LIST_UPDATE_DELAY: Duration = Duration::from_secs(4);
 
 macro_rules! faults {
     ($($(#[$doc:meta])* $fault:ident = $name:literal),* $(,)?) => {
@@ -87,34 +87,35 @@
 
 /// The chosen fault.
 #[derive(Clone, Default)]
-pub struct Broken {
+pub struct FaultInjector {
     fault: Option<Fault>,
     count: Cell<u32>,
 }
 
-impl Broken {
+impl FaultInjector {
     /// The fault of that name; nothing is broken without one.
-    pub fn chosen(name: Option<&str>) -> Result<Self, String> {
-        let unknown = |name: &str| format!("{VARIABLE}: no fault '{name}'; there are {}", NAMES.join(", "));
+    pub fn from_name(name: Option<&str>) -> Result<Self, String> {
+        let unknown =
+            |name: &str| format!("{FAULT_VARIABLE}: no fault '{name}'; there are {}", NAMES.join(", "));
         let fault = name.map(|name| Fault::of(name).ok_or_else(|| unknown(name))).transpose()?;
-        Ok(Broken { fault, count: Cell::new(0) })
+        Ok(FaultInjector { fault, count: Cell::new(0) })
     }
 
-    pub fn is(&self, fault: Fault) -> bool {
+    pub fn is_active(&self, fault: Fault) -> bool {
         self.fault == Some(fault)
     }
 
     /// One time in [`SELDOM`].
-    pub fn is_seldom(&self, fault: Fault) -> bool {
-        if !self.is(fault) {
+    pub fn fires(&self, fault: Fault) -> bool {
+        if !self.is_active(fault) {
             return false;
         }
         self.count.set(self.count.get() + 1);
-        self.count.get().is_multiple_of(SELDOM)
+        self.count.get().is_multiple_of(PERIOD)
     }
 
     /// What the decisions are made by.
-    pub fn settings(&self, mut parsed: Parsed) -> Parsed {
+    pub fn apply_to_settings(&self, mut parsed: Parsed) -> Parsed {
         let settings = &mut parsed.settings;
         match self.fault {
             Some(Fault::PastWindow) => {
@@ -136,7 +137,7 @@
     }
 
     /// How a call is held to have ended.
-    pub fn ended(&self, ended: Ended) -> Ended {
+    pub fn alter_call_result(&self, ended: CallResult) -> CallResult {
         let unsure =
             matches!(ended.outcome, Outcome::Reset | Outcome::Timeout | Outcome::Error | Outcome::Spoilt);
         let outcome = match (self.fault, ended.outcome) {
@@ -145,21 +146,21 @@
             (Some(Fault::HalvesWait), Outcome::Full(Some(wait))) => Outcome::Full(Some(wait / 2)),
             (_, outcome) => outcome,
         };
-        Ended { outcome, ..ended }
+        CallResult { outcome, ..ended }
     }
 
     /// What is heard of the list.
-    pub fn listed(&self, mut update: Update) -> Update {
-        if self.is(Fault::DeafToDrains) && !update.all {
+    pub fn alter_list_update(&self, mut update: Update) -> Update {
+        if self.is_active(Fault::DeafToDrains) && !update.all {
             update.targets.retain(|target| target.state == "SERVING");
         }
         update
     }
 
     /// How a message is held to end.
-    pub fn verdict(&self, verdict: Verdict) -> Verdict {
+    pub fn alter_verdict(&self, verdict: Verdict) -> Verdict {
         match verdict {
-            Verdict::Failed if self.is(Fault::HandsBack) => Verdict::Returned { after_ms: 100 },
+            Verdict::Failed if self.is_active(Fault::HandsBack) => Verdict::Returned { after_ms: 100 },
             told => told,
         }
     }
--- a/crates/gullcart-engine/src/clock.rs
+++ b/crates/gullcart-engine/src/clock.rs
@@ -19,7 +19,7 @@
     }
 
     /// Unix milliseconds.
-    pub fn to_wall(self, at: Time) -> u64 {
+    pub fn to_unix_ms(self, at: Time) -> u64 {
         if at >= EPOCH {
             self.start_ms + (at - EPOCH).as_millis() as u64
         } else {
@@ -28,7 +28,7 @@
     }
 
     /// What a Unix time is to the module; what lies further back than its beginning is its beginning.
-    pub fn of_wall(self, ms: u64) -> Time {
+    pub fn from_unix_ms(self, ms: u64) -> Time {
         if ms >= self.start_ms {
             EPOCH + Duration::from_millis(ms - self.start_ms)
         } else {
--- a/crates/gullcart-engine/src/tally.rs
+++ b/crates/gullcart-engine/src/destination_metrics.rs
@@ -5,7 +5,7 @@
 use tracing::{debug, enabled, Level};
 
 /// The log's target of these lines: `GULLCART_LOG=gullcart::tally=debug` switches them on.
-pub const TALLY: &str = "gullcart::tally";
+pub const DESTINATION_METRICS_TARGET: &str = "gullcart::tally";
 /// Destinations that are told of in one second at most; of the others their number.
 const MOST: usize = 1024;
 
@@ -26,14 +26,14 @@
 
 /// Counts since the last telling; bounded by [`MOST`] destinations.
 #[derive(Default)]
-pub struct Tally {
+pub struct DestinationMetrics {
     counts: BTreeMap<DestinationId, Count>,
     beyond: u32,
 }
 
-impl Tally {
+impl DestinationMetrics {
     fn of(&mut self, destination: DestinationId) -> Option<&mut Count> {
-        if !enabled!(target: TALLY, Level::DEBUG) {
+        if !enabled!(target: DESTINATION_METRICS_TARGET, Level::DEBUG) {
             return None;
         }
         if self.counts.len() >= MOST && !self.counts.contains_key(&destination) {
@@ -44,14 +44,14 @@
     }
 
     /// A message was taken.
-    pub fn taken(&mut self, destination: DestinationId) {
+    pub fn message_accepted(&mut self, destination: DestinationId) {
         if let Some(count) = self.of(destination) {
             count.taken += 1;
         }
     }
 
     /// A call ended.
-    pub fn ended(&mut self, destination: DestinationId, outcome: Outcome, told: Option<Allowance>) {
+    pub fn call_ended(&mut self, destination: DestinationId, outcome: Outcome, told: Option<Allowance>) {
         let Some(count) = self.of(destination) else { return };
         if let Some(told) = told.filter(|told| told.limit > 0.0) {
             count.left += told.left;
@@ -71,8 +71,8 @@
     }
 
     /// Says all that was counted, and what waits.
-    pub fn tell(&mut self, standings: impl Iterator<Item = Standing>) {
-        if !enabled!(target: TALLY, Level::DEBUG) {
+    pub fn log(&mut self, standings: impl Iterator<Item = Standing>) {
+        if !enabled!(target: DESTINATION_METRICS_TARGET, Level::DEBUG) {
             return;
         }
         let mut counts = std::mem::take(&mut self.counts);
@@ -84,31 +84,31 @@
                     self.beyond += 1;
                 } else {
                     told += 1;
-                    say(standing.destination, &Count::default(), Some(standing));
+                    log_destination(standing.destination, &Count::default(), Some(standing));
                 }
                 continue;
             };
             told += 1;
-            say(standing.destination, &count, Some(standing));
+            log_destination(standing.destination, &count, Some(standing));
         }
         for (destination, count) in counts {
-            say(destination, &count, None);
+            log_destination(destination, &count, None);
         }
         let beyond = std::mem::take(&mut self.beyond);
         if beyond > 0 {
-            debug!(target: TALLY, beyond, "more happened with destinations, or waits for them, than is told of");
+            debug!(target: DESTINATION_METRICS_TARGET, beyond, "more happened with destinations, or waits for them, than is told of");
         }
     }
 }
 
-fn say(destination: DestinationId, count: &Count, standing: Option<Standing>) {
+fn log_destination(destination: DestinationId, count: &Count, standing: Option<Standing>) {
     let Count { taken, ok, full, told, lost, error, unconnected, .. } = count;
     let left = (count.lefts > 0).then(|| count.left / f64::from(count.lefts));
     let (waiting, out) = standing.map_or((0, 0), |s| (s.waiting, s.out));
     let hold = standing.filter(|s| s.waiting > 0).map(|s| s.hold);
     let (pace, limit) = standing.map_or((0.0, 0.0), |s| (s.pace, s.limit));
     debug!(
-        target: TALLY, destination = destination.0, taken, ok, full, told, lost, error, unconnected, waiting, out,
+        target: DESTINATION_METRICS_TARGET, destination = destination.0, taken, ok, full, told, lost, error, unconnected, waiting, out,
         ?hold, pace, limit, left, "tally"
     );
 }
--- a/crates/gullcart-engine/src/directory.rs
+++ b/crates/gullcart-engine/src/directory.rs
@@ -13,9 +13,9 @@
     zones: Vec<String>,
     kinds: Vec<String>,
     /// Names of zones that the settings hold: they mean the same in every process.
-    named_zones: usize,
-    last: u32,
-    numbers: HashMap<String, EndpointId>,
+    configured_zones: usize,
+    last_id: u32,
+    ids_by_uid: HashMap<String, EndpointId>,
     entries: BTreeMap<EndpointId, Entry>,
     /// Entries that are gone and not forgotten yet. Follows from the entries, as the next one does.
     #[serde(skip)]
@@ -40,10 +40,10 @@
     pub fn new(parsed: &Parsed) -> Self {
         Directory {
             zones: parsed.zone_names.clone(),
-            named_zones: parsed.zone_names.len(),
+            configured_zones: parsed.zone_names.len(),
             kinds: parsed.kind_names.clone(),
-            last: 0,
-            numbers: HashMap::new(),
+            last_id: 0,
+            ids_by_uid: HashMap::new(),
             entries: BTreeMap::new(),
             gone: BTreeSet::new(),
             suspended: BTreeSet::new(),
@@ -66,7 +66,7 @@
 
     /// The address of some endpoint of another destination.
     #[cfg(feature = "broken")]
-    pub fn elsewhere(&self, id: EndpointId) -> Option<SocketAddr> {
+    pub fn address_of_other_destination(&self, id: EndpointId) -> Option<SocketAddr> {
         let own = self.destination(id)?;
         self.entries.values().find(|entry| entry.destination != own && entry.mode == Mode::Ready)?.address
     }
@@ -77,8 +77,8 @@
 
     /// A zone by the number that a process before this one gave it; none where this one may give it to another zone, as
     /// names that the settings do not hold are numbered as they come.
-    pub fn lasting_zone(&self, number: u8) -> Option<ZoneId> {
-        (usize::from(number) < self.named_zones).then_some(ZoneId(number)).and_then(ZoneId::known)
+    pub fn configured_zone(&self, number: u8) -> Option<ZoneId> {
+        (usize::from(number) < self.configured_zones).then_some(ZoneId(number)).and_then(ZoneId::known)
     }
 
     pub fn destination(&self, id: EndpointId) -> Option<DestinationId> {
@@ -89,8 +89,8 @@
         self.entries.get(&id).map(|entry| entry.uid.as_str())
     }
 
-    pub fn number(&self, uid: &str) -> Option<EndpointId> {
-        self.numbers.get(uid).copied()
+    pub fn endpoint_id(&self, uid: &str) -> Option<EndpointId> {
+        self.ids_by_uid.get(uid).copied()
     }
 
     /// Whether an endpoint may be given new work.
@@ -99,13 +99,13 @@
     }
 
     /// Endpoints in the list.
-    pub fn listed(&self) -> usize {
+    pub fn listed_count(&self) -> usize {
         self.entries.len() - self.gone.len()
     }
 
     /// Marks the endpoints that operators have taken out, by uid, and names them.
-    pub fn suspend(&mut self, out: &BTreeSet<String>) -> Vec<EndpointId> {
-        let listed = out.iter().filter_map(|uid| self.number(uid)).collect();
+    pub fn set_suspended(&mut self, out: &BTreeSet<String>) -> Vec<EndpointId> {
+        let listed = out.iter().filter_map(|uid| self.endpoint_id(uid)).collect();
         let before = std::mem::replace(&mut self.suspended, listed);
         for id in before.union(&self.suspended) {
             if let Some(entry) = self.entries.get_mut(id) {
@@ -126,7 +126,7 @@
             self.gone.remove(&id);
             self.suspended.remove(&id);
             if let Some(entry) = self.entries.remove(&id) {
-                self.numbers.remove(&entry.uid);
+                self.ids_by_uid.remove(&entry.uid);
             }
         }
     }
@@ -147,9 +147,9 @@
     }
 
     fn entry(&mut self, target: &Target) -> Endpoint {
-        let id = *self.numbers.entry(target.uid.clone()).or_insert_with(|| {
-            self.last += 1;
-            EndpointId(self.last)
+        let id = *self.ids_by_uid.entry(target.uid.clone()).or_insert_with(|| {
+            self.last_id += 1;
+            EndpointId(self.last_id)
         });
         let address = target.endpoint.parse().ok();
         if address.is_none() {
@@ -160,8 +160,8 @@
             "DELETED" => Mode::Gone,
             _ => Mode::Draining,
         };
-        let zone = ZoneId(place(&mut self.zones, &target.az));
-        let kind = KindId(place(&mut self.kinds, &target.model).into());
+        let zone = ZoneId(name_index(&mut self.zones, &target.az));
+        let kind = KindId(name_index(&mut self.kinds, &target.model).into());
         let (uid, destination) = (target.uid.clone(), DestinationId(target.pod_group));
         match mode {
             Mode::Gone => self.gone.insert(id),
@@ -175,7 +175,7 @@
 
 /// The place of a name in the settings; names that these do not hold come after them, and share the last place
 /// when there are too many.
-fn place(names: &mut Vec<String>, name: &str) -> u8 {
+fn name_index(names: &mut Vec<String>, name: &str) -> u8 {
     let at = names.iter().position(|known| known == name).unwrap_or_else(|| {
         if names.len() < usize::from(u8::MAX) {
             warn!(name, "the list uses a name that the settings do not hold");
--- a/crates/gullcart-engine/src/directory/tests.rs
+++ b/crates/gullcart-engine/src/directory/tests.rs
@@ -31,9 +31,9 @@
     assert_eq!(directory.gone, walk(directory, |entry| entry.mode == Mode::Gone));
     assert_eq!(directory.suspended, walk(directory, |entry| entry.is_suspended));
     assert_eq!(directory.suspended, walk(directory, |entry| out.contains(&entry.uid)));
-    assert_eq!(directory.listed(), walk(directory, |entry| entry.mode != Mode::Gone).len());
-    let found = directory.entries.iter().all(|(id, entry)| directory.number(&entry.uid) == Some(*id));
-    assert!(found && directory.numbers.len() == directory.entries.len());
+    assert_eq!(directory.listed_count(), walk(directory, |entry| entry.mode != Mode::Gone).len());
+    let found = directory.entries.iter().all(|(id, entry)| directory.endpoint_id(&entry.uid) == Some(*id));
+    assert!(found && directory.ids_by_uid.len() == directory.entries.len());
 }
 
 #[test]
@@ -52,7 +52,7 @@
             if !out.remove(&uid) && rng.bool() {
                 out.insert(uid);
             }
-            let named = directory.suspend(&out);
+            let named = directory.set_suspended(&out);
             check(&directory, &out);
             assert!(named.iter().eq(&directory.suspended));
             let needed = EndpointId(rng.u32(..ENDPOINTS));
--- a/crates/gullcart-engine/src/calls_for_lists.rs
+++ b/crates/gullcart-engine/src/discovery_backoff.rs
@@ -13,12 +13,12 @@
 use std::time::Duration;
 
 /// What discovery has counts as told to a courier after this time, whether or not it asked.
-pub const TOLD: Duration = Duration::from_secs(6);
+pub const ASSUMED_KNOWN_AFTER: Duration = Duration::from_secs(6);
 /// All of a call, from its connection to the head of its answer, or to the whole list. A discovery that is short of work
 /// answers late, up to 2 s, and one that is given up costs it as much as one that is answered.
-pub const CALL: Duration = Duration::from_secs(2);
+pub const DISCOVERY_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// The watch has an empty line every 2 s: one that brings no whole line for this long has fallen silent.
-pub const SILENCE: Duration = Duration::from_millis(2600);
+pub const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(2600);
 
 /// What each courier of a fleet adds to the time between two calls of one of them: together they make 20 calls a second
 /// at first, as two alone do.
@@ -47,26 +47,26 @@
 
 /// The calls of one courier among others like it.
 #[derive(Debug)]
-pub struct CallsForLists {
+pub struct DiscoveryBackoff {
     mean: Duration,
     longest_first: Duration,
     failures: u32,
     rng: Rng,
 }
 
-impl CallsForLists {
+impl DiscoveryBackoff {
     /// For a courier of so many; none counts as one. `drain_grace` is how long after a drain was told new work may go to its
     /// endpoint; `seed` must not be that of another courier.
     pub fn new(couriers: u32, drain_grace: Duration, seed: u64) -> Self {
-        let mean = EACH.saturating_mul(couriers.max(1)).clamp(LEAST, TOLD);
+        let mean = EACH.saturating_mul(couriers.max(1)).clamp(LEAST, ASSUMED_KNOWN_AFTER);
         let longest_first = LONGEST_FIRST.min(drain_grace.mul_f64(FIRST_OF_GRACE));
-        CallsForLists { mean, longest_first, failures: 0, rng: Rng::with_seed(seed) }
+        DiscoveryBackoff { mean, longest_first, failures: 0, rng: Rng::with_seed(seed) }
     }
 
     /// How long to wait before the first call of a process: couriers are often started together. One that has others beside
     /// it waits up to twice the mean time, but never so long that a drain which it missed comes to count as told; it has the
     /// list that came with its start.
-    pub fn first(&mut self) -> Duration {
+    pub fn first_delay(&mut self) -> Duration {
         if self.mean == LEAST {
             return Duration::ZERO;
         }
@@ -74,13 +74,13 @@
     }
 
     /// How long to wait after a watch that broke.
-    pub fn after_break(&mut self) -> Duration {
+    pub fn delay_after_broken_watch(&mut self) -> Duration {
         self.failures = 0;
         (self.mean * 2).min(LONGEST_BROKEN).mul_f64(self.rng.f64())
     }
 
     /// How long to wait after a call that failed, which took so long.
-    pub fn after_failure(&mut self, took: Duration) -> Duration {
+    pub fn delay_after_failure(&mut self, took: Duration) -> Duration {
         let mean = self.mean * (1 << self.failures.min(DOUBLINGS));
         let bound = LONGEST[(self.failures as usize).min(LONGEST.len() - 1)];
         // Chance takes as much below the mean as above it.
--- a/crates/gullcart-engine/src/answer_trust.rs
+++ b/crates/gullcart-engine/src/duplicate_answers.rs
@@ -11,28 +11,28 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Calls that one connection carries at most: as many answers are compared with each new one.
-const CALLS_OF_A_CONNECTION: usize = 8;
+const MAX_CALLS_PER_CONNECTION: usize = 8;
 /// Bytes of an answer, head and body, behind which a connection is used again at most: they are kept to find copies.
-const LONGEST_COMPARED: usize = 2 << 10;
+const MAX_COMPARED_BYTES: usize = 2 << 10;
 /// Answers of an endpoint in a row that have to differ before its connections are used again, ...
-const LEAST_DIFFERING: usize = 4;
+const MIN_DISTINCT_ANSWERS: usize = 4;
 /// ... and as many at most, where answers were alike: the number doubles each time.
-const MOST_DIFFERING: usize = 16;
+const MAX_DISTINCT_ANSWERS: usize = 16;
 
 /// What an answer says, in short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Fingerprint(u64);
+pub struct AnswerFingerprint(u64);
 
-impl Fingerprint {
+impl AnswerFingerprint {
     /// Of an answer's body; none of an empty one, which says nothing.
     pub fn of(body: &[u8]) -> Option<Self> {
-        (!body.is_empty()).then(|| Fingerprint(xxh3_64(body)))
+        (!body.is_empty()).then(|| AnswerFingerprint(xxh3_64(body)))
     }
 }
 
 /// Why a delivery does not count: it may be a copy of an earlier answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Doubt {
+pub enum AmbiguousAnswer {
     /// It says nothing that could tell it from a copy.
     Empty,
     /// An answer before it on the connection said the same.
@@ -42,7 +42,7 @@
 /// The deliveries that one connection has brought.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionAnswers {
-    seen: Vec<Fingerprint>,
+    seen: Vec<AnswerFingerprint>,
     /// All bytes of those that this process has read.
     raw: Vec<Vec<u8>>,
     /// It brought an answer that cannot be told from a copy, and carries no further call.
@@ -51,13 +51,13 @@
 
 impl ConnectionAnswers {
     /// Those of a connection that another process has used.
-    pub fn carried_over(seen: &[u64]) -> Self {
-        let seen = seen.iter().copied().take(CALLS_OF_A_CONNECTION).map(Fingerprint).collect();
+    pub fn from_fingerprints(seen: &[u64]) -> Self {
+        let seen = seen.iter().copied().take(MAX_CALLS_PER_CONNECTION).map(AnswerFingerprint).collect();
         ConnectionAnswers { seen, ..ConnectionAnswers::default() }
     }
 
     /// The same, for another process.
-    pub fn to_carry(&self) -> Vec<u64> {
+    pub fn fingerprints(&self) -> Vec<u64> {
         self.seen.iter().map(|fingerprint| fingerprint.0).collect()
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// A delivery has come.
-    pub fn accept(&mut self, answer: Option<Fingerprint>) -> Result<(), Doubt> {
+    pub fn accept(&mut self, answer: Option<AnswerFingerprint>) -> Result<(), AmbiguousAnswer> {
         match answer {
             Some(answer) if !self.seen.contains(&answer) => {
                 self.seen.push(answer);
@@ -77,30 +77,30 @@
                 self.has_ended = true;
                 match answer {
                     _ if self.seen.is_empty() => Ok(()),
-                    Some(_) => Err(Doubt::Repeated),
-                    None => Err(Doubt::Empty),
+                    Some(_) => Err(AmbiguousAnswer::Repeated),
+                    None => Err(AmbiguousAnswer::Empty),
                 }
             }
         }
     }
 
     /// The bytes of the delivery that was accepted last, of which all and nothing else has been read.
-    pub fn remember(&mut self, answer: Option<Vec<u8>>) {
-        match answer.filter(|answer| (1..=LONGEST_COMPARED).contains(&answer.len())) {
+    pub fn keep_bytes(&mut self, answer: Option<Vec<u8>>) {
+        match answer.filter(|answer| (1..=MAX_COMPARED_BYTES).contains(&answer.len())) {
             Some(answer) => self.raw.push(answer),
             None => self.has_ended = true,
         }
     }
 
     /// Whether the connection may carry one more call.
-    pub fn allow_another_call(&self) -> bool {
-        !self.has_ended && self.seen.len() < CALLS_OF_A_CONNECTION
+    pub fn can_carry_call(&self) -> bool {
+        !self.has_ended && self.seen.len() < MAX_CALLS_PER_CONNECTION
     }
 }
 
 /// Leaves copies of earlier answers out of the bytes that come behind a call.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct CopyFilter {
+pub struct DuplicateAnswerFilter {
     /// Bytes that may be the beginning of a copy.
     held: Vec<u8>,
     /// What has come is no copy: all that follows belongs to the same answer.
@@ -108,19 +108,19 @@
     left_out: u32,
 }
 
-impl CopyFilter {
+impl DuplicateAnswerFilter {
     /// Copies left out so far.
-    pub fn left_out(&self) -> u32 {
+    pub fn duplicates_removed(&self) -> u32 {
         self.left_out
     }
 
     /// What is held back, as it may be the beginning of a copy.
-    pub fn held(&self) -> &[u8] {
+    pub fn buffered(&self) -> &[u8] {
         &self.held
     }
 
     /// Bytes have come; those of them, and of what was held back, that are part of no copy.
-    pub fn pass(&mut self, earlier: &ConnectionAnswers, bytes: &[u8]) -> Vec<u8> {
+    pub fn filter(&mut self, earlier: &ConnectionAnswers, bytes: &[u8]) -> Vec<u8> {
         self.held.extend_from_slice(bytes);
         while !self.has_passed && !self.held.is_empty() {
             if let Some(copy) = earlier.raw.iter().find(|answer| self.held.starts_with(answer)) {
@@ -140,19 +140,19 @@
 #[derive(Clone, Debug)]
 pub struct EndpointAnswers {
     /// The last ones in a row that all differ.
-    differing: VecDeque<Fingerprint>,
+    differing: VecDeque<AnswerFingerprint>,
     needed: usize,
 }
 
 impl Default for EndpointAnswers {
     fn default() -> Self {
-        EndpointAnswers { differing: VecDeque::new(), needed: LEAST_DIFFERING }
+        EndpointAnswers { differing: VecDeque::new(), needed: MIN_DISTINCT_ANSWERS }
     }
 }
 
 impl EndpointAnswers {
     /// A delivery that counts.
-    pub fn observe(&mut self, answer: Option<Fingerprint>) {
+    pub fn observe(&mut self, answer: Option<AnswerFingerprint>) {
         if answer.is_none_or(|answer| self.differing.contains(&answer)) {
             self.differing.clear();
         }
@@ -163,13 +163,13 @@
     }
 
     /// A delivery that does not count: its answers have to prove themselves anew, and for longer.
-    pub fn doubt(&mut self) {
+    pub fn observe_ambiguous(&mut self) {
         self.differing.clear();
-        self.needed = (2 * self.needed).min(MOST_DIFFERING);
+        self.needed = (2 * self.needed).min(MAX_DISTINCT_ANSWERS);
     }
 
     /// Whether they can be told apart, so that its connections may be used again.
-    pub fn differ(&self) -> bool {
+    pub fn are_distinct(&self) -> bool {
         self.differing.len() >= self.needed
     }
 }
--- a/crates/gullcart-engine/src/answer_trust/tests.rs
+++ b/crates/gullcart-engine/src/duplicate_answers/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn fingerprint(number: u32) -> Option<Fingerprint> {
-    Fingerprint::of(&number.to_le_bytes())
+fn fingerprint(number: u32) -> Option<AnswerFingerprint> {
+    AnswerFingerprint::of(&number.to_le_bytes())
 }
 
 #[test]
@@ -12,7 +12,7 @@
         let mut answers = ConnectionAnswers::default();
         assert_eq!(answers.accept(answer), Ok(()));
         // Behind one that says nothing no copy could be told from the next answer.
-        assert_eq!(answers.allow_another_call(), answer.is_some());
+        assert_eq!(answers.can_carry_call(), answer.is_some());
     }
 }
 
@@ -23,12 +23,12 @@
         for number in 0..3 {
             assert_eq!(answers.accept(fingerprint(number)), Ok(()));
         }
-        assert!(answers.allow_another_call());
+        assert!(answers.can_carry_call());
         // In another process, too.
-        let mut carried = ConnectionAnswers::carried_over(&answers.to_carry());
+        let mut carried = ConnectionAnswers::from_fingerprints(&answers.fingerprints());
         for answers in [&mut answers, &mut carried] {
-            assert_eq!(answers.accept(fingerprint(copied)), Err(Doubt::Repeated));
-            assert!(!answers.allow_another_call());
+            assert_eq!(answers.accept(fingerprint(copied)), Err(AmbiguousAnswer::Repeated));
+            assert!(!answers.can_carry_call());
         }
     }
 }
@@ -37,38 +37,38 @@
 fn an_empty_answer_does_not_count_behind_another_one() {
     let mut answers = ConnectionAnswers::default();
     assert_eq!(answers.accept(fingerprint(1)), Ok(()));
-    assert_eq!(answers.accept(None), Err(Doubt::Empty));
-    assert!(!answers.allow_another_call());
+    assert_eq!(answers.accept(None), Err(AmbiguousAnswer::Empty));
+    assert!(!answers.can_carry_call());
 }
 
 #[test]
 fn a_connection_carries_a_bounded_number_of_calls() {
     let mut answers = ConnectionAnswers::default();
     let mut calls = 0;
-    while answers.allow_another_call() {
+    while answers.can_carry_call() {
         assert_eq!(answers.accept(fingerprint(calls)), Ok(()));
         calls += 1;
     }
-    assert_eq!(calls as usize, CALLS_OF_A_CONNECTION);
+    assert_eq!(calls as usize, MAX_CALLS_PER_CONNECTION);
 }
 
 #[test]
 fn connections_are_used_again_only_where_answers_differ() {
     let mut endpoint = EndpointAnswers::default();
-    for number in 0..LEAST_DIFFERING as u32 {
-        assert!(!endpoint.differ(), "after {number}");
+    for number in 0..MIN_DISTINCT_ANSWERS as u32 {
+        assert!(!endpoint.are_distinct(), "after {number}");
         endpoint.observe(fingerprint(number));
     }
-    assert!(endpoint.differ());
+    assert!(endpoint.are_distinct());
     // One that was there before begins a new row, and an empty one ends it.
     endpoint.observe(fingerprint(1));
-    assert!(!endpoint.differ());
+    assert!(!endpoint.are_distinct());
     for number in 10..20 {
         endpoint.observe(fingerprint(number));
     }
-    assert!(endpoint.differ());
+    assert!(endpoint.are_distinct());
     endpoint.observe(None);
-    assert!(!endpoint.differ());
+    assert!(!endpoint.are_distinct());
 }
 
 #[test]
@@ -78,13 +78,13 @@
     let mut doubts = 0;
     for _ in 0..10_000 {
         let answer = fingerprint(rng.u32(..8));
-        let is_copy = endpoint.differ();
+        let is_copy = endpoint.are_distinct();
         endpoint.observe(answer);
         if is_copy {
-            endpoint.doubt();
+            endpoint.observe_ambiguous();
             doubts += 1;
         }
-        assert!(endpoint.differing.len() <= MOST_DIFFERING);
+        assert!(endpoint.differing.len() <= MAX_DISTINCT_ANSWERS);
     }
     // Sixteen in a row cannot differ where there are eight.
     assert!((1..=2).contains(&doubts), "{doubts}");
@@ -94,8 +94,8 @@
 fn after(answers: &[&[u8]]) -> ConnectionAnswers {
     let mut connection = ConnectionAnswers::default();
     for answer in answers {
-        assert_eq!(connection.accept(Fingerprint::of(answer)), Ok(()));
-        connection.remember(Some(answer.to_vec()));
+        assert_eq!(connection.accept(AnswerFingerprint::of(answer)), Ok(()));
+        connection.keep_bytes(Some(answer.to_vec()));
     }
     connection
 }
@@ -107,8 +107,8 @@
     for copies in [vec![], vec![one], vec![two, one, two]] {
         let come = [copies.concat().as_slice(), own].concat();
         for size in 1..=come.len() {
-            let mut filter = CopyFilter::default();
-            let passed = come.chunks(size).flat_map(|piece| filter.pass(&connection, piece));
+            let mut filter = DuplicateAnswerFilter::default();
+            let passed = come.chunks(size).flat_map(|piece| filter.filter(&connection, piece));
             assert_eq!(passed.collect::<Vec<u8>>(), own, "{} copies in pieces of {size}", copies.len());
         }
     }
@@ -117,25 +117,25 @@
 #[test]
 fn what_only_begins_as_an_earlier_answer_passes() {
     let connection = after(&[b"200 first"]);
-    let mut filter = CopyFilter::default();
-    assert_eq!(filter.pass(&connection, b"200 f"), b"");
-    assert_eq!(filter.pass(&connection, b"our"), b"200 four");
+    let mut filter = DuplicateAnswerFilter::default();
+    assert_eq!(filter.filter(&connection, b"200 f"), b"");
+    assert_eq!(filter.filter(&connection, b"our"), b"200 four");
     // The rest of an answer is not looked at, whatever it says.
-    assert_eq!(filter.pass(&connection, b"200 first"), b"200 first");
+    assert_eq!(filter.filter(&connection, b"200 first"), b"200 first");
 }
 
 #[test]
 fn nothing_is_left_out_on_a_new_connection() {
-    let mut filter = CopyFilter::default();
-    assert_eq!(filter.pass(&ConnectionAnswers::default(), b"200 first"), b"200 first");
+    let mut filter = DuplicateAnswerFilter::default();
+    assert_eq!(filter.filter(&ConnectionAnswers::default(), b"200 first"), b"200 first");
 }
 
 #[test]
 fn a_connection_whose_answer_cannot_be_kept_carries_no_further_call() {
-    for answer in [None, Some(Vec::new()), Some(vec![b'x'; LONGEST_COMPARED + 1])] {
+    for answer in [None, Some(Vec::new()), Some(vec![b'x'; MAX_COMPARED_BYTES + 1])] {
         let mut connection = after(&[b"200 first"]);
-        assert!(connection.allow_another_call());
-        connection.remember(answer);
-        assert!(!connection.allow_another_call());
+        assert!(connection.can_carry_call());
+        connection.keep_bytes(answer);
+        assert!(!connection.can_carry_call());
     }
 }
--- a/crates/gullcart-engine/src/lib.rs
+++ b/crates/gullcart-engine/src/lib.rs
@@ -8,31 +8,38 @@
 //! effects of a turn by what happened in it, notices by the messages held.
 #![forbid(unsafe_code)]
 
-mod answer_trust;
 #[cfg(feature = "broken")]
 pub mod broken;
-mod calls_for_lists;
-mod carried;
 mod clock;
+mod destination_metrics;
 mod directory;
+mod discovery_backoff;
+mod duplicate_answers;
 mod engine;
-mod figures;
-mod idle_share;
-mod seldom;
-mod tally;
-mod trail;
-mod trials;
-mod vocabulary;
+mod engine_snapshot;
+mod idle_connections;
+mod message_trace;
+mod metrics;
+mod rate_limited_log;
+mod trial_duties;
+mod types;
 
-pub use answer_trust::{ConnectionAnswers, CopyFilter, Doubt, EndpointAnswers, Fingerprint};
-pub use calls_for_lists::{CallsForLists, CALL, SILENCE, TOLD};
-pub use carried::{CarriedError, CarriedOut};
 pub use clock::{Clock, EPOCH};
-pub use engine::{Engine, Start};
-pub use figures::{Counts, Ends, Reading};
-pub use idle_share::IdleShare;
-pub use seldom::Seldom;
-pub use tally::TALLY;
-pub use trail::TRAIL;
-pub use trials::{DutyView, Holder, Told, TrialDuties, TrialWish};
-pub use vocabulary::{Answer, Call, Denied, Effect, Ended, Enqueue, Input, Notice, Order, Stop, Ticket};
+pub use destination_metrics::DESTINATION_METRICS_TARGET;
+pub use discovery_backoff::{
+    DiscoveryBackoff, ASSUMED_KNOWN_AFTER, DISCOVERY_CALL_TIMEOUT, WATCH_SILENCE_TIMEOUT,
+};
+pub use duplicate_answers::{
+    AmbiguousAnswer, AnswerFingerprint, ConnectionAnswers, DuplicateAnswerFilter, EndpointAnswers,
+};
+pub use engine::{Engine, EngineConfig};
+pub use engine_snapshot::{InFlightCall, ResumeError};
+pub use idle_connections::IdleConnectionPolicy;
+pub use message_trace::MESSAGE_TRACE_TARGET;
+pub use metrics::{ClassCounts, EngineMetrics, MessageCounts};
+pub use rate_limited_log::RateLimitedLog;
+pub use trial_duties::{DutyHolder, DutyReport, DutyView, TrialDuties, TrialRequest};
+pub use types::{
+    Answer, Call, CallResult, CommandError, Effect, Enqueue, Input, Notice, OperatorCommand, StopReason,
+    Ticket,
+};
--- a/crates/gullcart-engine/src/figures.rs
+++ b/crates/gullcart-engine/src/metrics.rs
@@ -2,71 +2,71 @@
 
 /// How messages of a class ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ends {
+pub struct ClassCounts {
     /// Delivered.
     pub served: u64,
     /// Refused when they were handed in.
-    pub turned_away: u64,
+    pub rejected: u64,
     /// Taken, and handed back.
-    pub handed_back: u64,
+    pub returned: u64,
     /// Taken, and given up.
     pub failed: u64,
     /// Answered with an error when they were handed in.
-    pub unfit: u64,
+    pub invalid: u64,
 }
 
 /// Counts since this process began.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct MessageCounts {
     /// By class, in the order of the settings; one more for messages of classes that these do not hold any more.
-    pub classes: Vec<Ends>,
+    pub classes: Vec<ClassCounts>,
     /// Messages taken by this process.
-    pub taken: u64,
+    pub accepted: u64,
     /// Messages that were held when it began.
-    pub found: u64,
+    pub recovered: u64,
     /// Messages taken that nobody wants any more: withdrawn, or never heard to be taken.
     pub abandoned: u64,
     /// Calls begun.
-    pub calls: u64,
+    pub calls_started: u64,
     /// Calls of which the last byte was written.
-    pub attempts: u64,
+    pub calls_written: u64,
 }
 
-impl Counts {
+impl MessageCounts {
     /// Nothing yet, for so many classes.
     pub fn new(classes: usize) -> Self {
-        Counts { classes: vec![Ends::default(); classes + 1], ..Counts::default() }
+        MessageCounts { classes: vec![ClassCounts::default(); classes + 1], ..MessageCounts::default() }
     }
 
     /// The ends of a class, or of those that are not known.
-    pub fn of(&mut self, class: Option<usize>) -> &mut Ends {
+    pub fn class_mut(&mut self, class: Option<usize>) -> &mut ClassCounts {
         let last = self.classes.len() - 1;
         &mut self.classes[class.map_or(last, |class| class.min(last))]
     }
 
     /// All classes together.
-    pub fn sum(&self) -> Ends {
-        self.classes.iter().fold(Ends::default(), |sum, ends| Ends {
+    pub fn total(&self) -> ClassCounts {
+        self.classes.iter().fold(ClassCounts::default(), |sum, ends| ClassCounts {
             served: sum.served + ends.served,
-            turned_away: sum.turned_away + ends.turned_away,
-            handed_back: sum.handed_back + ends.handed_back,
+            rejected: sum.rejected + ends.rejected,
+            returned: sum.returned + ends.returned,
             failed: sum.failed + ends.failed,
-            unfit: sum.unfit + ends.unfit,
+            invalid: sum.invalid + ends.invalid,
         })
     }
 
     /// Messages that must be held still, if each of them ended once.
-    pub fn left(&self) -> u64 {
-        let Ends { served, handed_back, failed, .. } = self.sum();
-        (self.taken + self.found).saturating_sub(served + handed_back + failed + self.abandoned)
+    pub fn unfinished(&self) -> u64 {
+        let ClassCounts { served, returned, failed, .. } = self.total();
+        (self.accepted + self.recovered).saturating_sub(served + returned + failed + self.abandoned)
     }
 }
 
 /// What an operator is told of a courier.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Reading {
+pub struct EngineMetrics {
     /// Each class by its name, and how its messages ended.
-    pub classes: Vec<(String, Ends)>,
+    pub classes: Vec<(String, ClassCounts)>,
     /// Calls of which the last byte was written.
     pub attempts: u64,
     /// Messages taken that have no end yet.
--- a/crates/gullcart-engine/src/trials.rs
+++ b/crates/gullcart-engine/src/trial_duties.rs
@@ -17,18 +17,18 @@
 
 /// Who holds a duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Holder {
+pub enum DutyHolder {
     /// Nobody, as far as is known.
     Nobody,
     /// This courier, until then at the least.
-    Me {
+    ThisCourier {
         /// Under which epoch.
         epoch: u64,
         /// Until when it may act, if it hears no more.
         until: Time,
     },
     /// Another one, which is believed until then.
-    Other {
+    OtherCourier {
         /// Until when.
         until: Time,
     },
@@ -36,51 +36,51 @@
 
 /// What a holder told last.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct DutyReport {
     /// Under which epoch.
     pub epoch: u64,
     /// In its own words.
-    pub words: Vec<u8>,
+    pub payload: Vec<u8>,
     /// When that was agreed on, at the latest.
-    pub at: Time,
+    pub agreed_at: Time,
 }
 
 /// How a duty stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DutyView {
     /// Who holds it.
-    pub holder: Holder,
+    pub holder: DutyHolder,
     /// What was told of it.
-    pub told: Option<Told>,
+    pub report: Option<DutyReport>,
 }
 
 /// What is to be asked of the group.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum TrialWish {
+pub enum TrialRequest {
     /// To try a destination for all.
-    Want(DestinationId),
+    Register(DestinationId),
     /// No more: it serves, or nothing waits for it.
-    GiveUp(DestinationId),
+    Unregister(DestinationId),
     /// That another one tries it, and this one not for so long.
     PassOn(DestinationId, Duration),
     /// To tell all that want it something.
-    Tell(DestinationId, Vec<u8>),
+    Report(DestinationId, Vec<u8>),
 }
 
 /// What a holder learnt, as it is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Lesson {
+enum TrialOutcome {
     /// It served a call so long ago.
     Served(Duration),
     /// It said to wait for so long.
-    Wait(Duration),
+    RetryAfter(Duration),
 }
 
-impl Lesson {
+impl TrialOutcome {
     fn write(self) -> Vec<u8> {
         let (kind, span) = match self {
-            Lesson::Served(ago) => (b's', ago),
-            Lesson::Wait(left) => (b'w', left),
+            TrialOutcome::Served(ago) => (b's', ago),
+            TrialOutcome::RetryAfter(left) => (b'w', left),
         };
         let mut words = vec![kind];
         words.extend((span.as_millis().min(u128::from(u64::MAX)) as u64).to_le_bytes());
@@ -92,8 +92,8 @@
         let (kind, rest) = words.split_first()?;
         let span = Duration::from_millis(u64::from_le_bytes(rest.try_into().ok()?));
         match kind {
-            b's' => Some(Lesson::Served(span)),
-            b'w' => Some(Lesson::Wait(span)),
+            b's' => Some(TrialOutcome::Served(span)),
+            b'w' => Some(TrialOutcome::RetryAfter(span)),
             _ => None,
         }
     }
@@ -101,14 +101,14 @@
     /// As news here. It is never taken for earlier than it was: a return is rather slow, and a wait rather long.
     fn news(self, at: Time) -> News {
         match self {
-            Lesson::Served(ago) => News::Served(at - ago),
-            Lesson::Wait(left) => News::Wait(at + left),
+            TrialOutcome::Served(ago) => News::Served(at - ago),
+            TrialOutcome::RetryAfter(left) => News::Wait(at + left),
         }
     }
 }
 
 #[derive(Debug, Default)]
-struct Wanted {
+struct TrackedDuty {
     /// Under which epoch this courier holds it, and since when.
     held: Option<(u64, Time)>,
     /// When the group was asked for it last.
@@ -122,7 +122,7 @@
 /// The duties of one courier.
 #[derive(Debug)]
 pub struct TrialDuties {
-    wanted: BTreeMap<DestinationId, Wanted>,
+    wanted: BTreeMap<DestinationId, TrackedDuty>,
     rng: fastrand::Rng,
     fall: Duration,
     looked: Option<Time>,
@@ -136,13 +136,13 @@
 
     /// Looks at outages and duties. What the decisions are to hear, and what is to be asked of the group. `asked` are the
     /// duties that the group has been asked for, also by a process before this one.
-    pub fn look(
+    pub fn update(
         &mut self,
         now: Time,
         courier: &Courier,
         asked: impl IntoIterator<Item = DestinationId>,
         view: impl Fn(DestinationId) -> Option<DutyView>,
-    ) -> (Vec<Event>, Vec<TrialWish>) {
+    ) -> (Vec<Event>, Vec<TrialRequest>) {
         let (mut events, mut wishes) = (Vec::new(), Vec::new());
         if self.wanted.is_empty() && self.looked.is_some_and(|at| now < at + LOOK) {
             return (events, wishes);
@@ -151,14 +151,14 @@
         for to in courier.outings() {
             let is_new = !self.wanted.contains_key(&to) && self.wanted.len() < MOST;
             if is_new && courier.outing(to).is_some_and(|outing| outing.waiting) {
-                self.wanted.insert(to, Wanted { asked: now, ..Wanted::default() });
-                wishes.push(TrialWish::Want(to));
+                self.wanted.insert(to, TrackedDuty { asked: now, ..TrackedDuty::default() });
+                wishes.push(TrialRequest::Register(to));
             }
         }
         for to in asked {
             // A process before this one asked for it, and it has served since.
             if !self.wanted.contains_key(&to) {
-                wishes.push(TrialWish::GiveUp(to));
+                wishes.push(TrialRequest::Unregister(to));
             }
         }
         let mut over = Vec::new();
@@ -168,9 +168,9 @@
             if view.is_none() && now - wanted.asked > ASK_AGAIN {
                 // The group was not there to be asked, or began anew since.
                 wanted.asked = now;
-                wishes.push(TrialWish::Want(*to));
+                wishes.push(TrialRequest::Register(*to));
             }
-            let view = view.unwrap_or(DutyView { holder: Holder::Nobody, told: None });
+            let view = view.unwrap_or(DutyView { holder: DutyHolder::Nobody, report: None });
             let chance = self.rng.f64();
             let (stays, trials) = match outing {
                 Some(outing) => {
@@ -181,7 +181,7 @@
             };
             events.push(Event::Trials(*to, trials));
             if !stays {
-                wishes.push(TrialWish::GiveUp(*to));
+                wishes.push(TrialRequest::Unregister(*to));
                 over.push(*to);
             }
         }
@@ -190,17 +190,17 @@
     }
 }
 
-impl Wanted {
+impl TrackedDuty {
     /// What others told since it was looked at last.
     fn hear(&mut self, to: DestinationId, view: &DutyView) -> Option<Event> {
-        let Told { epoch, words, at } = view.told.as_ref()?;
+        let DutyReport { epoch, payload: words, agreed_at: at } = view.report.as_ref()?;
         let is_own = self.held.is_some_and(|(held, _)| held == *epoch);
         let is_old = self.heard.as_ref().is_some_and(|(known, said)| (*known, said) >= (*epoch, words));
         if is_own || is_old {
             return None;
         }
         self.heard = Some((*epoch, words.clone()));
-        let news = Lesson::read(words)?.news(*at);
+        let news = TrialOutcome::read(words)?.news(*at);
         Some(Event::Learnt(to, news))
     }
 
@@ -214,13 +214,13 @@
         view: &DutyView,
         longest: Duration,
         chance: f64,
-        wishes: &mut Vec<TrialWish>,
+        wishes: &mut Vec<TrialRequest>,
     ) -> (bool, Trials) {
         let is_out = outing.since.is_some();
         let (epoch, until) = match view.holder {
-            Holder::Nobody => return (is_out, Trials::Own),
-            Holder::Other { until } => return (is_out, Trials::Elsewhere(until)),
-            Holder::Me { epoch, until } => (epoch, until),
+            DutyHolder::Nobody => return (is_out, Trials::Own),
+            DutyHolder::OtherCourier { until } => return (is_out, Trials::Elsewhere(until)),
+            DutyHolder::ThisCourier { epoch, until } => (epoch, until),
         };
         if self.held.is_none_or(|(held, _)| held != epoch) {
             (self.held, self.told) = (Some((epoch, now)), None);
@@ -231,7 +231,7 @@
             self.told = None;
             let gets_nowhere = now - since > longest;
             if !outing.waiting || gets_nowhere {
-                wishes.push(TrialWish::PassOn(to, longest.mul_f64(1.0 + chance)));
+                wishes.push(TrialRequest::PassOn(to, longest.mul_f64(1.0 + chance)));
                 return (true, Trials::Own);
             }
             return (true, Trials::Held(until));
@@ -239,19 +239,20 @@
         // It serves, or said when it will. Those that wait for it hear of that before it is given up.
         if self.told.is_none() {
             let lesson = if outing.told_wait > now {
-                Lesson::Wait(outing.told_wait - now)
+                TrialOutcome::RetryAfter(outing.told_wait - now)
             } else if outing.last_answer >= since {
-                Lesson::Served(now - outing.last_answer)
+                TrialOutcome::Served(now - outing.last_answer)
             } else {
                 return (false, Trials::Own);
             };
             let words = lesson.write();
-            wishes.push(TrialWish::Tell(to, words.clone()));
+            wishes.push(TrialRequest::Report(to, words.clone()));
             self.told = Some((words, now));
         }
         // Words that get lost on their way are not waited for without end: others find out for themselves.
         let is_done = self.told.as_ref().is_some_and(|(words, at)| {
-            let is_heard = view.told.as_ref().is_some_and(|told| told.epoch == epoch && told.words == *words);
+            let is_heard =
+                view.report.as_ref().is_some_and(|told| told.epoch == epoch && told.payload == *words);
             is_heard || now - *at > longest
         });
         (!is_done, Trials::Held(until))
--- a/crates/gullcart-engine/src/trials/tests.rs
+++ b/crates/gullcart-engine/src/trial_duties/tests.rs
@@ -41,12 +41,12 @@
     }
 
     /// Lets so much time pass; calls that were sent meanwhile end so, and what was asked of the group.
-    fn pass(&mut self, span: Duration, outcome: Outcome) -> (usize, Vec<TrialWish>) {
+    fn pass(&mut self, span: Duration, outcome: Outcome) -> (usize, Vec<TrialRequest>) {
         let (end, mut sent, mut wishes) = (self.now + span, 0, Vec::new());
         while self.now < end {
             self.now = self.now + Duration::from_millis(5);
             let view = self.view.clone();
-            let (events, asked) = self.duties.look(self.now, &self.courier, [], |_| view.clone());
+            let (events, asked) = self.duties.update(self.now, &self.courier, [], |_| view.clone());
             wishes.extend(asked);
             events.into_iter().for_each(|event| self.courier.handle(self.now, event));
             for message in std::mem::take(&mut self.sent) {
@@ -72,12 +72,12 @@
         (sent, wishes)
     }
 
-    fn fails(&mut self, ms: u64) -> (usize, Vec<TrialWish>) {
+    fn fails(&mut self, ms: u64) -> (usize, Vec<TrialRequest>) {
         self.pass(Duration::from_millis(ms), Outcome::ConnectFailed)
     }
 
-    fn held_by(&mut self, holder: Holder) {
-        self.view = Some(DutyView { holder, told: None });
+    fn held_by(&mut self, holder: DutyHolder) {
+        self.view = Some(DutyView { holder, report: None });
     }
 
     fn later(&self, seconds: u64) -> Time {
@@ -89,11 +89,11 @@
 fn what_is_out_is_wanted_and_who_does_not_hold_it_does_not_try() {
     let mut scene = Scene::new();
     let (_, wishes) = scene.fails(500);
-    assert_eq!(wishes, vec![TrialWish::Want(TO)]);
+    assert_eq!(wishes, vec![TrialRequest::Register(TO)]);
     // Nobody holds it yet: it tries for itself.
-    scene.held_by(Holder::Nobody);
+    scene.held_by(DutyHolder::Nobody);
     assert!(scene.fails(3000).0 > 0);
-    scene.held_by(Holder::Other { until: scene.later(3) });
+    scene.held_by(DutyHolder::OtherCourier { until: scene.later(3) });
     scene.fails(50);
     assert_eq!(scene.fails(2900).0, 0);
     // Nothing more is heard of the other one.
@@ -105,36 +105,40 @@
 fn who_holds_it_tries_and_passes_it_on_where_it_gets_nowhere() {
     let mut scene = Scene::new();
     scene.fails(500);
-    scene.held_by(Holder::Me { epoch: 4, until: scene.later(60) });
+    scene.held_by(DutyHolder::ThisCourier { epoch: 4, until: scene.later(60) });
     let (sent, wishes) = scene.fails(3900);
     assert!(sent > 1 && wishes.is_empty(), "{sent} {wishes:?}");
     let (_, wishes) = scene.fails(200);
-    assert!(matches!(wishes[..], [TrialWish::PassOn(TO, rest), ..] if rest >= Duration::from_secs(4)));
+    assert!(matches!(wishes[..], [TrialRequest::PassOn(TO, rest), ..] if rest >= Duration::from_secs(4)));
 }
 
 #[test]
 fn what_the_holder_learns_is_told_before_the_duty_is_given_up() {
     let mut scene = Scene::new();
     scene.fails(3000);
-    scene.held_by(Holder::Me { epoch: 4, until: scene.later(60) });
+    scene.held_by(DutyHolder::ThisCourier { epoch: 4, until: scene.later(60) });
     let (_, wishes) = scene.pass(Duration::from_secs(2), Outcome::Ok);
-    let [TrialWish::Tell(TO, words)] = &wishes[..] else { panic!("{wishes:?}") };
-    assert!(matches!(Lesson::read(words), Some(Lesson::Served(ago)) if ago < Duration::from_millis(20)));
-    let told = Told { epoch: 4, words: words.clone(), at: scene.now };
-    scene.view = scene.view.take().map(|view| DutyView { told: Some(told), ..view });
-    assert_eq!(scene.fails(10).1, vec![TrialWish::GiveUp(TO)]);
+    let [TrialRequest::Report(TO, words)] = &wishes[..] else { panic!("{wishes:?}") };
+    assert!(
+        matches!(TrialOutcome::read(words), Some(TrialOutcome::Served(ago)) if ago < Duration::from_millis(20))
+    );
+    let told = DutyReport { epoch: 4, payload: words.clone(), agreed_at: scene.now };
+    scene.view = scene.view.take().map(|view| DutyView { report: Some(told), ..view });
+    assert_eq!(scene.fails(10).1, vec![TrialRequest::Unregister(TO)]);
 }
 
 #[test]
 fn what_another_one_learnt_ends_the_outage_here_but_not_a_later_one() {
-    let served = |epoch, at| Some(Told { epoch, words: Lesson::Served(Duration::ZERO).write(), at });
+    let served = |epoch, at| {
+        Some(DutyReport { epoch, payload: TrialOutcome::Served(Duration::ZERO).write(), agreed_at: at })
+    };
     for (ahead, ends) in [(true, true), (false, false)] {
         let mut scene = Scene::new();
         scene.fails(3000);
         // A call of this courier that is out was sent before.
         let at = if ahead { scene.now + Duration::from_millis(5) } else { NOW - Duration::from_secs(5) };
-        let holder = Holder::Other { until: scene.later(60) };
-        scene.view = Some(DutyView { holder, told: served(9, at) });
+        let holder = DutyHolder::OtherCourier { until: scene.later(60) };
+        scene.view = Some(DutyView { holder, report: served(9, at) });
         // One step: the first call of the return fails again in the next.
         scene.fails(5);
         assert_eq!(scene.courier.outing(TO).unwrap().since.is_none(), ends);
@@ -142,9 +146,9 @@
     // A wait that another one was told binds here, too.
     let mut scene = Scene::new();
     scene.fails(3000);
-    let words = Lesson::Wait(Duration::from_secs(5)).write();
-    let told = Some(Told { epoch: 9, words, at: scene.now });
-    scene.view = Some(DutyView { holder: Holder::Nobody, told });
+    let words = TrialOutcome::RetryAfter(Duration::from_secs(5)).write();
+    let told = Some(DutyReport { epoch: 9, payload: words, agreed_at: scene.now });
+    scene.view = Some(DutyView { holder: DutyHolder::Nobody, report: told });
     scene.fails(10);
     assert_eq!(scene.fails(4900).0, 0);
     assert!(scene.pass(Duration::from_secs(6), Outcome::Ok).0 > 0);
@@ -154,16 +158,16 @@
 fn a_group_that_was_not_there_is_asked_again_and_lost_words_end_a_duty_all_the_same() {
     let mut scene = Scene::new();
     let (_, wishes) = scene.fails(3300);
-    assert_eq!(wishes, vec![TrialWish::Want(TO); wishes.len()]);
+    assert_eq!(wishes, vec![TrialRequest::Register(TO); wishes.len()]);
     assert!((3..=4).contains(&wishes.len()), "once a second: {wishes:?}");
-    scene.held_by(Holder::Me { epoch: 4, until: scene.later(60) });
+    scene.held_by(DutyHolder::ThisCourier { epoch: 4, until: scene.later(60) });
     let (_, wishes) = scene.pass(Duration::from_secs(7), Outcome::Ok);
-    assert!(matches!(wishes[..], [TrialWish::Tell(..), TrialWish::GiveUp(TO), ..]), "{wishes:?}");
+    assert!(matches!(wishes[..], [TrialRequest::Report(..), TrialRequest::Unregister(TO), ..]), "{wishes:?}");
 }
 
 #[test]
 fn words_of_another_release_mean_nothing() {
     for words in [&b""[..], b"s", b"x12345678", b"s123456789"] {
-        assert_eq!(Lesson::read(words), None);
+        assert_eq!(TrialOutcome::read(words), None);
     }
 }
--- a/crates/gullcart-engine/src/vocabulary.rs
+++ b/crates/gullcart-engine/src/types.rs
@@ -10,20 +10,20 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Enqueue {
     pub id: String,
-    pub key: u64,
+    pub order_key: u64,
     pub class: String,
     pub destination: u32,
     /// How long it may still be delivered.
-    pub left: Duration,
+    pub time_left: Duration,
     pub idempotency_key: Option<String>,
-    pub again: bool,
+    pub from_dead_courier: bool,
     pub body: Bytes,
 }
 
 impl Enqueue {
     /// Whether a message that is held is this one. What is left of its time differs from try to try.
     pub fn is_same(&self, held: &Taken) -> bool {
-        (self.key, &self.class, self.destination) == (held.key, &held.class, held.destination)
+        (self.order_key, &self.class, self.destination) == (held.key, &held.class, held.destination)
             && (&self.idempotency_key, &self.body) == (&held.idempotency_key, &held.body)
     }
 }
@@ -47,7 +47,7 @@
 
 /// What an operator wants done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum OperatorCommand {
     /// Nothing new is to go to this endpoint.
     Suspend(String),
     /// This endpoint may serve again.
@@ -56,11 +56,11 @@
 
 /// Why an order was not carried out; nothing has changed then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Denied {
+pub enum CommandError {
     /// No endpoint of that id was ever listed, as far as is known.
-    Unknown,
+    UnknownEndpoint,
     /// It cannot be written down, so that it would not last.
-    Unwritten,
+    NotRecorded,
 }
 
 /// The end of a message that was not delivered, on its way to the platform.
@@ -73,11 +73,11 @@
 
 /// How a call ended.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ended {
+pub struct CallResult {
     pub outcome: Outcome,
     pub latency: Duration,
     /// The message is over.
-    pub complete: bool,
+    pub is_final: bool,
     pub allowance: Option<Allowance>,
 }
 
@@ -87,20 +87,20 @@
     /// A client hands a message in, and waits.
     Enqueue(Ticket, Enqueue),
     /// A client was gone before it could be told that its message was taken on, by its own hand-in.
-    Unheard(MessageId),
+    AnswerUnacknowledged(MessageId),
     /// News of the list.
-    Listed(Update),
+    ListUpdate(Update),
     /// A change of the list that was kept back.
     #[cfg(feature = "broken")]
-    HeardAtLast(Update),
+    DelayedListUpdate(Update),
     /// An operator wants something, and waits.
-    Order(Ticket, Order),
+    Command(Ticket, OperatorCommand),
     /// The last byte of a call has been written.
-    Written(MessageId),
+    CallWritten(MessageId),
     /// A call has ended.
-    Ended(MessageId, EndpointId, Ended),
+    CallEnded(MessageId, EndpointId, CallResult),
     /// The platform has these notices.
-    Heard(Vec<MessageId>),
+    NoticesAcknowledged(Vec<MessageId>),
     /// The process is to end soon.
     Terminate,
 }
@@ -123,9 +123,9 @@
 
 /// Why a call is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stop {
+pub enum StopReason {
     /// The module has called it off.
-    CalledOff,
+    Cancelled,
     /// It must not be sent any more: it is stopped only if no byte of it has been.
     Withdrawn,
 }
@@ -136,26 +136,26 @@
     /// A client has its answer.
     Answer(Ticket, Answer),
     /// An operator has an answer.
-    Ordered(Ticket, Result<(), Denied>),
-    /// A call is to be made; its end is told by [`Input::Ended`], whatever becomes of it.
-    Begin(Call),
+    CommandResult(Ticket, Result<(), CommandError>),
+    /// A call is to be made; its end is told by [`Input::CallEnded`], whatever becomes of it.
+    StartCall(Call),
     /// A call is to be stopped. It ends all the same.
-    Stop(MessageId, Stop),
-    /// The platform is to be told, until it answers; then that is told by [`Input::Heard`].
-    Tell(Notice),
+    StopCall(MessageId, StopReason),
+    /// The platform is to be told, until it answers; then that is told by [`Input::NoticesAcknowledged`].
+    SendNotice(Notice),
     /// Idle connections to an endpoint are to be closed.
     CloseIdle(EndpointId),
     /// The list has changed: idle connections to endpoints that take nothing new are to be closed.
-    CloseShut,
+    CloseIdleUnavailable,
     /// Clients are to be told that this courier ends.
-    Closing,
+    AnnounceShutdown,
     /// What the list says is to be heard so much later.
     #[cfg(feature = "broken")]
-    HearLater(Update, Duration),
+    DelayListUpdate(Update, Duration),
     /// The platform is to be told no sooner than that.
     #[cfg(feature = "broken")]
-    TellLater(Notice, cloverstile::Time),
+    DelayNotice(Notice, cloverstile::Time),
     /// A call is to be made that nobody knows of.
     #[cfg(feature = "broken")]
-    BeginUnknown(Call),
+    StartUntrackedCall(Call),
 }
--- a/crates/gullcart-engine/tests/calls_for_lists.rs
+++ b/crates/gullcart-engine/tests/calls_for_lists.rs
@@ -1,7 +1,7 @@
 //! Many couriers that call for the list at one moment: when each has it again after discovery is back, and what all of them
 //! together ask meanwhile. In virtual time.
 
-use gullcart_engine::{CallsForLists, CALL, SILENCE, TOLD};
+use gullcart_engine::{DiscoveryBackoff, ASSUMED_KNOWN_AFTER, DISCOVERY_CALL_TIMEOUT, WATCH_SILENCE_TIMEOUT};
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -47,8 +47,8 @@
     }
 }
 
-fn fleet(couriers: usize) -> Vec<CallsForLists> {
-    (0..couriers).map(|seed| CallsForLists::new(couriers as u32, GRACE, seed as u64)).collect()
+fn fleet(couriers: usize) -> Vec<DiscoveryBackoff> {
+    (0..couriers).map(|seed| DiscoveryBackoff::new(couriers as u32, GRACE, seed as u64)).collect()
 }
 
 #[test]
@@ -56,8 +56,8 @@
     for couriers in [1, 3, 100, 200, 350] {
         let mut calls = fleet(couriers);
         let seen = stampede(couriers, |courier, failures| match failures {
-            0 => calls[courier].after_break(),
-            _ => calls[courier].after_failure(Duration::ZERO),
+            0 => calls[courier].delay_after_broken_watch(),
+            _ => calls[courier].delay_after_failure(Duration::ZERO),
         });
         let all = seen.all.unwrap_or(f64::MAX);
         assert!(all < 60.0, "{couriers} couriers: {all} s");
@@ -76,7 +76,7 @@
 fn first_calls_of_a_common_start_are_spread_and_come_before_a_drain_must_be_kept() {
     for grace in [100, 250, 1000, 2000, 60_000].map(Duration::from_millis) {
         for couriers in [3, 30, 100, 300] {
-            let of = |seed| CallsForLists::new(couriers, grace, u64::from(seed)).first();
+            let of = |seed| DiscoveryBackoff::new(couriers, grace, u64::from(seed)).first_delay();
             let first: Vec<Duration> = (0..couriers).map(of).collect();
             let last = first.iter().max().unwrap();
             assert!(
@@ -97,8 +97,8 @@
     for couriers in [100, 300] {
         let mut calls = fleet(couriers);
         let seen = stampede(couriers, |courier, failures| match failures {
-            0 => calls[courier].first(),
-            _ => calls[courier].after_failure(Duration::ZERO),
+            0 => calls[courier].first_delay(),
+            _ => calls[courier].delay_after_failure(Duration::ZERO),
         });
         let all = seen.all.unwrap_or(f64::MAX);
         assert!(all < 60.0, "{couriers} couriers: {all} s");
@@ -107,22 +107,22 @@
 
 #[test]
 fn few_couriers_call_at_once_and_a_count_of_none_is_one() {
-    assert_eq!(CallsForLists::new(1, GRACE, 1).first(), Duration::ZERO);
-    assert_eq!(CallsForLists::new(0, GRACE, 1).first(), Duration::ZERO);
-    let mut alone = CallsForLists::new(0, GRACE, 1);
-    assert!((0..100).all(|_| alone.after_failure(Duration::ZERO) <= Duration::from_millis(600)));
-    let mut many = CallsForLists::new(u32::MAX, GRACE, 1);
-    assert!((0..100).all(|_| many.after_failure(Duration::ZERO) <= Duration::from_millis(2800)));
-    assert!((0..100).all(|_| many.after_failure(CALL) <= Duration::from_millis(800)));
+    assert_eq!(DiscoveryBackoff::new(1, GRACE, 1).first_delay(), Duration::ZERO);
+    assert_eq!(DiscoveryBackoff::new(0, GRACE, 1).first_delay(), Duration::ZERO);
+    let mut alone = DiscoveryBackoff::new(0, GRACE, 1);
+    assert!((0..100).all(|_| alone.delay_after_failure(Duration::ZERO) <= Duration::from_millis(600)));
+    let mut many = DiscoveryBackoff::new(u32::MAX, GRACE, 1);
+    assert!((0..100).all(|_| many.delay_after_failure(Duration::ZERO) <= Duration::from_millis(2800)));
+    assert!((0..100).all(|_| many.delay_after_failure(DISCOVERY_CALL_TIMEOUT) <= Duration::from_millis(800)));
 }
 
 #[test]
 fn what_was_heard_ends_the_longer_waits() {
-    let mut calls = CallsForLists::new(20, GRACE, 7);
-    let waits: Vec<Duration> = (0..40).map(|_| calls.after_failure(Duration::ZERO)).collect();
+    let mut calls = DiscoveryBackoff::new(20, GRACE, 7);
+    let waits: Vec<Duration> = (0..40).map(|_| calls.delay_after_failure(Duration::ZERO)).collect();
     assert!(waits.iter().max().unwrap() > &Duration::from_millis(2400), "{waits:?}");
-    assert!(calls.after_break() <= Duration::from_millis(600));
-    assert!(calls.after_failure(Duration::ZERO) < Duration::from_millis(1400));
+    assert!(calls.delay_after_broken_watch() <= Duration::from_millis(600));
+    assert!(calls.delay_after_failure(Duration::ZERO) < Duration::from_millis(1400));
 }
 
 /// How discovery fails a call while it cannot be reached.
@@ -142,7 +142,9 @@
     fn takes(self) -> f64 {
         match self {
             Failing::Refused => 0.001,
-            Failing::Hanging | Failing::HalfAnswered | Failing::Silent => CALL.as_secs_f64(),
+            Failing::Hanging | Failing::HalfAnswered | Failing::Silent => {
+                DISCOVERY_CALL_TIMEOUT.as_secs_f64()
+            }
         }
     }
 }
@@ -171,7 +173,7 @@
     let (mut worst, mut starts) = (0.0_f64, fastrand::Rng::with_seed(7));
     for courier in 0..couriers {
         let mut at = match failing {
-            Failing::Silent => SILENCE.as_secs_f64() - 2.0 * starts.f64(),
+            Failing::Silent => WATCH_SILENCE_TIMEOUT.as_secs_f64() - 2.0 * starts.f64(),
             _ => 0.0,
         };
         let (mut lost, mut took) = (false, None);
@@ -182,7 +184,7 @@
                 // A call that hangs across the return is not answered any more.
                 failing.takes()
             } else if !std::mem::replace(&mut lost, true) {
-                CALL.as_secs_f64()
+                DISCOVERY_CALL_TIMEOUT.as_secs_f64()
             } else {
                 worst = worst.max(at + ANSWER - lasts);
                 break;
@@ -222,12 +224,12 @@
             for lasts in spans {
                 for seed in 0..5 {
                     let mut calls: Vec<_> = (0..couriers)
-                        .map(|n| CallsForLists::new(couriers as u32, GRACE, seed * 10_000 + n as u64))
+                        .map(|n| DiscoveryBackoff::new(couriers as u32, GRACE, seed * 10_000 + n as u64))
                         .collect();
                     let seen = outage(couriers, *lasts, failing, &mut |courier, took| {
                         let wait = match took {
-                            None => calls[courier].after_break(),
-                            Some(took) => calls[courier].after_failure(Duration::from_secs_f64(took)),
+                            None => calls[courier].delay_after_broken_watch(),
+                            Some(took) => calls[courier].delay_after_failure(Duration::from_secs_f64(took)),
                         };
                         wait.as_secs_f64()
                     });
@@ -238,7 +240,7 @@
             println!(
                 "{couriers:5} {failing:?}: worst {worst:.2} s, {most:?} calls in a second and in a tenth"
             );
-            let told = TOLD.as_secs_f64();
+            let told = ASSUMED_KNOWN_AFTER.as_secs_f64();
             assert!(worst < told - 0.2, "{couriers} couriers, {failing:?}: {worst:.2} s of {told}");
             // Even: a tenth of a second has no more than a few tenths of what a second has, but for chance.
             let (second, tenth) = (most.0 as f64, most.1 as f64);
--- a/crates/gullcart-engine/tests/carried.rs
+++ b/crates/gullcart-engine/tests/carried.rs
@@ -4,7 +4,7 @@
 
 use cloverstile::{Outcome, Time};
 use common::*;
-use gullcart_engine::{Call, CarriedError, Effect, Ended, Engine, Input, Start, Ticket, EPOCH};
+use gullcart_engine::{Call, CallResult, Effect, Engine, EngineConfig, Input, ResumeError, Ticket, EPOCH};
 use gullcart_journal::simulated::{Crash, Disk};
 use gullcart_journal::{Journal, Options};
 use gullcart_message::Verdict;
@@ -12,14 +12,19 @@
 
 fn calls(effects: &[Effect]) -> Vec<Call> {
     let begun = |effect: &Effect| match effect {
-        Effect::Begin(call) => Some(call.clone()),
+        Effect::StartCall(call) => Some(call.clone()),
         _ => None,
     };
     effects.iter().filter_map(begun).collect()
 }
 
-fn ended(outcome: Outcome) -> Ended {
-    Ended { outcome, latency: Duration::from_millis(40), complete: outcome == Outcome::Ok, allowance: None }
+fn ended(outcome: Outcome) -> CallResult {
+    CallResult {
+        outcome,
+        latency: Duration::from_millis(40),
+        is_final: outcome == Outcome::Ok,
+        allowance: None,
+    }
 }
 
 /// A courier with a salary out to destination 1, stopped for a process after it.
@@ -36,15 +41,15 @@
 fn a_call_that_is_out_ends_in_the_process_after() {
     let disk = Disk::new(DISK, Crash::Process, 1);
     let (call, block) = stopped(&disk);
-    let (mut engine, resumed) = Engine::resume(start(EPOCH), journal(&disk, Crash::Process), &block);
+    let (mut engine, resumed) = Engine::resume(config(EPOCH), journal(&disk, Crash::Process), &block);
     assert_eq!(resumed, Ok(()));
-    assert_eq!(engine.call(call.message, call.try_for), Some(call.clone()));
+    assert_eq!(engine.in_flight_call(call.message, call.try_for), Some(call.clone()));
     assert!(calls(&engine.turn(EPOCH).unwrap()).is_empty());
-    engine.handle(EPOCH, Input::Ended(call.message, call.endpoint, ended(Outcome::Ok)));
+    engine.handle(EPOCH, Input::CallEnded(call.message, call.endpoint, ended(Outcome::Ok)));
     engine.turn(EPOCH).unwrap();
     assert_eq!(engine.load(), (0, 0));
-    assert_eq!(engine.counts().sum().served, 1);
-    assert_eq!(engine.counts().left(), 0);
+    assert_eq!(engine.counts().total().served, 1);
+    assert_eq!(engine.counts().unfinished(), 0);
 }
 
 #[test]
@@ -54,9 +59,9 @@
     before.handle(EPOCH, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
     let call = calls(&before.turn(EPOCH).unwrap()).remove(0);
     let wait = Outcome::Full(Some(Duration::from_secs(2)));
-    before.handle(EPOCH, Input::Ended(call.message, call.endpoint, ended(wait)));
+    before.handle(EPOCH, Input::CallEnded(call.message, call.endpoint, ended(wait)));
     let block = before.freeze(EPOCH).unwrap().1.unwrap();
-    let (mut engine, resumed) = Engine::resume(start(EPOCH), journal(&disk, Crash::Process), &block);
+    let (mut engine, resumed) = Engine::resume(config(EPOCH), journal(&disk, Crash::Process), &block);
     assert_eq!(resumed, Ok(()));
     let mut first = None;
     for step in 0..100 {
@@ -70,26 +75,26 @@
 }
 
 /// Without the books the journal is enough: as after a crash, what was out may have run.
-fn from_the_journal(settings: Start, damage: impl Fn(&mut Vec<u8>), why: CarriedError) {
+fn from_the_journal(settings: EngineConfig, damage: impl Fn(&mut Vec<u8>), why: ResumeError) {
     let disk = Disk::new(DISK, Crash::Process, 1);
     let (call, mut block) = stopped(&disk);
     damage(&mut block);
     let (mut engine, resumed) = Engine::resume(settings, journal(&disk, Crash::Process), &block);
     assert_eq!(resumed, Err(why));
-    assert_eq!(engine.call(call.message, call.try_for), None);
+    assert_eq!(engine.in_flight_call(call.message, call.try_for), None);
     let effects = engine.turn(EPOCH).unwrap();
     let failed =
-        |effect: &Effect| matches!(effect, Effect::Tell(notice) if notice.verdict == Verdict::Failed);
+        |effect: &Effect| matches!(effect, Effect::SendNotice(notice) if notice.verdict == Verdict::Failed);
     assert!(effects.iter().any(failed), "{effects:?}");
 }
 
 #[test]
 fn books_that_cannot_be_read_are_left_and_the_journal_is_enough() {
-    from_the_journal(start(EPOCH), |block| block.truncate(block.len() - 1), CarriedError::Damaged);
-    from_the_journal(start(EPOCH), |block| block.push(0), CarriedError::Damaged);
-    from_the_journal(start(EPOCH), |block| block[0] = 99, CarriedError::Format(99));
-    let other = Start { fingerprint: 2, ..start(EPOCH) };
-    from_the_journal(other, |_| {}, CarriedError::Settings);
+    from_the_journal(config(EPOCH), |block| block.truncate(block.len() - 1), ResumeError::Corrupt);
+    from_the_journal(config(EPOCH), |block| block.push(0), ResumeError::Corrupt);
+    from_the_journal(config(EPOCH), |block| block[0] = 99, ResumeError::UnsupportedFormat(99));
+    let other = EngineConfig { settings_checksum: 2, ..config(EPOCH) };
+    from_the_journal(other, |_| {}, ResumeError::SettingsMismatch);
 }
 
 /// What the journal holds and the books do not was taken by somebody else meanwhile.
@@ -102,8 +107,8 @@
     between.handle(later, Input::Enqueue(Ticket(2), enqueue(2, "salary", 2)));
     between.turn(later).unwrap();
     drop(between);
-    let (_, resumed) = Engine::resume(start(Time(later.0)), journal(&disk, Crash::Process), &block);
-    assert_eq!(resumed, Err(CarriedError::Journal));
+    let (_, resumed) = Engine::resume(config(Time(later.0)), journal(&disk, Crash::Process), &block);
+    assert_eq!(resumed, Err(ResumeError::JournalMismatch));
 }
 
 /// The books grow with what is held, and by little for each message: the bodies stay in the journal.
@@ -111,8 +116,8 @@
 fn the_books_hold_little_for_each_message() {
     let size = |messages: u64| {
         let disk = Disk::new(64 << 20, Crash::Process, 1);
-        let mut settings = start(EPOCH);
-        settings.parsed.settings.most_held = 20_000;
+        let mut settings = config(EPOCH);
+        settings.parsed_settings.settings.most_held = 20_000;
         let journal = Journal::replay(disk.clone(), 64 << 20, Options::default(), 7).unwrap();
         let mut engine = Engine::new(settings, journal);
         for number in 1..=messages {
--- a/crates/gullcart-engine/tests/common/mod.rs
+++ b/crates/gullcart-engine/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use cloverstile::{parse_settings_json, Time};
-use gullcart_engine::{Engine, Enqueue, Start};
+use gullcart_engine::{Engine, EngineConfig, Enqueue};
 use gullcart_journal::simulated::{Crash, Disk};
 use gullcart_journal::{Durability, Journal, Options};
 use gullcart_message::{Target, Update};
@@ -38,10 +38,10 @@
 }
 
 pub fn engine(disk: &Disk, crash: Crash, now: Time) -> Engine<Disk> {
-    Engine::new(start(now), journal(disk, crash))
+    Engine::new(config(now), journal(disk, crash))
 }
 
-pub fn start(now: Time) -> Start {
+pub fn config(now: Time) -> EngineConfig {
     let class = |name: &str, effect: &str, order: bool| {
         json!({
             "Name": name, "Effect": effect, "Group": "all", "RepeatWindow": 10_000_000_000_u64, "OneAtATime": order,
@@ -57,27 +57,27 @@
         "Rules": {"AnswerSlack": 20_000_000, "OrderSettle": 100_000_000, "Fall": 2_000_000_000_u64},
     });
     let targets = (0..8).map(|number| target(number, "SERVING")).collect();
-    Start {
-        parsed: parse_settings_json(&settings).unwrap(),
+    EngineConfig {
+        parsed_settings: parse_settings_json(&settings).unwrap(),
         seed: 7,
-        known: Update { rev: 1, all: true, targets },
+        initial_list: Update { rev: 1, all: true, targets },
         now,
         epoch_ms: START_MS,
-        fingerprint: 1,
+        settings_checksum: 1,
         #[cfg(feature = "broken")]
-        broken: Default::default(),
+        fault_injector: Default::default(),
     }
 }
 
 pub fn enqueue(number: u64, class: &str, destination: u32) -> Enqueue {
     Enqueue {
         id: format!("m{number}"),
-        key: if class == "notice" { 1 + number % 3 } else { 0 },
+        order_key: if class == "notice" { 1 + number % 3 } else { 0 },
         class: class.to_owned(),
         destination,
-        left: Duration::from_secs(20),
+        time_left: Duration::from_secs(20),
         idempotency_key: (class == "notice").then(|| format!("k{number}")),
-        again: false,
+        from_dead_courier: false,
         body: Bytes::from_static(b"x"),
     }
 }
--- a/crates/gullcart-engine/tests/held_up.rs
+++ b/crates/gullcart-engine/tests/held_up.rs
@@ -4,14 +4,14 @@
 
 use cloverstile::Outcome;
 use common::{engine, enqueue, DISK};
-use gullcart_engine::{Call, Effect, Ended, Input, Ticket, EPOCH};
+use gullcart_engine::{Call, CallResult, Effect, Input, Ticket, EPOCH};
 use gullcart_journal::simulated::{Crash, Disk};
 use gullcart_message::Verdict;
 use std::time::Duration;
 
 const STEP: Duration = Duration::from_millis(5);
 /// How long a courier may stand still between its clock and a write, by the operators' terms.
-const HELD_UP: Duration = Duration::from_millis(150);
+const MAX_PAUSE: Duration = Duration::from_millis(150);
 /// The rest of a key by the settings, and the slack of the rules on sockets.
 const SETTLE: Duration = Duration::from_millis(100);
 const SLACK: Duration = Duration::from_millis(50);
@@ -29,19 +29,19 @@
     }
     loop {
         for effect in engine.turn(now).unwrap() {
-            let Effect::Begin(call) = effect else { continue };
+            let Effect::StartCall(call) = effect else { continue };
             if call.id == "m3" && told_at == EPOCH {
                 told_at = now;
                 // Nobody waits for it any more, so that its key is free as soon as its call is over.
-                engine.handle(now, Input::Unheard(call.message));
+                engine.handle(now, Input::AnswerUnacknowledged(call.message));
                 let (outcome, latency) = (Outcome::Cancelled, Duration::ZERO);
-                let ended = Ended { outcome, latency, complete: false, allowance: None };
-                engine.handle(now, Input::Ended(call.message, call.endpoint, ended));
+                let ended = CallResult { outcome, latency, is_final: false, allowance: None };
+                engine.handle(now, Input::CallEnded(call.message, call.endpoint, ended));
                 continue;
             }
             assert_eq!(call.id, "m6");
             let told = now - told_at;
-            assert!(told + SLACK >= SETTLE + HELD_UP, "sent {told:?} after the end was told");
+            assert!(told + SLACK >= SETTLE + MAX_PAUSE, "sent {told:?} after the end was told");
             return;
         }
         now = now + STEP;
@@ -57,20 +57,20 @@
         let disk = Disk::new(DISK, Crash::Process, 1);
         let mut engine = engine(&disk, Crash::Process, EPOCH);
         let message = enqueue(3, "salary", 0);
-        let at = EPOCH + message.left - before;
+        let at = EPOCH + message.time_left - before;
         engine.handle(EPOCH, Input::Enqueue(Ticket(3), message));
         let effects = engine.turn(EPOCH).unwrap();
         let call = begun(effects).expect("a call");
-        let ended = Ended { outcome: Outcome::Ok, latency: at - EPOCH, complete: true, allowance: None };
-        engine.handle(at, Input::Ended(call.message, call.endpoint, ended));
+        let ended = CallResult { outcome: Outcome::Ok, latency: at - EPOCH, is_final: true, allowance: None };
+        engine.handle(at, Input::CallEnded(call.message, call.endpoint, ended));
         let told = engine.turn(at).unwrap().into_iter().find_map(|effect| match effect {
-            Effect::Tell(notice) => Some(notice),
+            Effect::SendNotice(notice) => Some(notice),
             _ => None,
         });
         assert_eq!(told.as_ref().map(|notice| notice.verdict), is_told.then_some(Verdict::Failed));
         assert_eq!(engine.load().0, usize::from(is_told));
         if let Some(notice) = told {
-            engine.handle(at, Input::Heard(vec![notice.message]));
+            engine.handle(at, Input::NoticesAcknowledged(vec![notice.message]));
             assert_eq!(engine.load().0, 0, "it is over once the notice is answered");
         }
     }
@@ -82,17 +82,17 @@
     let disk = Disk::new(DISK, Crash::Process, 1);
     let mut engine = engine(&disk, Crash::Process, EPOCH);
     let (first, next) = (enqueue(3, "notice", 0), enqueue(6, "notice", 0));
-    let mut at = EPOCH + first.left - Duration::from_millis(140);
+    let mut at = EPOCH + first.time_left - Duration::from_millis(140);
     engine.handle(EPOCH, Input::Enqueue(Ticket(3), first));
     let call = begun(engine.turn(EPOCH).unwrap()).expect("a call");
     engine.handle(at, Input::Enqueue(Ticket(6), next));
-    let ended = Ended { outcome: Outcome::Ok, latency: at - EPOCH, complete: true, allowance: None };
-    engine.handle(at, Input::Ended(call.message, call.endpoint, ended));
+    let ended = CallResult { outcome: Outcome::Ok, latency: at - EPOCH, is_final: true, allowance: None };
+    engine.handle(at, Input::CallEnded(call.message, call.endpoint, ended));
     for _ in 0..100 {
         assert_eq!(begun(engine.turn(at).unwrap()).map(|call| call.id), None);
         at = at + STEP;
     }
-    engine.handle(at, Input::Heard(vec![call.message]));
+    engine.handle(at, Input::NoticesAcknowledged(vec![call.message]));
     let mut next = None;
     while next.is_none() && at < EPOCH + Duration::from_secs(40) {
         next = begun(engine.turn(at).unwrap());
@@ -103,7 +103,7 @@
 
 fn begun(effects: Vec<Effect>) -> Option<Call> {
     effects.into_iter().find_map(|effect| match effect {
-        Effect::Begin(call) => Some(call),
+        Effect::StartCall(call) => Some(call),
         _ => None,
     })
 }
--- a/crates/gullcart-engine/tests/listing_cost.rs
+++ b/crates/gullcart-engine/tests/listing_cost.rs
@@ -23,15 +23,15 @@
 fn change(count: u32) -> Duration {
     let disk = Disk::new(LARGE_DISK, Crash::Process, 1);
     let journal = Journal::replay(disk, LARGE_DISK, options(Crash::Process), 7).unwrap();
-    let mut start = start(EPOCH);
-    start.known.targets = (0..count).map(|number| listed(number, 20.0)).collect();
-    let mut courier = Engine::new(start, journal);
+    let mut config = config(EPOCH);
+    config.initial_list.targets = (0..count).map(|number| listed(number, 20.0)).collect();
+    let mut courier = Engine::new(config, journal);
     courier.turn(EPOCH).unwrap();
     let one = |rev: u64| {
         let number = (rev * 7919 % u64::from(count)) as u32;
         let change = Update { rev, all: false, targets: vec![listed(number, 20.0 + rev as f64)] };
         let begun = Instant::now();
-        courier.handle(EPOCH, Input::Listed(change));
+        courier.handle(EPOCH, Input::ListUpdate(change));
         let took = begun.elapsed();
         if rev.is_multiple_of(TURN_EVERY) {
             courier.turn(EPOCH).unwrap();
--- a/crates/gullcart-engine/tests/once.rs
+++ b/crates/gullcart-engine/tests/once.rs
@@ -8,7 +8,9 @@
 use bytes::Bytes;
 use cloverstile::{parse_settings_json, MessageId, Outcome, Time};
 use common::{journal, DISK, START_MS};
-use gullcart_engine::{Answer, Call, Effect, Ended, Engine, Enqueue, Input, Start, Stop, Ticket, EPOCH};
+use gullcart_engine::{
+    Answer, Call, CallResult, Effect, Engine, EngineConfig, Enqueue, Input, StopReason, Ticket, EPOCH,
+};
 use gullcart_journal::simulated::{Crash, Disk, Fault};
 use gullcart_message::{Target, Update, Verdict};
 use serde_json::json;
@@ -27,7 +29,7 @@
 }
 
 /// Classes of each kind, with windows that are short beside the time that a connection may take.
-fn begin(now: Time, epoch_ms: u64) -> Start {
+fn config(now: Time, epoch_ms: u64) -> EngineConfig {
     let class = |name: &str, effect: &str, group: &str, order: bool| {
         json!({
             "Name": name, "Effect": effect, "Group": group, "RepeatWindow": WINDOW.as_nanos() as u64, "OneAtATime": order,
@@ -44,19 +46,19 @@
             "ConnectTimeout": CONNECT.as_nanos() as u64},
         "Rules": {"AnswerSlack": 20_000_000, "OrderSettle": 100_000_000, "Fall": 500_000_000_u64, "Cold": 1_000_000_000_u64},
     });
-    Start {
-        parsed: parse_settings_json(&settings).unwrap(),
+    EngineConfig {
+        parsed_settings: parse_settings_json(&settings).unwrap(),
         seed: now.0 ^ epoch_ms,
-        known: Update {
+        initial_list: Update {
             rev: 1,
             all: true,
             targets: (0..ENDPOINTS).map(|n| target(n, zone_at_first(n))).collect(),
         },
         now,
         epoch_ms,
-        fingerprint: 1,
+        settings_checksum: 1,
         #[cfg(feature = "broken")]
-        broken: Default::default(),
+        fault_injector: Default::default(),
     }
 }
 
@@ -128,7 +130,7 @@
 impl World {
     fn new(seed: u64) -> Self {
         let disk = Disk::new(DISK, Crash::Process, seed);
-        let engine = Engine::new(begin(EPOCH, START_MS), journal(&disk, Crash::Process));
+        let engine = Engine::new(config(EPOCH, START_MS), journal(&disk, Crash::Process));
         World {
             disk,
             engine,
@@ -192,8 +194,9 @@
         let (id, gone) = (&out.call.id, out.gone);
         self.tell(format!("{id} {outcome:?} with {gone:?} of it gone"));
         let complete = matches!(outcome, Outcome::Ok);
-        let ended = Ended { outcome, latency: self.now - out.began, complete, allowance: None };
-        self.engine.handle(self.now, Input::Ended(message, out.call.endpoint, ended));
+        let ended =
+            CallResult { outcome, latency: self.now - out.began, is_final: complete, allowance: None };
+        self.engine.handle(self.now, Input::CallEnded(message, out.call.endpoint, ended));
     }
 
     /// How the network code ends a call that is not answered.
@@ -221,7 +224,7 @@
             (Gone::Nothing | Gone::Part, _) => {
                 self.out.get_mut(&message).unwrap().gone = Gone::All;
                 self.arrives(message);
-                self.engine.handle(self.now, Input::Written(message));
+                self.engine.handle(self.now, Input::CallWritten(message));
             }
             (Gone::All, 0..=1) => self.ended(message, Outcome::Ok),
             (Gone::All, 2) => self.ended(message, Outcome::Error),
@@ -244,7 +247,7 @@
             4..30 => self.a_call_goes_on(),
             30 => {
                 let heard = std::mem::take(&mut self.told);
-                self.engine.handle(self.now, Input::Heard(heard.into_iter().collect()));
+                self.engine.handle(self.now, Input::NoticesAcknowledged(heard.into_iter().collect()));
             }
             31 => {
                 // An endpoint drains, goes, comes back, or moves into another zone.
@@ -255,7 +258,8 @@
                 let targets = vec![Target { state: state.to_owned(), ..target(number, *zone) }];
                 self.states[usize::from(number)] = state;
                 self.rev += 1;
-                self.engine.handle(self.now, Input::Listed(Update { rev: self.rev, all: false, targets }));
+                self.engine
+                    .handle(self.now, Input::ListUpdate(Update { rev: self.rev, all: false, targets }));
             }
             32 => {
                 let operation = self.disk.operations() + self.rng.u64(1..4);
@@ -286,12 +290,12 @@
         let left = if from_dead { DEADLINE - ms(800) } else { DEADLINE };
         let enqueue = Enqueue {
             id: format!("m{number}"),
-            key: if class == "notice" { 1 + number % 2 } else { 0 },
+            order_key: if class == "notice" { 1 + number % 2 } else { 0 },
             class: class.to_owned(),
             destination: (number % 3) as u32,
-            left,
+            time_left: left,
             idempotency_key: (class != "salary").then(|| format!("k{number}")),
-            again: from_dead,
+            from_dead_courier: from_dead,
             body: Bytes::from_static(b"x"),
         };
         let got = self.got.entry(enqueue.id.clone()).or_default();
@@ -318,7 +322,7 @@
         // Its own time goes on as this world's, so that the two stay comparable.
         let passed = (self.now - EPOCH).as_millis() as u64;
         let epoch_ms = wall - passed - put_back;
-        self.engine = Engine::new(begin(self.now, epoch_ms), journal(&self.disk, Crash::Process));
+        self.engine = Engine::new(config(self.now, epoch_ms), journal(&self.disk, Crash::Process));
         self.hears_the_list();
     }
 
@@ -330,7 +334,7 @@
             Target { state, ..target(number, self.zones[usize::from(number)]) }
         };
         let targets = listed.map(entry).collect();
-        self.engine.handle(self.now, Input::Listed(Update { rev: self.rev, all: true, targets }));
+        self.engine.handle(self.now, Input::ListUpdate(Update { rev: self.rev, all: true, targets }));
     }
 
     /// The courier goes on in another process, as the daemon's loop hands it over.
@@ -354,7 +358,7 @@
             block.truncate(block.len() / 2);
         }
         let journal = journal(&self.disk, Crash::Process);
-        let (engine, resumed) = Engine::resume(begin(self.now, START_MS), journal, &block);
+        let (engine, resumed) = Engine::resume(config(self.now, START_MS), journal, &block);
         assert!(resumed.is_err() || !is_damaged);
         // The courier starts from its journal alone: also where something of that could not be written before.
         if resumed.is_err() {
@@ -368,7 +372,7 @@
     fn carry_out(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Begin(call) => {
+                Effect::StartCall(call) => {
                     let (message, id) = (call.message, call.id.clone());
                     self.tell(format!("{id} begins, to be sent by {:?}", call.send_by));
                     let zone = self.zones[usize::from(call.address.port() - 1000)];
@@ -383,8 +387,8 @@
                         self.wrong(&id, "work that may run only once begins again");
                     }
                 }
-                Effect::Stop(message, reason) => self.stops(message, reason),
-                Effect::Tell(notice) => {
+                Effect::StopCall(message, reason) => self.stops(message, reason),
+                Effect::SendNotice(notice) => {
                     let (id, is_returned) = (notice.id, matches!(notice.verdict, Verdict::Returned { .. }));
                     self.tell(format!("{id} ends, handed back {is_returned}"));
                     self.told.insert(notice.message);
@@ -395,19 +399,19 @@
                     }
                 }
                 Effect::Answer(_, Answer::Taken(message)) if self.rng.u8(..30) == 0 => {
-                    self.engine.handle(self.now, Input::Unheard(message));
+                    self.engine.handle(self.now, Input::AnswerUnacknowledged(message));
                 }
                 _ => {}
             }
         }
     }
 
-    fn stops(&mut self, message: MessageId, reason: Stop) {
+    fn stops(&mut self, message: MessageId, reason: StopReason) {
         let Some(out) = self.out.get_mut(&message) else { return };
         match (reason, out.gone) {
-            (Stop::Withdrawn, Gone::Nothing) => self.ended(message, Outcome::Moot),
-            (Stop::Withdrawn, _) => {}
-            (Stop::CalledOff, _) => {
+            (StopReason::Withdrawn, Gone::Nothing) => self.ended(message, Outcome::Moot),
+            (StopReason::Withdrawn, _) => {}
+            (StopReason::Cancelled, _) => {
                 out.called_off = true;
                 // Its end is told at once, or after what else happens meanwhile.
                 if self.rng.bool() {
--- a/crates/gullcart-engine/tests/promises.rs
+++ b/crates/gullcart-engine/tests/promises.rs
@@ -5,7 +5,9 @@
 use bytes::Bytes;
 use cloverstile::{EndpointId, MessageId, Outcome, Time};
 use common::*;
-use gullcart_engine::{Answer, Effect, Ended, Engine, Enqueue, Input, Order, Stop, Ticket, EPOCH};
+use gullcart_engine::{
+    Answer, CallResult, Effect, Engine, Enqueue, Input, OperatorCommand, StopReason, Ticket, EPOCH,
+};
 use gullcart_journal::simulated::{Crash, Disk, Fault};
 use gullcart_journal::{Image, Journal};
 use gullcart_message::{Update, Verdict};
@@ -17,22 +19,22 @@
 }
 
 /// Everything that effects promise stands in the journal that a crash would leave.
-fn kept(effects: &[Effect], orders: &BTreeMap<Ticket, Order>, image: &Image) -> Result<(), String> {
+fn kept(effects: &[Effect], orders: &BTreeMap<Ticket, OperatorCommand>, image: &Image) -> Result<(), String> {
     for effect in effects {
         let good = match effect {
             Effect::Answer(_, Answer::Taken(message)) => image.held.contains_key(&message.0),
-            Effect::Begin(call) => image.held.get(&call.message.0).is_some_and(|held| held.out.is_some()),
-            Effect::Ordered(ticket, Ok(())) => match orders.get(ticket) {
+            Effect::StartCall(call) => image.held.get(&call.message.0).is_some_and(|held| held.out.is_some()),
+            Effect::CommandResult(ticket, Ok(())) => match orders.get(ticket) {
                 // The last word of a turn on an endpoint counts.
-                Some(Order::Suspend(uid) | Order::Restore(uid)) => {
+                Some(OperatorCommand::Suspend(uid) | OperatorCommand::Restore(uid)) => {
                     let last = orders.values().rev().find(|order| match order {
-                        Order::Suspend(other) | Order::Restore(other) => other == uid,
+                        OperatorCommand::Suspend(other) | OperatorCommand::Restore(other) => other == uid,
                     });
-                    image.suspended.contains(uid) == matches!(last, Some(Order::Suspend(_)))
+                    image.suspended.contains(uid) == matches!(last, Some(OperatorCommand::Suspend(_)))
                 }
                 None => false,
             },
-            Effect::Tell(notice) => {
+            Effect::SendNotice(notice) => {
                 image.held.get(&notice.message.0).is_some_and(|held| held.verdict == Some(notice.verdict))
             }
             _ => true,
@@ -54,7 +56,7 @@
     out: BTreeMap<MessageId, EndpointId>,
     told: BTreeSet<MessageId>,
     /// Orders of this turn.
-    orders: BTreeMap<Ticket, Order>,
+    orders: BTreeMap<Ticket, OperatorCommand>,
     next: u64,
 }
 
@@ -81,10 +83,14 @@
         let input = match self.rng.u8(..11) {
             10 => {
                 let uid = format!("s-{}", self.rng.u16(..8));
-                let order = if self.rng.bool() { Order::Suspend(uid) } else { Order::Restore(uid) };
+                let order = if self.rng.bool() {
+                    OperatorCommand::Suspend(uid)
+                } else {
+                    OperatorCommand::Restore(uid)
+                };
                 self.next += 1;
                 self.orders.insert(Ticket(self.next), order.clone());
-                Input::Order(Ticket(self.next), order)
+                Input::Command(Ticket(self.next), order)
             }
             0..4 => {
                 self.next += 1;
@@ -102,13 +108,17 @@
                 };
                 let complete = outcome == Outcome::Ok;
                 let latency = Duration::from_millis(40);
-                Input::Ended(message, endpoint, Ended { outcome, latency, complete, allowance: None })
+                Input::CallEnded(
+                    message,
+                    endpoint,
+                    CallResult { outcome, latency, is_final: complete, allowance: None },
+                )
             }
-            8 => Input::Heard(std::mem::take(&mut self.told).into_iter().collect()),
+            8 => Input::NoticesAcknowledged(std::mem::take(&mut self.told).into_iter().collect()),
             _ => {
                 let state = if self.rng.bool() { "DRAINING" } else { "SERVING" };
                 let targets = vec![target(self.rng.u16(..8).into(), state)];
-                Input::Listed(Update { rev: self.engine.rev() + 1, all: false, targets })
+                Input::ListUpdate(Update { rev: self.engine.list_revision() + 1, all: false, targets })
             }
         };
         self.engine.handle(self.now, input);
@@ -117,19 +127,19 @@
     /// The courier goes on in another process: the same messages, calls and figures' gauges, and nothing is told anew but
     /// ends that the platform has not heard.
     fn moves(&mut self) {
-        let before = (self.engine.load(), self.engine.reading(self.now).endpoints_excluded);
+        let before = (self.engine.load(), self.engine.metrics(self.now).endpoints_excluded);
         let image = self.engine.journal().image().clone();
         let (effects, block) = self.engine.freeze(self.now).unwrap();
         assert!(effects.is_empty(), "{effects:?}");
         let journal = journal(&self.disk, self.crash);
         assert_eq!(journal.image().held, image.held);
-        let (engine, resumed) = Engine::resume(start(self.now), journal, &block.unwrap());
+        let (engine, resumed) = Engine::resume(config(self.now), journal, &block.unwrap());
         assert_eq!(resumed, Ok(()));
         self.engine = engine;
-        assert_eq!((self.engine.load(), self.engine.reading(self.now).endpoints_excluded), before);
+        assert_eq!((self.engine.load(), self.engine.metrics(self.now).endpoints_excluded), before);
         // What the platform has answered meanwhile was for the process before; it is told all of it once more.
         self.told.clear();
-        let out: BTreeMap<MessageId, EndpointId> = self.engine.calls_out().collect();
+        let out: BTreeMap<MessageId, EndpointId> = self.engine.calls_in_flight().collect();
         assert_eq!(out, self.out);
     }
 
@@ -137,18 +147,18 @@
         let effects = self.engine.turn(self.now).unwrap();
         for effect in &effects {
             match effect {
-                Effect::Begin(call) => {
+                Effect::StartCall(call) => {
                     let before = self.out.insert(call.message, call.endpoint);
                     assert_eq!(before, None, "two calls of one message are out");
                 }
-                Effect::Tell(notice) => drop(self.told.insert(notice.message)),
+                Effect::SendNotice(notice) => drop(self.told.insert(notice.message)),
                 // None has left yet for good.
-                Effect::Stop(message, Stop::CalledOff) => {
+                Effect::StopCall(message, StopReason::Cancelled) => {
                     if let Some(endpoint) = self.out.remove(message) {
                         let latency = Duration::ZERO;
                         let outcome = Outcome::Cancelled;
-                        let ended = Ended { outcome, latency, complete: false, allowance: None };
-                        self.engine.handle(self.now, Input::Ended(*message, endpoint, ended));
+                        let ended = CallResult { outcome, latency, is_final: false, allowance: None };
+                        self.engine.handle(self.now, Input::CallEnded(*message, endpoint, ended));
                     }
                 }
                 _ => {}
@@ -173,15 +183,15 @@
         }
         let effects = world.turn();
         let counts = world.engine.counts();
-        let (left, now) = (counts.left(), world.engine.reading(world.now).in_flight);
+        let (left, now) = (counts.unfinished(), world.engine.metrics(world.now).in_flight);
         assert_eq!(left, now as u64, "seed {seed}, turn {turn}: {counts:?}");
         for effect in &effects {
-            let Effect::Begin(call) = effect else { continue };
+            let Effect::StartCall(call) = effect else { continue };
             let uid = format!("s-{}", call.address.port() - 1000);
             assert!(!image_of(&world).suspended.contains(&uid), "seed {seed}, turn {turn}: a call to {uid}");
         }
-        begun += effects.iter().filter(|effect| matches!(effect, Effect::Begin(_))).count() as u64;
-        told += effects.iter().filter(|effect| matches!(effect, Effect::Tell(_))).count() as u64;
+        begun += effects.iter().filter(|effect| matches!(effect, Effect::StartCall(_))).count() as u64;
+        told += effects.iter().filter(|effect| matches!(effect, Effect::SendNotice(_))).count() as u64;
         let image = after_a_crash(&world.disk, crash);
         kept(&effects, &world.orders, &image)
             .unwrap_or_else(|error| panic!("seed {seed}, turn {turn}: {error}"));
@@ -201,7 +211,7 @@
             for message in salaries {
                 assert!(!effects
                     .iter()
-                    .any(|effect| matches!(effect, Effect::Begin(c) if c.message == message)));
+                    .any(|effect| matches!(effect, Effect::StartCall(c) if c.message == message)));
             }
         }
     }
@@ -252,14 +262,14 @@
         effects.iter().filter(|effect| matches!(effect, Effect::Answer(..))).collect();
     assert!(matches!(answers[0], Effect::Answer(Ticket(1), Answer::Taken(_))), "{answers:?}");
     assert!(matches!(answers[1], Effect::Answer(Ticket(2), Answer::Busy(Some(_)))), "{answers:?}");
-    assert!(!effects.iter().any(|effect| matches!(effect, Effect::Begin(_))), "{effects:?}");
+    assert!(!effects.iter().any(|effect| matches!(effect, Effect::StartCall(_))), "{effects:?}");
     assert!(engine.next_wake().is_some());
     disk.mend();
     // Once it can be written the attempt is made.
     let mut now = EPOCH;
     for _ in 0..50 {
         now = now + Duration::from_millis(100);
-        if engine.turn(now).unwrap().iter().any(|effect| matches!(effect, Effect::Begin(_))) {
+        if engine.turn(now).unwrap().iter().any(|effect| matches!(effect, Effect::StartCall(_))) {
             return;
         }
     }
@@ -274,7 +284,7 @@
         let disk = Disk::new(DISK, Crash::Process, 1);
         let mut engine = engine(&disk, Crash::Process, EPOCH);
         let targets = (0..8).map(|number| target(number, "DRAINING")).collect();
-        engine.handle(EPOCH, Input::Listed(Update { rev: 2, all: true, targets }));
+        engine.handle(EPOCH, Input::ListUpdate(Update { rev: 2, all: true, targets }));
         engine.handle(EPOCH, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
         engine.turn(EPOCH).unwrap();
         for operation in 1..500 * u64::from(!is_writable) {
@@ -282,7 +292,7 @@
         }
         let late = EPOCH + Duration::from_secs(21);
         let told = |effect: &Effect| match effect {
-            Effect::Tell(notice) => Some(notice.verdict),
+            Effect::SendNotice(notice) => Some(notice.verdict),
             _ => None,
         };
         let verdicts: Vec<Verdict> = engine.turn(late).unwrap().iter().filter_map(told).collect();
@@ -322,7 +332,7 @@
     assert_eq!(answer(2), Some(Answer::Held));
     assert!(matches!(answer(3), Some(Answer::Error(_))));
     // The first was not heard, but the second was: it stays.
-    engine.handle(EPOCH, Input::Unheard(MessageId(1)));
+    engine.handle(EPOCH, Input::AnswerUnacknowledged(MessageId(1)));
     assert_eq!(engine.load().0, 1);
 }
 
@@ -331,13 +341,13 @@
     let disk = Disk::new(DISK, Crash::Process, 1);
     let mut engine = engine(&disk, Crash::Process, EPOCH);
     engine.handle(EPOCH, Input::Terminate);
-    assert!(engine.turn(EPOCH).unwrap().contains(&Effect::Closing));
-    assert!(!engine.may_end(EPOCH + Duration::from_millis(599)));
-    assert!(engine.may_end(EPOCH + Duration::from_millis(600)));
+    assert!(engine.turn(EPOCH).unwrap().contains(&Effect::AnnounceShutdown));
+    assert!(!engine.may_exit(EPOCH + Duration::from_millis(599)));
+    assert!(engine.may_exit(EPOCH + Duration::from_millis(600)));
     engine.handle(EPOCH, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
     engine.turn(EPOCH).unwrap();
-    assert!(!engine.may_end(EPOCH + Duration::from_millis(3199)));
-    assert!(engine.may_end(EPOCH + Duration::from_millis(3200)));
+    assert!(!engine.may_exit(EPOCH + Duration::from_millis(3199)));
+    assert!(engine.may_exit(EPOCH + Duration::from_millis(3200)));
     assert!(engine.next_wake().is_some_and(|at| at <= EPOCH + Duration::from_millis(3200)));
     let verdicts = after_a_crash(&disk, Crash::Process);
     assert!(verdicts.held.values().all(|held| held.verdict != Some(Verdict::Returned { after_ms: 0 })));
@@ -352,7 +362,7 @@
     engine.handle(EPOCH, Input::Enqueue(Ticket(1), enqueue(1, "notice", 1)));
     let begun = |effects: &[Effect]| {
         effects.iter().find_map(|effect| match effect {
-            Effect::Begin(call) => Some((call.message, call.endpoint)),
+            Effect::StartCall(call) => Some((call.message, call.endpoint)),
             _ => None,
         })
     };
@@ -361,12 +371,12 @@
         disk.fail(disk.operations() + operation, Fault::Error);
     }
     let latency = Duration::from_millis(40);
-    let reset = Ended { outcome: Outcome::Reset, latency, complete: false, allowance: None };
-    engine.handle(EPOCH, Input::Ended(message, endpoint, reset));
+    let reset = CallResult { outcome: Outcome::Reset, latency, is_final: false, allowance: None };
+    engine.handle(EPOCH, Input::CallEnded(message, endpoint, reset));
     // The courier goes on in another process, whose journal has no outcome. Its repeat is due, and cannot be written.
     let block = engine.freeze(EPOCH).unwrap().1.unwrap();
     disk.mend();
-    let (mut engine, resumed) = Engine::resume(start(EPOCH), journal(&disk, Crash::Process), &block);
+    let (mut engine, resumed) = Engine::resume(config(EPOCH), journal(&disk, Crash::Process), &block);
     assert_eq!(resumed, Ok(()));
     for operation in 1..2000 {
         disk.fail(disk.operations() + operation, Fault::Error);
--- a/crates/gullcart-engine/tests/taken_on.rs
+++ b/crates/gullcart-engine/tests/taken_on.rs
@@ -23,8 +23,8 @@
         match effect {
             Effect::Answer(_, Answer::Taken(_)) => turn.taken += 1,
             Effect::Answer(_, Answer::Busy(Some(_))) => turn.busy += 1,
-            Effect::Tell(notice) => turn.ends.push(notice.id),
-            Effect::Begin(call) => turn.calls.push(call.id),
+            Effect::SendNotice(notice) => turn.ends.push(notice.id),
+            Effect::StartCall(call) => turn.calls.push(call.id),
             _ => {}
         }
     }
@@ -60,9 +60,9 @@
 #[test]
 fn the_last_room_is_kept_for_what_is_worth_most() {
     let disk = Disk::new(DISK, Crash::Process, 1);
-    let mut start = start(EPOCH);
-    start.parsed.settings.classes[1].worth = 3.0;
-    let mut courier = Engine::new(start, journal(&disk, Crash::Process));
+    let mut config = config(EPOCH);
+    config.parsed_settings.settings.classes[1].worth = 3.0;
+    let mut courier = Engine::new(config, journal(&disk, Crash::Process));
     let cheap = fill(&mut courier, 0..100, "notice");
     let dear = fill(&mut courier, 100..200, "salary");
     assert_eq!((cheap.taken, dear.taken), (55, 5));
@@ -87,12 +87,13 @@
     while now < EPOCH + Duration::from_secs(10) {
         for effect in next.turn(now).unwrap() {
             match effect {
-                Effect::Tell(notice) => drop(ends.insert(notice.id)),
-                Effect::Begin(call) => {
+                Effect::SendNotice(notice) => drop(ends.insert(notice.id)),
+                Effect::StartCall(call) => {
                     let (outcome, latency) = (cloverstile::Outcome::Ok, Duration::from_millis(40));
-                    let ended = gullcart_engine::Ended { outcome, latency, complete: true, allowance: None };
-                    next.handle(now, Input::Written(call.message));
-                    next.handle(now, Input::Ended(call.message, call.endpoint, ended));
+                    let ended =
+                        gullcart_engine::CallResult { outcome, latency, is_final: true, allowance: None };
+                    next.handle(now, Input::CallWritten(call.message));
+                    next.handle(now, Input::CallEnded(call.message, call.endpoint, ended));
                     calls.insert(call.id);
                 }
                 _ => {}
--- a/crates/gullcart-engine/tests/wide_destinations.rs
+++ b/crates/gullcart-engine/tests/wide_destinations.rs
@@ -4,7 +4,7 @@
 
 use cloverstile::Outcome;
 use common::*;
-use gullcart_engine::{Answer, Call, Effect, Ended, Engine, Input, Ticket, EPOCH};
+use gullcart_engine::{Answer, Call, CallResult, Effect, Engine, Input, Ticket, EPOCH};
 use gullcart_journal::simulated::{Crash, Disk};
 use gullcart_message::{Target, Update};
 use std::time::Duration;
@@ -28,7 +28,7 @@
     let mut calls = Vec::new();
     for effect in engine.turn(now).unwrap() {
         match effect {
-            Effect::Begin(call) => calls.push(call),
+            Effect::StartCall(call) => calls.push(call),
             Effect::Answer(_, answer) => assert!(matches!(answer, Answer::Taken(_)), "{answer:?}"),
             _ => {}
         }
@@ -45,7 +45,7 @@
 fn wide_destinations_are_listed_taken_on_for_replayed_and_served() {
     let disk = Disk::new(DISK, Crash::Process, 1);
     let mut courier = engine(&disk, Crash::Process, EPOCH);
-    courier.handle(EPOCH, Input::Listed(Update { rev: 2, all: false, targets: wide_targets() }));
+    courier.handle(EPOCH, Input::ListUpdate(Update { rev: 2, all: false, targets: wide_targets() }));
     for (number, destination) in (1..).zip(WIDE) {
         courier.handle(EPOCH, Input::Enqueue(Ticket(number), enqueue(number, "notice", destination)));
     }
@@ -66,14 +66,15 @@
     let now = now + Duration::from_secs(5);
     let (_, block) = courier.freeze(now).unwrap();
     drop(courier);
-    let (mut courier, taken_up) = Engine::resume(start(now), journal(&disk, Crash::Process), &block.unwrap());
+    let (mut courier, taken_up) =
+        Engine::resume(config(now), journal(&disk, Crash::Process), &block.unwrap());
     taken_up.unwrap();
-    let out: Vec<_> = courier.calls_out().collect();
+    let out: Vec<_> = courier.calls_in_flight().collect();
     assert_eq!(out.len(), WIDE.len());
     for (message, endpoint) in out {
         let latency = Duration::from_millis(40);
-        let ended = Ended { outcome: Outcome::Ok, latency, complete: true, allowance: None };
-        courier.handle(now, Input::Ended(message, endpoint, ended));
+        let ended = CallResult { outcome: Outcome::Ok, latency, is_final: true, allowance: None };
+        courier.handle(now, Input::CallEnded(message, endpoint, ended));
     }
     courier.turn(now).unwrap();
     assert_eq!(courier.load(), (0, 0));
