--- a/crates/gullcart-engine/src/broken.rs
+++ b/crates/gullcart-engine/src/broken.rs
@@ -1,5 +1,5 @@
-//! Deliberately broken couriers, to prove that rehearsals catch them. Compiled with the feature `broken` alone, which
-//! no installed build has; one fault is chosen at start, by the variable [`VARIABLE`].
+//! Fault injection: deliberately broken couriers, to prove that the rehearsals detect each fault. Compiled only with the
+//! feature `broken`, which no release build has. The environment variable [`FAULT_VARIABLE`] selects one fault at the start.
 
 use crate::types::CallResult;
 use cloverstile::{Effect, Outcome, Parsed};
@@ -7,24 +7,24 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-/// Names the fault.
+/// Environment variable with the name of the fault.
 pub const FAULT_VARIABLE: &str = "GULLCART_BROKEN";
 
-/// Every so many messages are swallowed, and calls sent astray.
+/// Faults that affect only some messages or calls affect every one of this number.
 const PERIOD: u32 = 20;
-/// By how much drains are heard too late.
+/// Delay of list updates under [`Fault::LateToDrains`].
 pub const LIST_UPDATE_DELAY: Duration = Duration::from_secs(4);
 
 macro_rules! faults {
     ($($(#[$doc:meta])* $fault:ident = $name:literal),* $(,)?) => {
-        /// What is broken.
+        /// A fault that can be injected.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum Fault {
             $($(#[$doc])* $fault,)*
         }
 
         impl Fault {
-            fn of(name: &str) -> Option<Self> {
+            fn from_name(name: &str) -> Option<Self> {
                 match name {
                     $($name => Some(Fault::$fault),)*
                     _ => None,
@@ -37,75 +37,78 @@
 }
 
 faults! {
-    /// What is held is not taken up again at a restart.
+    /// A restart drops the messages that are held.
     ForgetsAtRestart = "forgets-at-restart",
-    /// `+OK` is answered before the journal has the message.
+    /// `+OK` is answered before the message is in the journal.
     EarlyOk = "early-ok",
-    /// Some messages are taken on and never looked at again.
+    /// Some messages are accepted and never processed.
     Swallows = "swallows",
-    /// Failures are never told.
+    /// Notices of failed messages are never sent.
     NeverTells = "never-tells",
-    /// A call that may have run is held to have never run.
+    /// A call that may have run is treated as one that never ran.
     ResendsUnsafe = "resends-unsafe",
-    /// Later tries carry another idempotency key.
+    /// Retries carry a different idempotency key.
     NewKey = "new-key",
-    /// A second call goes out beside the first.
+    /// Each call is sent twice in parallel.
     SideBySide = "side-by-side",
-    /// What may have run is handed back.
+    /// A failed message, which may have run, is reported as returned.
     HandsBack = "hands-back",
-    /// A keyed message is sent again long after its key is forgotten.
+    /// A message with an idempotency key is sent again long after its repeat window.
     PastWindow = "past-window",
-    /// A repeat goes whenever its connection comes up.
+    /// A retry is sent whenever its connection is established, however late.
     LateRepeats = "late-repeats",
-    /// Drains are not heard.
+    /// Drains are ignored.
     DeafToDrains = "deaf-to-drains",
-    /// Drains are heard some seconds too late.
+    /// Drains take effect [`LIST_UPDATE_DELAY`] late.
     LateToDrains = "late-to-drains",
-    /// A returning partner is held to be warm at once.
+    /// A destination that serves again gets full load at once, without a slow start.
     RushesCold = "rushes-cold",
-    /// A returning partner is held to stand a hundred times as much.
+    /// The load that a destination can take in its slow start is overestimated by a factor of 100.
     OverestimatesCold = "overestimates-cold",
-    /// Messages of one key do not wait for each other.
+    /// Messages with the same order key do not wait for each other.
     Overtakes = "overtakes",
-    /// A key does not rest after a call that may still run.
+    /// An order key does not rest after a call that may still be running.
     NoRest = "no-rest",
-    /// What is held is taken up in the wrong order at a restart.
+    /// A restart restores the messages in the wrong order.
     ReordersAtRestart = "reorders-at-restart",
-    /// A told wait is not heard.
+    /// Retry-after times are ignored.
     IgnoresWait = "ignores-wait",
-    /// A told wait is cut to half.
+    /// Retry-after times are halved.
     HalvesWait = "halves-wait",
-    /// An end is told twice, in two ways.
+    /// Each undelivered message gets two notices with different verdicts.
     EndsTwice = "ends-twice",
-    /// What has failed is told when its time is nearly up.
+    /// The notice of a failed message is sent only shortly before the message's deadline.
     KeepsBack = "keeps-back",
-    /// Some calls go to another partner.
+    /// Some calls go to an endpoint of another destination.
     GoesAstray = "goes-astray",
-    /// Whatever comes first behind a call counts as its answer.
+    /// The first answer after a call counts as its answer, even if it duplicates an earlier one.
     BelievesCopies = "believes-copies",
 }
 
-/// The chosen fault.
+/// Injects the selected fault, if any.
 #[derive(Clone, Default)]
 pub struct FaultInjector {
     fault: Option<Fault>,
+    /// Number of calls to [`FaultInjector::fires`] for the selected fault.
     count: Cell<u32>,
 }
 
 impl FaultInjector {
-    /// The fault of that name; nothing is broken without one.
+    /// Selects the fault with this name; none without a name.
     pub fn from_name(name: Option<&str>) -> Result<Self, String> {
-        let unknown =
-            |name: &str| format!("{FAULT_VARIABLE}: no fault '{name}'; there are {}", NAMES.join(", "));
-        let fault = name.map(|name| Fault::of(name).ok_or_else(|| unknown(name))).transpose()?;
+        let unknown = |name: &str| {
+            format!("{FAULT_VARIABLE}: unknown fault '{name}', expected one of: {}", NAMES.join(", "))
+        };
+        let fault = name.map(|name| Fault::from_name(name).ok_or_else(|| unknown(name))).transpose()?;
         Ok(FaultInjector { fault, count: Cell::new(0) })
     }
 
+    /// Whether this fault is selected.
     pub fn is_active(&self, fault: Fault) -> bool {
         self.fault == Some(fault)
     }
 
-    /// One time in [`SELDOM`].
+    /// Whether this fault is selected and affects this one of every [`PERIOD`] cases.
     pub fn fires(&self, fault: Fault) -> bool {
         if !self.is_active(fault) {
             return false;
@@ -114,7 +117,7 @@
         self.count.get().is_multiple_of(PERIOD)
     }
 
-    /// What the decisions are made by.
+    /// Applies the fault to the settings.
     pub fn apply_to_settings(&self, mut parsed: Parsed) -> Parsed {
         let settings = &mut parsed.settings;
         match self.fault {
@@ -136,20 +139,20 @@
         parsed
     }
 
-    /// How a call is held to have ended.
-    pub fn alter_call_result(&self, ended: CallResult) -> CallResult {
-        let unsure =
-            matches!(ended.outcome, Outcome::Reset | Outcome::Timeout | Outcome::Error | Outcome::Spoilt);
-        let outcome = match (self.fault, ended.outcome) {
-            (Some(Fault::ResendsUnsafe), _) if unsure => Outcome::ConnectFailed,
+    /// Applies the fault to the result of a call.
+    pub fn alter_call_result(&self, result: CallResult) -> CallResult {
+        let may_have_run =
+            matches!(result.outcome, Outcome::Reset | Outcome::Timeout | Outcome::Error | Outcome::Spoilt);
+        let outcome = match (self.fault, result.outcome) {
+            (Some(Fault::ResendsUnsafe), _) if may_have_run => Outcome::ConnectFailed,
             (Some(Fault::IgnoresWait), Outcome::Full(Some(_))) => Outcome::Full(None),
             (Some(Fault::HalvesWait), Outcome::Full(Some(wait))) => Outcome::Full(Some(wait / 2)),
             (_, outcome) => outcome,
         };
-        CallResult { outcome, ..ended }
+        CallResult { outcome, ..result }
     }
 
-    /// What is heard of the list.
+    /// Applies the fault to an update of the list.
     pub fn alter_list_update(&self, mut update: Update) -> Update {
         if self.is_active(Fault::DeafToDrains) && !update.all {
             update.targets.retain(|target| target.state == "SERVING");
@@ -157,11 +160,11 @@
         update
     }
 
-    /// How a message is held to end.
+    /// Applies the fault to the verdict of a message.
     pub fn alter_verdict(&self, verdict: Verdict) -> Verdict {
         match verdict {
             Verdict::Failed if self.is_active(Fault::HandsBack) => Verdict::Returned { after_ms: 100 },
-            told => told,
+            verdict => verdict,
         }
     }
 }
--- a/crates/gullcart-engine/src/clock.rs
+++ b/crates/gullcart-engine/src/clock.rs
@@ -1,24 +1,26 @@
-//! The module's time, and wall time for what crosses processes.
+//! Conversion between the process's own time and Unix time.
 
 use cloverstile::Time;
 use std::time::Duration;
 
-/// The module's time at the start of a process; times before the start are told to it after a restart.
+/// [`Time`] at the start of a process. It is large, so that moments before the start, read back after a restart, can be
+/// represented.
 pub const EPOCH: Time = Time(1_000_000_000_000_000);
 
-/// Turns one into the other. Wall time is looked at once, at the start: a clock that jumps later on changes nothing.
+/// Converts between [`Time`] and Unix time. The wall clock is read only at the start of the process, so later jumps of the
+/// wall clock have no effect.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start_ms: u64,
 }
 
 impl Clock {
-    /// For a process that started at that Unix time, in milliseconds, which is [`EPOCH`].
+    /// `start_ms` is the Unix time of [`EPOCH`] in milliseconds.
     pub fn new(start_ms: u64) -> Self {
         Clock { start_ms }
     }
 
-    /// Unix milliseconds.
+    /// Converts to Unix time in milliseconds.
     pub fn to_unix_ms(self, at: Time) -> u64 {
         if at >= EPOCH {
             self.start_ms + (at - EPOCH).as_millis() as u64
@@ -27,7 +29,7 @@
         }
     }
 
-    /// What a Unix time is to the module; what lies further back than its beginning is its beginning.
+    /// Converts from Unix time in milliseconds. Moments too early to be represented become `Time(0)`.
     pub fn from_unix_ms(self, ms: u64) -> Time {
         if ms >= self.start_ms {
             EPOCH + Duration::from_millis(ms - self.start_ms)
--- a/crates/gullcart-engine/src/destination_metrics.rs
+++ b/crates/gullcart-engine/src/destination_metrics.rs
@@ -1,114 +1,126 @@
-//! What each destination was given and answered in a second, for a look over many couriers at once.
+//! Debug log lines with each destination's messages, calls and answers of the last second, to compare many couriers at once.
 
 use cloverstile::{Allowance, DestinationId, Outcome, Standing};
 use std::collections::BTreeMap;
 use tracing::{debug, enabled, Level};
 
-/// The log's target of these lines: `GULLCART_LOG=gullcart::tally=debug` switches them on.
+/// Log target of these lines. `GULLCART_LOG=gullcart::tally=debug` enables them.
 pub const DESTINATION_METRICS_TARGET: &str = "gullcart::tally";
-/// Destinations that are told of in one second at most; of the others their number.
-const MOST: usize = 1024;
+/// Maximum destinations logged per second. The rest is summed up in the field `beyond` of one more line.
+const MAX_DESTINATIONS: usize = 1024;
 
-/// What happened with one destination.
+/// Counters of one destination since the last log line.
 #[derive(Default)]
-struct Count {
-    taken: u32,
+struct Counters {
+    /// Messages accepted.
+    accepted: u32,
+    /// Calls that delivered their message.
     ok: u32,
-    full: u32,
-    told: u32,
+    /// Calls rejected with backpressure.
+    rejected: u32,
+    /// Of these, the ones that gave a retry-after time.
+    with_retry_after: u32,
+    /// Calls without an answer whose outcome is ambiguous, and cancelled ones.
     lost: u32,
+    /// Calls answered with an error or with a malformed answer.
     error: u32,
+    /// Calls whose connection could not be opened.
     unconnected: u32,
-    /// Shares of the limit that were told to be left, their sum and number.
-    left: f64,
-    lefts: u32,
+    /// Sum of the remaining shares of the rate limit that answers reported.
+    left_sum: f64,
+    /// Number of the reports in `left_sum`.
+    left_count: u32,
 }
 
-/// Counts since the last telling; bounded by [`MOST`] destinations.
+/// Counters of all destinations since the last log lines, for at most [`MAX_DESTINATIONS`] destinations.
 #[derive(Default)]
 pub struct DestinationMetrics {
-    counts: BTreeMap<DestinationId, Count>,
+    counters: BTreeMap<DestinationId, Counters>,
+    /// Events and waiting destinations that are not logged one by one.
     beyond: u32,
 }
 
 impl DestinationMetrics {
-    fn of(&mut self, destination: DestinationId) -> Option<&mut Count> {
+    fn counters_mut(&mut self, destination: DestinationId) -> Option<&mut Counters> {
         if !enabled!(target: DESTINATION_METRICS_TARGET, Level::DEBUG) {
             return None;
         }
-        if self.counts.len() >= MOST && !self.counts.contains_key(&destination) {
+        if self.counters.len() >= MAX_DESTINATIONS && !self.counters.contains_key(&destination) {
             self.beyond += 1;
             return None;
         }
-        Some(self.counts.entry(destination).or_default())
+        Some(self.counters.entry(destination).or_default())
     }
 
-    /// A message was taken.
+    /// Counts a message that was accepted.
     pub fn message_accepted(&mut self, destination: DestinationId) {
-        if let Some(count) = self.of(destination) {
-            count.taken += 1;
+        if let Some(counters) = self.counters_mut(destination) {
+            counters.accepted += 1;
         }
     }
 
-    /// A call ended.
-    pub fn call_ended(&mut self, destination: DestinationId, outcome: Outcome, told: Option<Allowance>) {
-        let Some(count) = self.of(destination) else { return };
-        if let Some(told) = told.filter(|told| told.limit > 0.0) {
-            count.left += told.left;
-            count.lefts += 1;
+    /// Counts a call that ended. `allowance` is the rate limit that the answer reported.
+    pub fn call_ended(&mut self, destination: DestinationId, outcome: Outcome, allowance: Option<Allowance>) {
+        let Some(counters) = self.counters_mut(destination) else { return };
+        if let Some(allowance) = allowance.filter(|allowance| allowance.limit > 0.0) {
+            counters.left_sum += allowance.left;
+            counters.left_count += 1;
         }
         match outcome {
-            Outcome::Ok => count.ok += 1,
-            Outcome::Full(wait) => {
-                count.full += 1;
-                count.told += u32::from(wait.is_some());
+            Outcome::Ok => counters.ok += 1,
+            Outcome::Full(retry_after) => {
+                counters.rejected += 1;
+                counters.with_retry_after += u32::from(retry_after.is_some());
             }
-            Outcome::ConnectFailed => count.unconnected += 1,
-            Outcome::Error | Outcome::Spoilt => count.error += 1,
-            Outcome::Timeout | Outcome::Reset | Outcome::Cancelled => count.lost += 1,
+            Outcome::ConnectFailed => counters.unconnected += 1,
+            Outcome::Error | Outcome::Spoilt => counters.error += 1,
+            Outcome::Timeout | Outcome::Reset | Outcome::Cancelled => counters.lost += 1,
             Outcome::Moot | Outcome::Spent => {}
         }
     }
 
-    /// Says all that was counted, and what waits.
+    /// Logs and resets the counters, together with the destinations for which messages wait or calls are in flight.
     pub fn log(&mut self, standings: impl Iterator<Item = Standing>) {
         if !enabled!(target: DESTINATION_METRICS_TARGET, Level::DEBUG) {
             return;
         }
-        let mut counts = std::mem::take(&mut self.counts);
-        let mut told = 0;
+        let mut counters = std::mem::take(&mut self.counters);
+        let mut logged = 0;
         for standing in standings {
-            // A place is kept for each destination that was counted.
-            let Some(count) = counts.remove(&standing.destination) else {
-                if told + counts.len() >= MOST {
+            // Destinations with counters take precedence: a line is reserved for each of them.
+            let Some(destination_counters) = counters.remove(&standing.destination) else {
+                if logged + counters.len() >= MAX_DESTINATIONS {
                     self.beyond += 1;
                 } else {
-                    told += 1;
-                    log_destination(standing.destination, &Count::default(), Some(standing));
+                    logged += 1;
+                    log_destination(standing.destination, &Counters::default(), Some(standing));
                 }
                 continue;
             };
-            told += 1;
-            log_destination(standing.destination, &count, Some(standing));
+            logged += 1;
+            log_destination(standing.destination, &destination_counters, Some(standing));
         }
-        for (destination, count) in counts {
-            log_destination(destination, &count, None);
+        for (destination, destination_counters) in counters {
+            log_destination(destination, &destination_counters, None);
         }
         let beyond = std::mem::take(&mut self.beyond);
         if beyond > 0 {
-            debug!(target: DESTINATION_METRICS_TARGET, beyond, "more happened with destinations, or waits for them, than is told of");
+            debug!(
+                target: DESTINATION_METRICS_TARGET, beyond,
+                "events and waiting destinations not listed, as the limit of destinations was reached"
+            );
         }
     }
 }
 
-fn log_destination(destination: DestinationId, count: &Count, standing: Option<Standing>) {
-    let Count { taken, ok, full, told, lost, error, unconnected, .. } = count;
-    let left = (count.lefts > 0).then(|| count.left / f64::from(count.lefts));
+fn log_destination(destination: DestinationId, counters: &Counters, standing: Option<Standing>) {
+    let Counters { accepted, ok, rejected, with_retry_after, lost, error, unconnected, .. } = counters;
+    let left = (counters.left_count > 0).then(|| counters.left_sum / f64::from(counters.left_count));
     let (waiting, out) = standing.map_or((0, 0), |s| (s.waiting, s.out));
     let hold = standing.filter(|s| s.waiting > 0).map(|s| s.hold);
     let (pace, limit) = standing.map_or((0.0, 0.0), |s| (s.pace, s.limit));
     debug!(
-        target: DESTINATION_METRICS_TARGET, destination = destination.0, taken, ok, full, told, lost, error, unconnected, waiting, out,
-        ?hold, pace, limit, left, "tally"
+        target: DESTINATION_METRICS_TARGET, destination = destination.0, taken = accepted, ok, full = rejected,
+        told = with_retry_after, lost, error, unconnected, waiting, out, ?hold, pace, limit, left, "tally"
     );
 }
--- a/crates/gullcart-engine/src/directory.rs
+++ b/crates/gullcart-engine/src/directory.rs
@@ -1,4 +1,4 @@
-//! Numbers for the names of the list, and where each endpoint is found.
+//! The endpoints that discovery has listed, with numeric ids for the names that the list uses.
 
 use cloverstile::{DestinationId, Endpoint, EndpointId, KindId, Listing, Mode, Parsed, ZoneId};
 use gullcart_message::{Target, Update};
@@ -7,20 +7,23 @@
 use std::net::SocketAddr;
 use tracing::warn;
 
-/// Numbers for the names that the list uses, and where each endpoint is found.
+/// The listed endpoints, and the numeric ids of the names that the list uses.
 #[derive(Default, Serialize, Deserialize)]
 pub struct Directory {
-    zones: Vec<String>,
-    kinds: Vec<String>,
-    /// Names of zones that the settings hold: they mean the same in every process.
+    /// Names of zones by their number.
+    zone_names: Vec<String>,
+    /// Names of kinds of machines by their number.
+    kind_names: Vec<String>,
+    /// How many of the zone names come from the settings. Their numbers are the same in every process.
     configured_zones: usize,
+    /// The endpoint id that was given out last.
     last_id: u32,
     ids_by_uid: HashMap<String, EndpointId>,
     entries: BTreeMap<EndpointId, Entry>,
-    /// Entries that are gone and not forgotten yet. Follows from the entries, as the next one does.
+    /// Endpoints that are no longer listed but still have an entry. Derived from the entries.
     #[serde(skip)]
     gone: BTreeSet<EndpointId>,
-    /// Entries that operators have taken out.
+    /// Endpoints that operators have suspended. Derived from the entries.
     #[serde(skip)]
     suspended: BTreeSet<EndpointId>,
 }
@@ -32,16 +35,17 @@
     destination: DestinationId,
     address: Option<SocketAddr>,
     mode: Mode,
-    /// An operator has taken it out.
+    /// Suspended by an operator.
     is_suspended: bool,
 }
 
 impl Directory {
+    /// A directory without endpoints, with the names of zones and kinds from the settings.
     pub fn new(parsed: &Parsed) -> Self {
         Directory {
-            zones: parsed.zone_names.clone(),
+            zone_names: parsed.zone_names.clone(),
             configured_zones: parsed.zone_names.len(),
-            kinds: parsed.kind_names.clone(),
+            kind_names: parsed.kind_names.clone(),
             last_id: 0,
             ids_by_uid: HashMap::new(),
             entries: BTreeMap::new(),
@@ -50,45 +54,50 @@
         }
     }
 
-    /// The directory of the process before, with what follows from its entries.
+    /// A deserialized directory, with the derived fields restored.
     pub fn resumed(self) -> Self {
-        let which = |is: fn(&Entry) -> bool| {
-            self.entries.iter().filter(|(_, entry)| is(entry)).map(|(id, _)| *id).collect()
+        let ids_where = |predicate: fn(&Entry) -> bool| {
+            self.entries.iter().filter(|(_, entry)| predicate(entry)).map(|(id, _)| *id).collect()
         };
-        let gone = which(|entry| entry.mode == Mode::Gone);
-        let suspended = which(|entry| entry.is_suspended);
+        let gone = ids_where(|entry| entry.mode == Mode::Gone);
+        let suspended = ids_where(|entry| entry.is_suspended);
         Directory { gone, suspended, ..self }
     }
 
+    /// The address of an endpoint, if it is known and the list gave a valid one.
     pub fn address(&self, id: EndpointId) -> Option<SocketAddr> {
         self.entries.get(&id).and_then(|entry| entry.address)
     }
 
-    /// The address of some endpoint of another destination.
+    /// The address of any ready endpoint of another destination.
     #[cfg(feature = "broken")]
     pub fn address_of_other_destination(&self, id: EndpointId) -> Option<SocketAddr> {
         let own = self.destination(id)?;
         self.entries.values().find(|entry| entry.destination != own && entry.mode == Mode::Ready)?.address
     }
 
+    /// The zone of an endpoint; zone 0 if the endpoint is unknown.
     pub fn zone(&self, id: EndpointId) -> ZoneId {
         self.entries.get(&id).map_or(ZoneId(0), |entry| entry.zone)
     }
 
-    /// A zone by the number that a process before this one gave it; none where this one may give it to another zone, as
-    /// names that the settings do not hold are numbered as they come.
+    /// The zone with a number that an earlier process assigned. `None` if the settings do not define the zone: other zones are
+    /// numbered in order of appearance, so this process may have given the number to another zone.
     pub fn configured_zone(&self, number: u8) -> Option<ZoneId> {
         (usize::from(number) < self.configured_zones).then_some(ZoneId(number)).and_then(ZoneId::known)
     }
 
+    /// The destination of an endpoint.
     pub fn destination(&self, id: EndpointId) -> Option<DestinationId> {
         self.entries.get(&id).map(|entry| entry.destination)
     }
 
+    /// The uid by which discovery lists an endpoint.
     pub fn uid(&self, id: EndpointId) -> Option<&str> {
         self.entries.get(&id).map(|entry| entry.uid.as_str())
     }
 
+    /// The id of the endpoint with this uid.
     pub fn endpoint_id(&self, uid: &str) -> Option<EndpointId> {
         self.ids_by_uid.get(uid).copied()
     }
@@ -98,14 +107,14 @@
         self.entries.get(&id).is_some_and(|entry| entry.mode == Mode::Ready && !entry.is_suspended)
     }
 
-    /// Endpoints in the list.
+    /// Number of endpoints in the list.
     pub fn listed_count(&self) -> usize {
         self.entries.len() - self.gone.len()
     }
 
-    /// Marks the endpoints that operators have taken out, by uid, and names them.
-    pub fn set_suspended(&mut self, out: &BTreeSet<String>) -> Vec<EndpointId> {
-        let listed = out.iter().filter_map(|uid| self.endpoint_id(uid)).collect();
+    /// Marks exactly the endpoints with these uids as suspended, and returns their ids.
+    pub fn set_suspended(&mut self, uids: &BTreeSet<String>) -> Vec<EndpointId> {
+        let listed = uids.iter().filter_map(|uid| self.endpoint_id(uid)).collect();
         let before = std::mem::replace(&mut self.suspended, listed);
         for id in before.union(&self.suspended) {
             if let Some(entry) = self.entries.get_mut(id) {
@@ -115,14 +124,15 @@
         self.suspended.iter().copied().collect()
     }
 
+    /// Whether an endpoint is no longer listed.
     pub fn is_gone(&self, id: EndpointId) -> bool {
         self.entries.get(&id).is_some_and(|entry| entry.mode == Mode::Gone)
     }
 
-    /// Forgets the endpoints that are gone, but those that are still needed.
-    pub fn forget_gone(&mut self, needed: impl Fn(EndpointId) -> bool) {
-        let forgotten: Vec<EndpointId> = self.gone.iter().copied().filter(|id| !needed(*id)).collect();
-        for id in forgotten {
+    /// Removes the entries of endpoints that are no longer listed, unless they are still needed.
+    pub fn remove_gone(&mut self, is_needed: impl Fn(EndpointId) -> bool) {
+        let removed: Vec<EndpointId> = self.gone.iter().copied().filter(|id| !is_needed(*id)).collect();
+        for id in removed {
             self.gone.remove(&id);
             self.suspended.remove(&id);
             if let Some(entry) = self.entries.remove(&id) {
@@ -131,14 +141,14 @@
         }
     }
 
-    /// Takes news of the list in and words them for the module.
+    /// Applies an update of the list and returns it with numeric ids.
     pub fn apply(&mut self, update: &Update) -> Listing {
         if update.all {
-            // What a whole list does not name is gone.
+            // Endpoints that a complete list does not contain are gone.
             self.entries.values_mut().for_each(|entry| entry.mode = Mode::Gone);
             self.gone = self.entries.keys().copied().collect();
         }
-        let entries = update.targets.iter().map(|target| self.entry(target)).collect();
+        let entries = update.targets.iter().map(|target| self.apply_target(target)).collect();
         if update.all {
             Listing::Whole(entries)
         } else {
@@ -146,22 +156,23 @@
         }
     }
 
-    fn entry(&mut self, target: &Target) -> Endpoint {
+    /// Adds or updates the entry of one endpoint.
+    fn apply_target(&mut self, target: &Target) -> Endpoint {
         let id = *self.ids_by_uid.entry(target.uid.clone()).or_insert_with(|| {
             self.last_id += 1;
             EndpointId(self.last_id)
         });
         let address = target.endpoint.parse().ok();
         if address.is_none() {
-            warn!(uid = target.uid, endpoint = target.endpoint, "an endpoint's address cannot be read");
+            warn!(uid = target.uid, endpoint = target.endpoint, "invalid address of an endpoint in the list");
         }
         let mode = match target.state.as_str() {
             "SERVING" if address.is_some() => Mode::Ready,
             "DELETED" => Mode::Gone,
             _ => Mode::Draining,
         };
-        let zone = ZoneId(name_index(&mut self.zones, &target.az));
-        let kind = KindId(name_index(&mut self.kinds, &target.model).into());
+        let zone = ZoneId(name_index(&mut self.zone_names, &target.az));
+        let kind = KindId(name_index(&mut self.kind_names, &target.model).into());
         let (uid, destination) = (target.uid.clone(), DestinationId(target.pod_group));
         match mode {
             Mode::Gone => self.gone.insert(id),
@@ -173,18 +184,18 @@
     }
 }
 
-/// The place of a name in the settings; names that these do not hold come after them, and share the last place
-/// when there are too many.
+/// The index of a name. A name that is not in the settings is appended; once the indexes run out, all further names share the
+/// last one.
 fn name_index(names: &mut Vec<String>, name: &str) -> u8 {
-    let at = names.iter().position(|known| known == name).unwrap_or_else(|| {
+    let index = names.iter().position(|known| known == name).unwrap_or_else(|| {
         if names.len() < usize::from(u8::MAX) {
-            warn!(name, "the list uses a name that the settings do not hold");
+            warn!(name, "the list uses a name of a zone or kind that is not in the settings");
             names.push(name.to_owned());
             return names.len() - 1;
         }
         names.len()
     });
-    u8::try_from(at).unwrap_or(u8::MAX)
+    u8::try_from(index).unwrap_or(u8::MAX)
 }
 
 #[cfg(test)]
--- a/crates/gullcart-engine/src/directory/tests.rs
+++ b/crates/gullcart-engine/src/directory/tests.rs
@@ -1,4 +1,4 @@
-//! What a directory keeps beside its entries is what a walk over the entries would find.
+//! The derived fields of a directory always agree with its entries.
 
 use super::*;
 use cloverstile::parse_settings_json;
@@ -23,24 +23,26 @@
     }
 }
 
-fn walk(directory: &Directory, is: impl Fn(&Entry) -> bool) -> BTreeSet<EndpointId> {
-    directory.entries.iter().filter(|(_, entry)| is(entry)).map(|(id, _)| *id).collect()
+fn ids_where(directory: &Directory, predicate: impl Fn(&Entry) -> bool) -> BTreeSet<EndpointId> {
+    directory.entries.iter().filter(|(_, entry)| predicate(entry)).map(|(id, _)| *id).collect()
 }
 
-fn check(directory: &Directory, out: &BTreeSet<String>) {
-    assert_eq!(directory.gone, walk(directory, |entry| entry.mode == Mode::Gone));
-    assert_eq!(directory.suspended, walk(directory, |entry| entry.is_suspended));
-    assert_eq!(directory.suspended, walk(directory, |entry| out.contains(&entry.uid)));
-    assert_eq!(directory.listed_count(), walk(directory, |entry| entry.mode != Mode::Gone).len());
-    let found = directory.entries.iter().all(|(id, entry)| directory.endpoint_id(&entry.uid) == Some(*id));
-    assert!(found && directory.ids_by_uid.len() == directory.entries.len());
+/// Compares the derived fields with a search over all entries.
+fn check_derived_fields(directory: &Directory, suspended_uids: &BTreeSet<String>) {
+    assert_eq!(directory.gone, ids_where(directory, |entry| entry.mode == Mode::Gone));
+    assert_eq!(directory.suspended, ids_where(directory, |entry| entry.is_suspended));
+    assert_eq!(directory.suspended, ids_where(directory, |entry| suspended_uids.contains(&entry.uid)));
+    assert_eq!(directory.listed_count(), ids_where(directory, |entry| entry.mode != Mode::Gone).len());
+    let are_ids_complete =
+        directory.entries.iter().all(|(id, entry)| directory.endpoint_id(&entry.uid) == Some(*id));
+    assert!(are_ids_complete && directory.ids_by_uid.len() == directory.entries.len());
 }
 
 #[test]
-fn what_is_gone_and_what_is_out_agrees_with_the_entries_whatever_comes() {
+fn derived_fields_agree_with_the_entries_after_random_updates() {
     let mut rng = fastrand::Rng::with_seed(7);
     for _ in 0..50 {
-        let (mut directory, mut out) = (directory(), BTreeSet::new());
+        let (mut directory, mut suspended_uids) = (directory(), BTreeSet::new());
         for rev in 0..60 {
             let all = rng.u8(..5) == 0;
             let states = ["SERVING", "DRAINING", "DELETED"];
@@ -49,20 +51,20 @@
                 .collect();
             directory.apply(&Update { rev, all, targets });
             let uid = format!("s-{}", rng.u32(..ENDPOINTS));
-            if !out.remove(&uid) && rng.bool() {
-                out.insert(uid);
+            if !suspended_uids.remove(&uid) && rng.bool() {
+                suspended_uids.insert(uid);
             }
-            let named = directory.set_suspended(&out);
-            check(&directory, &out);
-            assert!(named.iter().eq(&directory.suspended));
+            let suspended = directory.set_suspended(&suspended_uids);
+            check_derived_fields(&directory, &suspended_uids);
+            assert!(suspended.iter().eq(&directory.suspended));
             let needed = EndpointId(rng.u32(..ENDPOINTS));
-            directory.forget_gone(|id| id == needed);
-            check(&directory, &out);
+            directory.remove_gone(|id| id == needed);
+            check_derived_fields(&directory, &suspended_uids);
             assert!(directory.gone.is_empty() || directory.gone.iter().eq([&needed]));
             if rng.u8(..8) == 0 {
                 let block = postcard::to_extend(&directory, Vec::new()).unwrap();
                 directory = postcard::from_bytes::<Directory>(&block).unwrap().resumed();
-                check(&directory, &out);
+                check_derived_fields(&directory, &suspended_uids);
             }
         }
     }
--- a/crates/gullcart-engine/src/discovery_backoff.rs
+++ b/crates/gullcart-engine/src/discovery_backoff.rs
@@ -1,93 +1,107 @@
-//! When a courier calls for the list of endpoints. No socket and no clock.
+//! When a courier calls discovery for the list of endpoints. No I/O and no clock.
 //!
-//! One courier that asks ten times a second harms nobody. A hundred that lost their watch at one moment, and that ask
-//! ten times a second each, keep discovery turning all of them away for good: nobody ever hears of the list again, and
-//! calls go on to endpoints that are gone. So the calls of all couriers together are bounded as far as that can be, they
-//! are spread by chance, and their number falls with those that fail.
+//! One courier that calls ten times a second does no harm. But if a hundred lose their watch at the same moment and each calls
+//! ten times a second, discovery is permanently busy rejecting calls: no courier gets the list, and messages go on to
+//! endpoints that no longer exist. Therefore the delays grow with the number of couriers, to bound the total rate of calls;
+//! they are random; and they grow with consecutive failures.
 //!
-//! What bounds the bound: a change counts as told [`TOLD`] after discovery had it and could be reached, whatever failed
-//! before, and a watch that fell silent is found by the courier's own clock. So no wait is longer than one that leaves time
-//! for one more call that is lost, in a fleet of any size.
+//! The delays have an upper bound, because a change of the list counts as known to a courier [`ASSUMED_KNOWN_AFTER`] after
+//! discovery had it and was reachable, regardless of earlier failures. A watch that fell silent is detected by the courier's
+//! own clock. Whatever the number of couriers, each delay leaves time for one more call that is lost.
 
 use fastrand::Rng;
 use std::time::Duration;
 
-/// What discovery has counts as told to a courier after this time, whether or not it asked.
+/// After this time discovery assumes that a courier knows a change of the list, whether or not the courier asked for it.
 pub const ASSUMED_KNOWN_AFTER: Duration = Duration::from_secs(6);
-/// All of a call, from its connection to the head of its answer, or to the whole list. A discovery that is short of work
-/// answers late, up to 2 s, and one that is given up costs it as much as one that is answered.
+/// Timeout of a call to discovery, from connecting until the head of the answer, or until the whole list. An overloaded
+/// discovery takes up to 2 s to answer, and a call that is abandoned costs it as much as one that is answered.
 pub const DISCOVERY_CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The watch has an empty line every 2 s: one that brings no whole line for this long has fallen silent.
+/// A watch that delivers no complete line for this long is considered dead. Discovery sends an empty line every 2 s.
 pub const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(2600);
 
-/// What each courier of a fleet adds to the time between two calls of one of them: together they make 20 calls a second
-/// at first, as two alone do.
-const EACH: Duration = Duration::from_millis(50);
-/// Shortest mean time between two calls.
-const LEAST: Duration = Duration::from_millis(100);
-/// The mean time doubles with each failure so many times.
-const DOUBLINGS: u32 = 2;
-/// Longest wait after a watch broke, ...
-const LONGEST_BROKEN: Duration = Duration::from_millis(600);
-/// ... and longest time from the beginning of a call that failed to that of the next one: after a broken watch, and later. A watch
-/// that fell silent right behind an empty line takes [`SILENCE`], the wait behind it, the first of these for a call that is lost,
-/// and an answer; a return of discovery takes the second of these twice, for a call that hangs across it and one that is lost,
-/// and an answer. Both end before [`TOLD`].
-const LONGEST: [Duration; 2] = [Duration::from_millis(2400), Duration::from_millis(2800)];
-/// Longest wait behind a call that took all its time.
-const SHORT: Duration = Duration::from_millis(300);
-/// Longest wait before the first call of a process, ...
-const LONGEST_FIRST: Duration = Duration::from_millis(1500);
-/// ... and as a part of the grace for drains. What the agent on its machine has counts as told to it from its first moment on,
-/// asked or not, and a call to an endpoint that drains breaks a rule that grace later: the rest is for the start itself, for
-/// the answer and for what is on its way.
-const FIRST_OF_GRACE: f64 = 0.75;
-/// Shortest time, as a part of the longest one: the rest is chance.
-const LEAST_PART: f64 = 0.5;
+/// Mean interval between the initial calls of one courier, per courier of the fleet: all couriers together start with 20 calls
+/// a second, as many as two couriers at [`MIN_MEAN_INTERVAL`].
+const MEAN_INTERVAL_PER_COURIER: Duration = Duration::from_millis(50);
+/// Lower bound of the mean interval between two calls.
+const MIN_MEAN_INTERVAL: Duration = Duration::from_millis(100);
+/// The mean interval doubles with each consecutive failure, at most this many times.
+const MAX_DOUBLINGS: u32 = 2;
 
-/// The calls of one courier among others like it.
+// The following bounds keep the time until a courier has the list below ASSUMED_KNOWN_AFTER:
+// - A watch that falls silent right after an empty line costs WATCH_SILENCE_TIMEOUT, MAX_DELAY_AFTER_BROKEN_WATCH, the first
+//   entry of MAX_INTERVALS for a call that is lost, and the time of an answer.
+// - When discovery becomes reachable again, it costs twice the second entry of MAX_INTERVALS, for a call that hangs across that
+//   moment and for a call that is lost, and the time of an answer.
+
+/// Upper bound of the delay after a watch broke.
+const MAX_DELAY_AFTER_BROKEN_WATCH: Duration = Duration::from_millis(600);
+/// Upper bounds of the interval from the start of a failed call to the start of the next one: after the first failure, and
+/// after later ones.
+const MAX_INTERVALS: [Duration; 2] = [Duration::from_millis(2400), Duration::from_millis(2800)];
+
+/// Upper bound of the random delay after a failed call that took up the whole interval.
+const MAX_DELAY_AFTER_LONG_CALL: Duration = Duration::from_millis(300);
+/// Upper bound of the delay before the first call of a process.
+const MAX_FIRST_DELAY: Duration = Duration::from_millis(1500);
+/// Upper bound of the delay before the first call, as a fraction of the grace period for drains. A change of the list counts
+/// as known to a new process from its start, and a call to a draining endpoint violates the rules once the grace period is
+/// over. The remaining quarter is for starting the process, for discovery's answer and for calls on their way.
+const MAX_FIRST_DELAY_PER_GRACE: f64 = 0.75;
+/// Lower bound of a random interval, as a fraction of its upper bound.
+const MIN_INTERVAL_FRACTION: f64 = 0.5;
+
+/// Chooses one courier's delays between calls to discovery.
 #[derive(Debug)]
 pub struct DiscoveryBackoff {
-    mean: Duration,
-    longest_first: Duration,
-    failures: u32,
+    mean_interval: Duration,
+    max_first_delay: Duration,
+    consecutive_failures: u32,
     rng: Rng,
 }
 
 impl DiscoveryBackoff {
-    /// For a courier of so many; none counts as one. `drain_grace` is how long after a drain was told new work may go to its
-    /// endpoint; `seed` must not be that of another courier.
+    /// For one of `couriers` couriers; zero counts as one. `drain_grace` is how long an endpoint may still get new work after
+    /// the courier was told that it drains. `seed` must differ between couriers.
     pub fn new(couriers: u32, drain_grace: Duration, seed: u64) -> Self {
-        let mean = EACH.saturating_mul(couriers.max(1)).clamp(LEAST, ASSUMED_KNOWN_AFTER);
-        let longest_first = LONGEST_FIRST.min(drain_grace.mul_f64(FIRST_OF_GRACE));
-        DiscoveryBackoff { mean, longest_first, failures: 0, rng: Rng::with_seed(seed) }
+        let mean_interval = MEAN_INTERVAL_PER_COURIER
+            .saturating_mul(couriers.max(1))
+            .clamp(MIN_MEAN_INTERVAL, ASSUMED_KNOWN_AFTER);
+        let max_first_delay = MAX_FIRST_DELAY.min(drain_grace.mul_f64(MAX_FIRST_DELAY_PER_GRACE));
+        DiscoveryBackoff {
+            mean_interval,
+            max_first_delay,
+            consecutive_failures: 0,
+            rng: Rng::with_seed(seed),
+        }
     }
 
-    /// How long to wait before the first call of a process: couriers are often started together. One that has others beside
-    /// it waits up to twice the mean time, but never so long that a drain which it missed comes to count as told; it has the
-    /// list that came with its start.
+    /// Delay before the first call of a process. Couriers are often started together, so in a fleet it is random, up to twice
+    /// the mean interval, but short enough that a drain missed before the start is learnt within the grace period. Until then
+    /// the courier uses the list that it was started with.
     pub fn first_delay(&mut self) -> Duration {
-        if self.mean == LEAST {
+        if self.mean_interval == MIN_MEAN_INTERVAL {
             return Duration::ZERO;
         }
-        (self.mean * 2).min(self.longest_first).mul_f64(self.rng.f64())
+        (self.mean_interval * 2).min(self.max_first_delay).mul_f64(self.rng.f64())
     }
 
-    /// How long to wait after a watch that broke.
+    /// Delay before the next call after a working watch broke. Resets the count of failures.
     pub fn delay_after_broken_watch(&mut self) -> Duration {
-        self.failures = 0;
-        (self.mean * 2).min(LONGEST_BROKEN).mul_f64(self.rng.f64())
+        self.consecutive_failures = 0;
+        (self.mean_interval * 2).min(MAX_DELAY_AFTER_BROKEN_WATCH).mul_f64(self.rng.f64())
     }
 
-    /// How long to wait after a call that failed, which took so long.
+    /// Delay before the next call after one that failed and took the time `took`.
     pub fn delay_after_failure(&mut self, took: Duration) -> Duration {
-        let mean = self.mean * (1 << self.failures.min(DOUBLINGS));
-        let bound = LONGEST[(self.failures as usize).min(LONGEST.len() - 1)];
-        // Chance takes as much below the mean as above it.
-        let longest = mean.mul_f64(2.0 / (1.0 + LEAST_PART)).min(bound);
-        self.failures = self.failures.saturating_add(1);
-        let gap = longest.mul_f64(LEAST_PART + (1.0 - LEAST_PART) * self.rng.f64());
-        let short = longest.min(SHORT).mul_f64(self.rng.f64());
-        gap.saturating_sub(took).max(short)
+        let mean = self.mean_interval * (1 << self.consecutive_failures.min(MAX_DOUBLINGS));
+        let bound = MAX_INTERVALS[(self.consecutive_failures as usize).min(MAX_INTERVALS.len() - 1)];
+        // The interval is uniform between the fraction and the whole of `max_interval`, which puts its mean at `mean`.
+        let max_interval = mean.mul_f64(2.0 / (1.0 + MIN_INTERVAL_FRACTION)).min(bound);
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        let interval =
+            max_interval.mul_f64(MIN_INTERVAL_FRACTION + (1.0 - MIN_INTERVAL_FRACTION) * self.rng.f64());
+        let min_delay = max_interval.min(MAX_DELAY_AFTER_LONG_CALL).mul_f64(self.rng.f64());
+        interval.saturating_sub(took).max(min_delay)
     }
 }
--- a/crates/gullcart-engine/src/duplicate_answers.rs
+++ b/crates/gullcart-engine/src/duplicate_answers.rs
@@ -1,72 +1,75 @@
-//! Whether an answer belongs to the call that is out on its connection. No socket and no clock.
+//! Detects answers that do not belong to the call in flight on their connection. No I/O and no clock.
 //!
-//! An HTTP/1.1 answer names no call. On a connection that has carried calls before, an endpoint or a proxy may write an
-//! earlier answer once more, and only what an answer says tells it from that copy. So a connection is used again only while it
-//! has brought nothing but deliveries, and only where the endpoint's answers differ from each other; and a delivery counts
-//! there only if no answer before it on the connection said the same. The first answer of a connection needs no such proof.
+//! An HTTP/1.1 answer does not name its call. On a reused connection an endpoint or proxy may write an earlier answer a second
+//! time, and only the content tells the call's own answer from such a duplicate. Therefore:
 //!
-//! A copy that is the same byte for byte is left out ([`CopyFilter`]), so that the call's own answer can be heard behind it.
+//! - A connection is reused only while all its answers were successful deliveries with distinct content, and only for
+//!   endpoints whose recent answers differ from each other.
+//! - On a reused connection a delivery counts only if no earlier answer on the connection had the same content. The first
+//!   answer on a connection always counts.
+//! - A byte-for-byte duplicate is removed from the stream ([`DuplicateAnswerFilter`]), so that the call's own answer behind it
+//!   can be read.
 
 use std::collections::VecDeque;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Calls that one connection carries at most: as many answers are compared with each new one.
+/// Maximum calls on one connection. Each new answer is compared with all earlier ones of the connection.
 const MAX_CALLS_PER_CONNECTION: usize = 8;
-/// Bytes of an answer, head and body, behind which a connection is used again at most: they are kept to find copies.
+/// Maximum size of an answer, head and body, after which a connection is reused: the bytes are kept to find duplicates.
 const MAX_COMPARED_BYTES: usize = 2 << 10;
-/// Answers of an endpoint in a row that have to differ before its connections are used again, ...
+/// Consecutive answers of an endpoint that have to differ before its connections are reused.
 const MIN_DISTINCT_ANSWERS: usize = 4;
-/// ... and as many at most, where answers were alike: the number doubles each time.
+/// Upper bound of that number, which doubles with each ambiguous answer.
 const MAX_DISTINCT_ANSWERS: usize = 16;
 
-/// What an answer says, in short.
+/// Hash of an answer's body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerFingerprint(u64);
 
 impl AnswerFingerprint {
-    /// Of an answer's body; none of an empty one, which says nothing.
+    /// Hashes a body. An empty body has no fingerprint: it cannot be told from another empty one.
     pub fn of(body: &[u8]) -> Option<Self> {
         (!body.is_empty()).then(|| AnswerFingerprint(xxh3_64(body)))
     }
 }
 
-/// Why a delivery does not count: it may be a copy of an earlier answer.
+/// Why a delivery does not count: the answer may be a duplicate of an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AmbiguousAnswer {
-    /// It says nothing that could tell it from a copy.
+    /// The body is empty, as a duplicate's may be.
     Empty,
-    /// An answer before it on the connection said the same.
+    /// An earlier answer on the connection had the same body.
     Repeated,
 }
 
-/// The deliveries that one connection has brought.
+/// The successful answers that one connection has carried.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionAnswers {
     seen: Vec<AnswerFingerprint>,
-    /// All bytes of those that this process has read.
+    /// The bytes of those answers that this process read itself.
     raw: Vec<Vec<u8>>,
-    /// It brought an answer that cannot be told from a copy, and carries no further call.
-    has_ended: bool,
+    /// The connection must carry no further call: a duplicate of one of its answers could not be detected.
+    is_exhausted: bool,
 }
 
 impl ConnectionAnswers {
-    /// Those of a connection that another process has used.
+    /// The answers on a connection that was taken over from another process.
     pub fn from_fingerprints(seen: &[u64]) -> Self {
         let seen = seen.iter().copied().take(MAX_CALLS_PER_CONNECTION).map(AnswerFingerprint).collect();
         ConnectionAnswers { seen, ..ConnectionAnswers::default() }
     }
 
-    /// The same, for another process.
+    /// The fingerprints to hand to another process, for [`ConnectionAnswers::from_fingerprints`].
     pub fn fingerprints(&self) -> Vec<u64> {
         self.seen.iter().map(|fingerprint| fingerprint.0).collect()
     }
 
-    /// It has brought none: the next one belongs to its call.
+    /// Whether the connection has carried no answer yet. The next one then certainly belongs to its call.
     pub fn is_empty(&self) -> bool {
         self.seen.is_empty()
     }
 
-    /// A delivery has come.
+    /// Checks a successful answer against the earlier ones and records it.
     pub fn accept(&mut self, answer: Option<AnswerFingerprint>) -> Result<(), AmbiguousAnswer> {
         match answer {
             Some(answer) if !self.seen.contains(&answer) => {
@@ -74,7 +77,7 @@
                 Ok(())
             }
             answer => {
-                self.has_ended = true;
+                self.is_exhausted = true;
                 match answer {
                     _ if self.seen.is_empty() => Ok(()),
                     Some(_) => Err(AmbiguousAnswer::Repeated),
@@ -84,93 +87,95 @@
         }
     }
 
-    /// The bytes of the delivery that was accepted last, of which all and nothing else has been read.
+    /// Keeps the bytes of the answer that was accepted last, to find duplicates of it. Pass `None` if they were not read
+    /// completely, or if other bytes were read behind them.
     pub fn keep_bytes(&mut self, answer: Option<Vec<u8>>) {
         match answer.filter(|answer| (1..=MAX_COMPARED_BYTES).contains(&answer.len())) {
             Some(answer) => self.raw.push(answer),
-            None => self.has_ended = true,
+            None => self.is_exhausted = true,
         }
     }
 
     /// Whether the connection may carry one more call.
     pub fn can_carry_call(&self) -> bool {
-        !self.has_ended && self.seen.len() < MAX_CALLS_PER_CONNECTION
+        !self.is_exhausted && self.seen.len() < MAX_CALLS_PER_CONNECTION
     }
 }
 
-/// Leaves copies of earlier answers out of the bytes that come behind a call.
+/// Removes duplicates of earlier answers from the bytes that follow a call on its connection.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DuplicateAnswerFilter {
-    /// Bytes that may be the beginning of a copy.
-    held: Vec<u8>,
-    /// What has come is no copy: all that follows belongs to the same answer.
-    has_passed: bool,
-    left_out: u32,
+    /// Bytes that may be the beginning of a duplicate.
+    buffered: Vec<u8>,
+    /// The call's own answer has begun: all further bytes belong to it and pass unchecked.
+    has_own_answer_begun: bool,
+    duplicates_removed: u32,
 }
 
 impl DuplicateAnswerFilter {
-    /// Copies left out so far.
+    /// Number of duplicates removed so far.
     pub fn duplicates_removed(&self) -> u32 {
-        self.left_out
+        self.duplicates_removed
     }
 
-    /// What is held back, as it may be the beginning of a copy.
+    /// Bytes that are held back because they may be the beginning of a duplicate.
     pub fn buffered(&self) -> &[u8] {
-        &self.held
+        &self.buffered
     }
 
-    /// Bytes have come; those of them, and of what was held back, that are part of no copy.
+    /// Adds received bytes and returns those, including bytes held back before, that belong to no duplicate.
     pub fn filter(&mut self, earlier: &ConnectionAnswers, bytes: &[u8]) -> Vec<u8> {
-        self.held.extend_from_slice(bytes);
-        while !self.has_passed && !self.held.is_empty() {
-            if let Some(copy) = earlier.raw.iter().find(|answer| self.held.starts_with(answer)) {
-                self.held.drain(..copy.len());
-                self.left_out += 1;
-            } else if earlier.raw.iter().any(|answer| answer.starts_with(&self.held)) {
+        self.buffered.extend_from_slice(bytes);
+        while !self.has_own_answer_begun && !self.buffered.is_empty() {
+            if let Some(duplicate) = earlier.raw.iter().find(|answer| self.buffered.starts_with(answer)) {
+                self.buffered.drain(..duplicate.len());
+                self.duplicates_removed += 1;
+            } else if earlier.raw.iter().any(|answer| answer.starts_with(&self.buffered)) {
                 return Vec::new();
             } else {
-                self.has_passed = true;
+                self.has_own_answer_begun = true;
             }
         }
-        std::mem::take(&mut self.held)
+        std::mem::take(&mut self.buffered)
     }
 }
 
-/// What the last answers of an endpoint were like.
+/// The recent answers of an endpoint, which decide whether connections to it may be reused.
 #[derive(Clone, Debug)]
 pub struct EndpointAnswers {
-    /// The last ones in a row that all differ.
-    differing: VecDeque<AnswerFingerprint>,
-    needed: usize,
+    /// The latest consecutive answers that all differ.
+    distinct: VecDeque<AnswerFingerprint>,
+    /// How many consecutive answers have to differ.
+    required: usize,
 }
 
 impl Default for EndpointAnswers {
     fn default() -> Self {
-        EndpointAnswers { differing: VecDeque::new(), needed: MIN_DISTINCT_ANSWERS }
+        EndpointAnswers { distinct: VecDeque::new(), required: MIN_DISTINCT_ANSWERS }
     }
 }
 
 impl EndpointAnswers {
-    /// A delivery that counts.
+    /// Records an answer whose delivery counts.
     pub fn observe(&mut self, answer: Option<AnswerFingerprint>) {
-        if answer.is_none_or(|answer| self.differing.contains(&answer)) {
-            self.differing.clear();
+        if answer.is_none_or(|answer| self.distinct.contains(&answer)) {
+            self.distinct.clear();
         }
-        self.differing.extend(answer);
-        if self.differing.len() > self.needed {
-            self.differing.pop_front();
+        self.distinct.extend(answer);
+        if self.distinct.len() > self.required {
+            self.distinct.pop_front();
         }
     }
 
-    /// A delivery that does not count: its answers have to prove themselves anew, and for longer.
+    /// Records an ambiguous answer: the sequence of distinct answers starts over and has to be twice as long.
     pub fn observe_ambiguous(&mut self) {
-        self.differing.clear();
-        self.needed = (2 * self.needed).min(MAX_DISTINCT_ANSWERS);
+        self.distinct.clear();
+        self.required = (2 * self.required).min(MAX_DISTINCT_ANSWERS);
     }
 
-    /// Whether they can be told apart, so that its connections may be used again.
+    /// Whether enough consecutive answers differed for connections to be reused.
     pub fn are_distinct(&self) -> bool {
-        self.differing.len() >= self.needed
+        self.distinct.len() >= self.required
     }
 }
 
--- a/crates/gullcart-engine/src/duplicate_answers/tests.rs
+++ b/crates/gullcart-engine/src/duplicate_answers/tests.rs
@@ -84,7 +84,7 @@
             endpoint.observe_ambiguous();
             doubts += 1;
         }
-        assert!(endpoint.differing.len() <= MAX_DISTINCT_ANSWERS);
+        assert!(endpoint.distinct.len() <= MAX_DISTINCT_ANSWERS);
     }
     // Sixteen in a row cannot differ where there are eight.
     assert!((1..=2).contains(&doubts), "{doubts}");
--- a/crates/gullcart-engine/src/engine.rs
+++ b/crates/gullcart-engine/src/engine.rs
@@ -1,6 +1,8 @@
-//! The courier between its sockets, its journal and its decisions: what is known, out and owed. Inputs come with the time,
-//! effects are handed out once a turn is over and all that they promise is in the journal. No socket, no clock: the loop
-//! round it moves bytes.
+//! The courier's state machine: which messages it holds, which calls are in flight and which notices are pending. It connects
+//! the I/O around it, the journal, and the decisions of [`cloverstile`].
+//!
+//! Inputs come with the current time. Effects are returned at the end of a turn, when the journal holds everything that they
+//! promise.
 
 use cloverstile::*;
 use gullcart_journal::{Figures, Held, Journal, JournalError, OutageNote, Store};
@@ -23,48 +25,55 @@
 use crate::trial_duties::{DutyView, TrialDuties, TrialRequest};
 use crate::types::{
     Answer, Call, CallResult, CommandError, Effect, Enqueue, Input, Notice, OperatorCommand, StopReason,
-    Ticket,
 };
 
-/// From SIGTERM until the process ends at the latest: SIGKILL comes after 3.7 s.
+/// Longest time from SIGTERM until the process exits. SIGKILL follows after 3.7 s.
 const MAX_SHUTDOWN: Duration = Duration::from_millis(3200);
-/// From SIGTERM until it ends at the earliest: new connections go on coming for 0.4 s.
+/// Shortest time from SIGTERM until the process exits. New connections keep arriving for 0.4 s.
 const MIN_SHUTDOWN: Duration = Duration::from_millis(600);
 
-/// How long a courier may be held up between reading its clock and writing.
+/// Longest time for which the process may stall between reading its clock and a write.
 const MAX_PAUSE: Duration = Duration::from_millis(150);
 
+/// Result of an attempt that was never handed out as a call.
+const NOT_SENT: CallResult =
+    CallResult { outcome: Outcome::Moot, latency: Duration::ZERO, is_final: false, allowance: None };
+
 /// A message that is held.
 struct HeldMessage {
     number: u32,
-    /// A hand-in after the first one was told that it is held: the first can withdraw it no more.
-    shared: bool,
+    /// A later enqueue request was answered that the message is already held, so the first client may not drop it any more.
+    is_shared: bool,
 }
 
-/// An attempt that was not made.
-const NOT_SENT: CallResult =
-    CallResult { outcome: Outcome::Moot, latency: Duration::ZERO, is_final: false, allowance: None };
+/// When the process exits after it was asked to shut down.
+struct Shutdown {
+    /// Not before this moment, even if nothing is held.
+    earliest_exit: Time,
+    /// Not after this moment, whatever is held.
+    latest_exit: Time,
+}
 
-/// How an engine is begun.
+/// What an engine is created from.
 pub struct EngineConfig {
     /// The settings.
     pub parsed_settings: Parsed,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// The list as the configuration has it; it may be old.
+    /// The list of endpoints from the configuration, which may be out of date.
     pub initial_list: Update,
-    /// The module's time now.
+    /// The current time.
     pub now: Time,
-    /// Unix milliseconds of [`crate::EPOCH`].
+    /// Unix time of [`crate::EPOCH`] in milliseconds.
     pub epoch_ms: u64,
-    /// Sum over the settings: who carries books over must have the same.
+    /// Checksum of the settings. A snapshot can be resumed only under the same settings.
     pub settings_checksum: u32,
-    /// What is broken.
+    /// Injects a fault for tests.
     #[cfg(feature = "broken")]
     pub fault_injector: FaultInjector,
 }
 
-/// A courier.
+/// A courier, without its I/O.
 pub struct Engine<S: Store> {
     courier: Courier,
     clock: Clock,
@@ -73,25 +82,29 @@
     class_names: Vec<String>,
     classes: Vec<Class>,
     settings: Settings,
-    fingerprint: u32,
+    settings_checksum: u32,
+    /// Maximum number of messages held.
     max_held: usize,
-    /// The messages held, by their ids.
+    /// The messages that are held, by the client's id.
     held_by_id: HashMap<String, HeldMessage>,
-    /// In order, so that the same happens wherever it is played.
+    /// Calls in flight. The map is ordered, so that a run can be reproduced.
     in_flight: BTreeMap<MessageId, InFlightCall>,
-    /// Attempts that could not be made, of which the module hears in the next turn.
+    /// Attempts that could not be handed out. The courier is told at the start of the next turn.
     unsent: Vec<(MessageId, EndpointId)>,
+    /// Effects of the current turn.
     effects: Vec<Effect>,
-    ends: Option<(Time, Time)>,
+    shutdown: Option<Shutdown>,
+    /// When the courier's timer is due, and the timer's token.
     wake_up: Option<(Time, u64)>,
+    /// Buffer for the courier's decisions, reused between turns.
     actions: Vec<Action>,
     counts: MessageCounts,
-    /// What of it the log has told.
+    /// The counters at the time of the last call to [`Engine::log_activity`].
     logged_counts: MessageCounts,
     destination_metrics: DestinationMetrics,
     journal_error_log: RateLimitedLog,
     outage_log: RateLimitedLog,
-    /// What is remembered of outages was compared with the journal as a whole once.
+    /// The journal was compared once with all outages; since then only changes are recorded.
     outages_synchronized: bool,
     retry_after_log: RateLimitedLog,
     #[cfg(feature = "broken")]
@@ -99,50 +112,58 @@
 }
 
 impl<S: Store> Engine<S> {
-    /// A courier that has taken up again all that the journal holds.
-    pub fn new(start: EngineConfig, journal: Journal<S>) -> Self {
-        let (now, known) = (start.now, start.initial_list.clone());
-        let mut engine = Engine::without_messages(start, journal);
-        engine.restore(now, known);
+    /// Creates an engine with the messages, endpoints and outages that the journal holds.
+    pub fn new(config: EngineConfig, journal: Journal<S>) -> Self {
+        let now = config.now;
+        let initial_list = config.initial_list.clone();
+        let mut engine = Engine::without_messages(config, journal);
+        engine.restore(now, initial_list);
         engine
     }
 
-    /// The courier of the process before, as it stopped ([`Engine::freeze`]), with the journal that this one left. Its calls
-    /// out are still out here. Where the block cannot be taken up, the courier starts from the journal alone, and nothing
-    /// is out; the reason is told.
-    pub fn resume(start: EngineConfig, journal: Journal<S>, block: &[u8]) -> (Self, Result<(), ResumeError>) {
-        let (now, known, seed) = (start.now, start.initial_list.clone(), start.seed);
-        let mut engine = Engine::without_messages(start, journal);
-        let carried = engine_snapshot::read(block, engine.fingerprint);
-        let same = |carried: &EngineSnapshot| {
+    /// Creates an engine from the snapshot of another process ([`Engine::freeze`]) and the journal that this process left.
+    /// Calls that were in flight there are in flight here. If the snapshot cannot be used, the engine starts from the journal
+    /// alone without any call in flight, and the reason is returned with it.
+    pub fn resume(
+        config: EngineConfig,
+        journal: Journal<S>,
+        snapshot: &[u8],
+    ) -> (Self, Result<(), ResumeError>) {
+        let now = config.now;
+        let initial_list = config.initial_list.clone();
+        let seed = config.seed;
+        let mut engine = Engine::without_messages(config, journal);
+        let snapshot = engine_snapshot::read(snapshot, engine.settings_checksum);
+        let matches_journal = |snapshot: &EngineSnapshot| {
             let held = &engine.journal.image().held;
             held.iter()
-                .all(|(number, held)| held.verdict.is_some() || carried.courier.holds(MessageId(*number)))
-                && carried.in_flight.keys().all(|message| held.contains_key(&message.0))
+                .all(|(number, held)| held.verdict.is_some() || snapshot.courier.holds(MessageId(*number)))
+                && snapshot.in_flight.keys().all(|message| held.contains_key(&message.0))
         };
-        let done = match carried {
-            Ok(carried) if same(&carried) => {
-                engine.restore_from_snapshot(now, seed, carried);
+        let result = match snapshot {
+            Ok(snapshot) if matches_journal(&snapshot) => {
+                engine.restore_from_snapshot(now, seed, snapshot);
                 Ok(())
             }
             other => {
-                engine.restore(now, known);
+                engine.restore(now, initial_list);
                 Err(other.err().unwrap_or(ResumeError::JournalMismatch))
             }
         };
-        (engine, done)
+        (engine, result)
     }
 
-    fn restore_from_snapshot(&mut self, now: Time, seed: u64, carried: EngineSnapshot) {
-        let EngineSnapshot { courier, directory, in_flight: out, shared_messages: shared, wake_up: wake } =
-            carried;
+    fn restore_from_snapshot(&mut self, now: Time, seed: u64, snapshot: EngineSnapshot) {
+        let EngineSnapshot { courier, directory, in_flight, shared_messages, wake_up } = snapshot;
         self.courier = courier.resumed(self.settings.clone(), seed);
-        (self.directory, self.in_flight, self.wake_up) = (directory.resumed(), out, wake);
+        self.directory = directory.resumed();
+        self.in_flight = in_flight;
+        self.wake_up = wake_up;
         for (number, held) in &self.journal.image().held {
-            let known = HeldMessage { number: *number, shared: shared.contains(&MessageId(*number)) };
-            self.held_by_id.insert(held.taken.id.clone(), known);
+            let is_shared = shared_messages.contains(&MessageId(*number));
+            self.held_by_id.insert(held.taken.id.clone(), HeldMessage { number: *number, is_shared });
             self.counts.recovered += u64::from(held.verdict.is_none());
-            // The platform may not have answered yet; a notice that comes twice does no harm.
+            // The platform may not have acknowledged the notice yet. Receiving it twice is harmless.
             if let Some(verdict) = held.verdict {
                 let (message, id) = (MessageId(*number), held.taken.id.clone());
                 self.effects.push(Effect::SendNotice(Notice { message, id, verdict }));
@@ -150,12 +171,12 @@
         }
         self.suspend_listed(now);
         let (held, out) = self.load();
-        info!(held, out, rev = self.list_revision(), "the courier goes on in this process");
+        info!(held, out, rev = self.list_revision(), "resumed from the snapshot of another process");
     }
 
-    /// Stops between two turns: what happened so far is in the journal, and what it brought about is handed out, but no
-    /// call is begun any more. The block is the courier for [`Engine::resume`], in another process or in this one; none
-    /// where it cannot be written. Whatever is handled after this is lost with this engine.
+    /// Stops the engine between two turns. Commits the journal and returns the remaining effects, among which no call is
+    /// started, and a snapshot for [`Engine::resume`] in this or another process; no snapshot if it cannot be serialized.
+    /// Inputs that this engine handles afterwards are lost.
     pub fn freeze(&mut self, now: Time) -> Result<(Vec<Effect>, Option<Vec<u8>>), JournalError> {
         for (message, endpoint) in std::mem::take(&mut self.unsent) {
             self.call_ended(now, message, endpoint, NOT_SENT, false);
@@ -163,53 +184,50 @@
         self.record_outages(now);
         self.journal.commit()?;
         let effects = std::mem::take(&mut self.effects);
-        let label = SnapshotHeader { format: SNAPSHOT_FORMAT, settings: self.fingerprint };
-        let shared =
-            self.held_by_id.values().filter(|known| known.shared).map(|known| MessageId(known.number));
-        let carried = EngineSnapshot {
-            shared_messages: shared.collect(),
+        let header = SnapshotHeader { format: SNAPSHOT_FORMAT, settings: self.settings_checksum };
+        let shared = self.held_by_id.values().filter(|held| held.is_shared);
+        let snapshot = EngineSnapshot {
+            shared_messages: shared.map(|held| MessageId(held.number)).collect(),
             courier: std::mem::take(&mut self.courier),
             directory: std::mem::take(&mut self.directory),
             in_flight: std::mem::take(&mut self.in_flight),
             wake_up: self.wake_up,
         };
-        Ok((effects, engine_snapshot::write(&label, &carried).ok()))
+        Ok((effects, engine_snapshot::write(&header, &snapshot).ok()))
     }
 
-    /// The courier ends soon, by its own doing.
+    /// Whether the process was asked to shut down.
     pub fn is_shutting_down(&self) -> bool {
-        self.ends.is_some()
+        self.shutdown.is_some()
     }
 
-    /// A call that is out, as it was begun; none if it is not.
+    /// The call in flight for a message, for an engine that was resumed. `try_for` is the call's timeout.
     pub fn in_flight_call(&self, message: MessageId, try_for: Duration) -> Option<Call> {
-        let out = self.in_flight.get(&message)?;
+        let in_flight = self.in_flight.get(&message)?;
         let held = self.journal.image().held.get(&message.0)?;
-        let address = self.directory.address(out.endpoint)?;
+        let address = self.directory.address(in_flight.endpoint)?;
         let Taken { id, idempotency_key, body, .. } = held.taken.clone();
         Some(Call {
             message,
-            endpoint: out.endpoint,
+            endpoint: in_flight.endpoint,
             address,
             id,
             idempotency_key,
             body,
             try_for,
-            // All of it is sent already.
+            // All bytes of the call have been sent.
             send_by: None,
             may_have_run: held.maybe_ran.is_some(),
         })
     }
 
-    /// Calls that are out.
+    /// The messages and endpoints of all calls in flight.
     pub fn calls_in_flight(&self) -> impl Iterator<Item = (MessageId, EndpointId)> + '_ {
-        self.in_flight.iter().map(|(message, out)| (*message, out.endpoint))
+        self.in_flight.iter().map(|(message, call)| (*message, call.endpoint))
     }
 
-    fn without_messages(start: EngineConfig, journal: Journal<S>) -> Self {
-        let EngineConfig {
-            parsed_settings: mut parsed, seed, epoch_ms, settings_checksum: fingerprint, ..
-        } = start;
+    fn without_messages(config: EngineConfig, journal: Journal<S>) -> Self {
+        let EngineConfig { parsed_settings: mut parsed, seed, epoch_ms, settings_checksum, .. } = config;
         parsed.settings.answers_take_time = true;
         parsed.settings.held_up = MAX_PAUSE;
         let directory = Directory::new(&parsed);
@@ -219,7 +237,7 @@
             classes: settings.classes.clone(),
             max_held: settings.most_held,
             settings: settings.clone(),
-            fingerprint,
+            settings_checksum,
             courier: Courier::new(settings, seed),
             clock: Clock::new(epoch_ms),
             journal,
@@ -228,7 +246,7 @@
             in_flight: BTreeMap::new(),
             unsent: Vec::new(),
             effects: Vec::new(),
-            ends: None,
+            shutdown: None,
             wake_up: None,
             actions: Vec::new(),
             counts: MessageCounts::default(),
@@ -239,44 +257,45 @@
             outages_synchronized: false,
             retry_after_log: RateLimitedLog::default(),
             #[cfg(feature = "broken")]
-            fault_injector: start.fault_injector,
+            fault_injector: config.fault_injector,
         };
         engine.counts = MessageCounts::new(engine.classes.len());
         engine.logged_counts = engine.counts.clone();
         engine
     }
 
-    /// The version of the list that the courier has.
+    /// Revision of the list of endpoints that the courier knows.
     pub fn list_revision(&self) -> u64 {
         self.journal.image().rev
     }
 
-    /// Messages held, and calls out.
+    /// The number of messages held and the number of calls in flight.
     pub fn load(&self) -> (usize, usize) {
         (self.journal.image().held.len(), self.in_flight.len())
     }
 
-    /// What is in the journal.
+    /// The journal.
     pub fn journal(&self) -> &Journal<S> {
         &self.journal
     }
 
-    /// Whether an endpoint may be given new work.
+    /// Whether an endpoint may get new work.
     pub fn is_open(&self, endpoint: EndpointId) -> bool {
         self.directory.is_open(endpoint)
     }
 
-    /// When the next turn is due at the latest, if nothing happens before.
+    /// When the next turn is due if no input arrives before.
     pub fn next_wake(&self) -> Option<Time> {
         if !self.unsent.is_empty() {
             return Some(Time::ZERO);
         }
-        let ends = self.ends.map(|(_, last)| last);
-        self.wake_up.map(|(at, _)| at).into_iter().chain(ends).min()
+        let latest_exit = self.shutdown.as_ref().map(|shutdown| shutdown.latest_exit);
+        self.wake_up.map(|(at, _)| at).into_iter().chain(latest_exit).min()
     }
 
-    /// Ends a turn: timers that are due, decisions, and what they bring about. Nothing of what happened since the turn
-    /// before has left until its effects are taken. An error is final: nobody can know what of the journal will last.
+    /// Ends a turn: runs due timers, makes decisions, commits the journal and returns the effects of everything since the
+    /// previous turn. No effect leaves the engine in any other way. After an error the engine must not be used any more, since
+    /// it is unknown which records of the journal are durable.
     pub fn turn(&mut self, now: Time) -> Result<Vec<Effect>, JournalError> {
         for (message, endpoint) in std::mem::take(&mut self.unsent) {
             self.call_ended(now, message, endpoint, NOT_SENT, false);
@@ -293,39 +312,40 @@
         Ok(std::mem::take(&mut self.effects))
     }
 
-    /// Looks at the duties that couriers agree on, before a turn: what is to be asked of the group. `asked` are those that it
-    /// has been asked for, `view` is how each stands.
+    /// Updates the trial duties that the courier shares with its group, before a turn. `registered` are the duties that the
+    /// group has this courier registered for, `view` is their state. Returns the requests to the group.
     pub fn update_trial_duties(
         &mut self,
         now: Time,
         duties: &mut TrialDuties,
-        asked: impl IntoIterator<Item = DestinationId>,
+        registered: impl IntoIterator<Item = DestinationId>,
         view: impl Fn(DestinationId) -> Option<DutyView>,
     ) -> Vec<TrialRequest> {
-        let (events, wishes) = duties.update(now, &self.courier, asked, view);
+        let (events, requests) = duties.update(now, &self.courier, registered, view);
         events.into_iter().for_each(|event| self.courier.handle(now, event));
-        wishes
+        requests
     }
 
-    /// Whether the process may end now.
+    /// Whether the process may exit now.
     pub fn may_exit(&self, now: Time) -> bool {
-        let Some((least, last)) = self.ends else { return false };
+        let Some(Shutdown { earliest_exit, latest_exit }) = self.shutdown else { return false };
         let (held, out) = self.load();
-        now >= last || (now >= least && held == 0 && out == 0)
+        now >= latest_exit || (now >= earliest_exit && held == 0 && out == 0)
     }
 
-    /// The process is about to end: what is taken on from now on is called by the next one.
+    /// Starts no more calls, as this process is about to exit. The next process calls for messages accepted from now on.
     pub fn stop_calling(&mut self, now: Time) {
         self.courier.handle(now, Event::Closing(now));
     }
 
-    fn restore(&mut self, now: Time, known: Update) {
-        let written = self.journal.destinations(known.targets.iter().map(|target| target.pod_group));
+    /// Restores the state from the journal. `initial_list` is the list of endpoints from the configuration.
+    fn restore(&mut self, now: Time, initial_list: Update) {
+        let written = self.journal.destinations(initial_list.targets.iter().map(|target| target.pod_group));
         self.log_journal_error(now, written);
         let image = self.journal.image();
-        // What was told before the restart counts as told: the list that comes with the start may be older.
-        if image.rev == 0 || image.rev < known.rev {
-            let update = Update { all: true, ..known };
+        // The list in the journal binds unless it is older: discovery counts it as known to this courier.
+        if image.rev == 0 || image.rev < initial_list.rev {
+            let update = Update { all: true, ..initial_list };
             let listing = self.directory.apply(&update);
             self.courier.handle(now, Event::Listed(listing));
             let written = self.journal.targets(&update);
@@ -368,21 +388,24 @@
     }
 
     fn restore_message(&mut self, now: Time, number: u32, held: &Held) {
-        self.held_by_id.insert(held.taken.id.clone(), HeldMessage { number, shared: false });
+        self.held_by_id.insert(held.taken.id.clone(), HeldMessage { number, is_shared: false });
         let message = MessageId(number);
         let Some(taken) = self.accepted(number, &held.taken) else {
-            warn!(class = held.taken.class, "a message of a class that is not known any more is given up");
+            warn!(
+                class = held.taken.class,
+                "the class of a held message is not in the settings; the message fails"
+            );
             self.decide_end(now, message, Verdict::Failed);
             return;
         };
-        // An attempt without an outcome may have run, also if its process died before the first byte.
+        // An attempt without a recorded outcome counts as one that may have run, even if its process died before the first byte.
         if held.out.is_some() {
             let written = self.journal.outcome(number, true);
             self.log_journal_error(now, written);
         }
         message_trace::recovered(number, held);
         let maybe_ran = held.maybe_ran.or(held.out).map(|(ms, zone)| {
-            // Sent after now: the wall clock was put back, and how long ago it was cannot be told.
+            // A moment in the future means that the wall clock was set back, and that the age of the attempt is unknown.
             let sent = Some(self.clock.from_unix_ms(ms)).filter(|sent| *sent <= now).unwrap_or(Time::ZERO);
             (sent, self.directory.configured_zone(zone))
         });
@@ -394,6 +417,7 @@
         }
     }
 
+    /// A message as the courier's decisions need it; `None` if its class is not in the settings.
     fn accepted(&self, number: u32, taken: &Taken) -> Option<Accepted> {
         let class = self.class(&taken.class)?;
         Some(Accepted {
@@ -408,27 +432,27 @@
     }
 
     fn class(&self, name: &str) -> Option<ClassId> {
-        self.class_names.iter().position(|known| known == name).map(|at| ClassId(at as u8))
+        self.class_names.iter().position(|class| class == name).map(|index| ClassId(index as u8))
     }
 
-    /// Something has happened. Its effects come with the end of the turn.
+    /// Handles an input. Its effects are returned at the end of the turn.
     pub fn handle(&mut self, now: Time, input: Input) {
         match input {
             Input::Enqueue(ticket, enqueue) => {
                 let class = self.class(&enqueue.class);
                 let answer = self.enqueue(now, enqueue);
-                let ends = self.counts.class_mut(class.map(|class| usize::from(class.0)));
+                let counts = self.counts.class_mut(class.map(|class| usize::from(class.0)));
                 match &answer {
-                    Answer::Busy(_) => ends.rejected += 1,
-                    Answer::Error(_) => ends.invalid += 1,
+                    Answer::Busy(_) => counts.rejected += 1,
+                    Answer::Error(_) => counts.invalid += 1,
                     Answer::Taken(_) | Answer::Held => {}
                 }
-                self.answer(ticket, answer);
+                self.effects.push(Effect::Answer(ticket, answer));
             }
             Input::AnswerUnacknowledged(message) => self.answer_unacknowledged(now, message),
-            Input::Command(ticket, order) => {
-                let done = self.execute(now, order);
-                self.effects.push(Effect::CommandResult(ticket, done));
+            Input::Command(ticket, command) => {
+                let result = self.execute(now, command);
+                self.effects.push(Effect::CommandResult(ticket, result));
             }
             Input::CallWritten(message) => {
                 self.counts.calls_written += u64::from(self.in_flight.contains_key(&message));
@@ -437,14 +461,14 @@
             Input::ListUpdate(update)
                 if self.fault_injector.is_active(Fault::LateToDrains) && !update.all =>
             {
-                // A whole list is not held up.
+                // A complete list is not delayed.
                 self.effects.push(Effect::DelayListUpdate(update, LIST_UPDATE_DELAY));
             }
             #[cfg(feature = "broken")]
             Input::DelayedListUpdate(update) => self.apply_list_update(now, update),
             Input::ListUpdate(update) => self.apply_list_update(now, update),
-            Input::CallEnded(message, endpoint, ended) => {
-                self.call_ended(now, message, endpoint, ended, true)
+            Input::CallEnded(message, endpoint, result) => {
+                self.call_ended(now, message, endpoint, result, true)
             }
             Input::NoticesAcknowledged(messages) => {
                 for message in messages {
@@ -455,42 +479,39 @@
                     self.courier.handle(now, Event::Heard(message));
                 }
             }
-            Input::Terminate if self.ends.is_some() => {}
+            Input::Terminate if self.shutdown.is_some() => {}
             Input::Terminate => {
                 let (held, out) = self.load();
                 info!(held, out, "told to end");
-                self.ends = Some((now + MIN_SHUTDOWN, now + MAX_SHUTDOWN));
-                self.courier.handle(now, Event::Closing(now + MAX_SHUTDOWN));
+                let latest_exit = now + MAX_SHUTDOWN;
+                self.shutdown = Some(Shutdown { earliest_exit: now + MIN_SHUTDOWN, latest_exit });
+                self.courier.handle(now, Event::Closing(latest_exit));
                 self.effects.push(Effect::AnnounceShutdown);
             }
         }
     }
 
-    fn answer(&mut self, ticket: Ticket, answer: Answer) {
-        self.effects.push(Effect::Answer(ticket, answer));
-    }
-
     fn enqueue(&mut self, now: Time, enqueue: Enqueue) -> Answer {
-        let most = match self.check_admission(now, &enqueue) {
-            Ok(most) => most,
+        let max_time_left = match self.check_admission(now, &enqueue) {
+            Ok(max_time_left) => max_time_left,
             Err(answer) => {
                 message_trace::not_accepted(&enqueue, &answer, self.journal.image().held.len());
                 return answer;
             }
         };
-        self.accept(now, enqueue, most)
+        self.accept(now, enqueue, max_time_left)
     }
 
-    /// Whether a message may be taken on, and then the longest time that its class may have; the answer of one that may not.
+    /// Whether a message may be accepted. Returns the longest deadline that its class allows, or the answer to the client.
     fn check_admission(&mut self, now: Time, enqueue: &Enqueue) -> Result<Duration, Answer> {
         let Some(class) = self.class(&enqueue.class) else { return Err(Answer::Error("unknown class")) };
-        if let Some(known) = self.held_by_id.get_mut(&enqueue.id) {
-            // Sent once more on a new connection; or by somebody else, to whom the id does not belong.
-            let held = self.journal.image().held.get(&known.number);
+        if let Some(same_id) = self.held_by_id.get_mut(&enqueue.id) {
+            // Either the client repeats its request on a new connection, or the id is used for a second message.
+            let held = self.journal.image().held.get(&same_id.number);
             if !held.is_some_and(|held| enqueue.is_same(&held.taken)) {
                 return Err(Answer::Error("the id is in use for another message"));
             }
-            known.shared = true;
+            same_id.is_shared = true;
             return Err(Answer::Held);
         }
         let destination = DestinationId(enqueue.destination);
@@ -502,14 +523,14 @@
         if class.effect == cloverstile::Effect::Keyed && enqueue.idempotency_key.is_none() {
             return Err(Answer::Error("k is missing"));
         }
-        let most = class.deadline;
+        let max_time_left = class.deadline;
         if !admitted || self.journal.image().held.len() >= self.max_held {
             return Err(Answer::Busy(Some(self.courier.come_back(now, destination))));
         }
-        Ok(most)
+        Ok(max_time_left)
     }
 
-    fn accept(&mut self, now: Time, enqueue: Enqueue, most: Duration) -> Answer {
+    fn accept(&mut self, now: Time, enqueue: Enqueue, max_time_left: Duration) -> Answer {
         let destination = DestinationId(enqueue.destination);
         let taken = Taken {
             id: enqueue.id,
@@ -517,7 +538,7 @@
             class: enqueue.class,
             destination: enqueue.destination,
             idempotency_key: enqueue.idempotency_key,
-            deadline_ms: self.clock.to_unix_ms(now + enqueue.time_left.min(most)),
+            deadline_ms: self.clock.to_unix_ms(now + enqueue.time_left.min(max_time_left)),
             again: enqueue.from_dead_courier,
             body: enqueue.body,
         };
@@ -526,7 +547,7 @@
             Ok(number) => {
                 self.counts.accepted += 1;
                 self.destination_metrics.message_accepted(destination);
-                self.held_by_id.insert(id, HeldMessage { number, shared: false });
+                self.held_by_id.insert(id, HeldMessage { number, is_shared: false });
                 let taken = self.journal.image().held.get(&number).map(|held| &held.taken);
                 taken.into_iter().for_each(|taken| message_trace::accepted(number, taken));
                 #[cfg(feature = "broken")]
@@ -545,15 +566,15 @@
         }
     }
 
-    /// A message of which its client never heard that it was taken on: nobody waits for its end, unless another
-    /// hand-in of it was answered meanwhile.
+    /// The client did not receive the answer that its message was accepted. No client waits for the message then, and it is
+    /// dropped, unless another enqueue request for it was answered since.
     fn answer_unacknowledged(&mut self, now: Time, message: MessageId) {
         let id = self.journal.image().held.get(&message.0).map(|held| &held.taken.id);
-        let known = id.and_then(|id| self.held_by_id.get(id));
-        if let (Some(id), Some(known)) = (id, known) {
-            message_trace::answer_unacknowledged(id, known.shared);
+        let held = id.and_then(|id| self.held_by_id.get(id));
+        if let (Some(id), Some(held)) = (id, held) {
+            message_trace::answer_unacknowledged(id, held.is_shared);
         }
-        if known.is_some_and(|known| !known.shared) {
+        if held.is_some_and(|held| !held.is_shared) {
             self.counts.abandoned += u64::from(self.is_undecided(message));
             self.complete(now, message);
             self.courier.handle(now, Event::ClientGone(message));
@@ -563,7 +584,7 @@
     fn apply_list_update(&mut self, now: Time, update: Update) {
         #[cfg(feature = "broken")]
         let update = self.fault_injector.alter_list_update(update);
-        // A watch that begins anew often has nothing new to tell.
+        // A watch that is reopened often starts with an empty update.
         if update.targets.is_empty() && !update.all {
             return;
         }
@@ -576,36 +597,36 @@
         info!(rev, changed, "the list has changed");
         self.effects.push(Effect::CloseIdleUnavailable);
         self.withdraw_unsent_calls(|endpoint, directory| !directory.is_open(endpoint));
-        self.forget_gone();
+        self.remove_gone_endpoints();
     }
 
-    /// What operators took out stays out, whatever the list says of it.
+    /// Applies the operators' suspensions, which hold whatever state the list gives to an endpoint.
     fn suspend_listed(&mut self, now: Time) {
         for id in self.directory.set_suspended(&self.journal.image().suspended) {
             self.courier.handle(now, Event::Suspended(id));
         }
     }
 
-    /// Carries out what an operator wants. It is in the journal before the answer, and nothing has changed without one.
-    fn execute(&mut self, now: Time, order: OperatorCommand) -> Result<(), CommandError> {
-        let (uid, is_out) = match &order {
+    /// Executes an operator's command. The journal records it before it is answered; if it cannot, nothing changes.
+    fn execute(&mut self, now: Time, command: OperatorCommand) -> Result<(), CommandError> {
+        let (uid, suspend) = match &command {
             OperatorCommand::Suspend(uid) => (uid, true),
             OperatorCommand::Restore(uid) => (uid, false),
         };
         if !self.journal.image().was_listed(uid) {
             return Err(CommandError::UnknownEndpoint);
         }
-        let is_new = self.journal.image().suspended.contains(uid) != is_out;
-        if let Err(error) = self.journal.suspend(uid, is_out) {
+        let is_new = self.journal.image().suspended.contains(uid) != suspend;
+        if let Err(error) = self.journal.suspend(uid, suspend) {
             self.log_journal_error(now, Err(error));
             return Err(CommandError::NotRecorded);
         }
         if is_new {
-            info!(uid, is_out, "an operator's word on an endpoint");
+            info!(uid, is_out = suspend, "an operator suspended or restored an endpoint");
         }
         self.suspend_listed(now);
         let id = self.directory.endpoint_id(uid);
-        if is_out {
+        if suspend {
             self.effects.extend(id.map(Effect::CloseIdle));
             self.withdraw_unsent_calls(|endpoint, directory| !directory.is_open(endpoint));
         } else if let Some(id) = id {
@@ -614,69 +635,71 @@
         Ok(())
     }
 
-    /// Forgets the endpoints that are gone, once none of their calls is out.
-    fn forget_gone(&mut self) {
-        let out = &self.in_flight;
-        self.directory.forget_gone(|endpoint| out.values().any(|out| out.endpoint == endpoint));
+    /// Removes endpoints that are no longer listed and have no call in flight.
+    fn remove_gone_endpoints(&mut self) {
+        let in_flight = &self.in_flight;
+        self.directory.remove_gone(|endpoint| in_flight.values().any(|call| call.endpoint == endpoint));
     }
 
-    /// Takes back the calls to some endpoints that are still connecting: by the time their connections are up
-    /// they would be new work for an endpoint that drains, or calls inside a told wait.
-    fn withdraw_unsent_calls(&mut self, which: impl Fn(EndpointId, &Directory) -> bool) {
-        for (message, out) in &self.in_flight {
-            if !out.is_cancel_requested && which(out.endpoint, &self.directory) {
+    /// Stops those calls to the selected endpoints of which no byte was sent. Once their connections are established, they
+    /// would be new work for a draining endpoint, or calls before the end of a retry-after time.
+    fn withdraw_unsent_calls(&mut self, is_selected: impl Fn(EndpointId, &Directory) -> bool) {
+        for (message, call) in &self.in_flight {
+            if !call.is_cancel_requested && is_selected(call.endpoint, &self.directory) {
                 self.effects.push(Effect::StopCall(*message, StopReason::Withdrawn));
             }
         }
     }
 
-    /// An attempt is over, of which the journal has the beginning, or not.
+    /// Handles the end of a call. `is_start_recorded` tells whether the journal has recorded the attempt's start.
     fn call_ended(
         &mut self,
         now: Time,
         message: MessageId,
         endpoint: EndpointId,
-        ended: CallResult,
-        is_written: bool,
+        result: CallResult,
+        is_start_recorded: bool,
     ) {
         #[cfg(feature = "broken")]
-        let ended = self.fault_injector.alter_call_result(ended);
-        let Some(out) = self.in_flight.remove(&message) else { return };
-        let never = matches!(
-            ended.outcome,
+        let result = self.fault_injector.alter_call_result(result);
+        let Some(call) = self.in_flight.remove(&message) else { return };
+        let may_have_run = !matches!(
+            result.outcome,
             Outcome::Full(_) | Outcome::ConnectFailed | Outcome::Moot | Outcome::Spent
         );
         if let Some(held) = self.journal.image().held.get(&message.0) {
-            message_trace::attempt_ended(&held.taken.id, out.attempt, ended.outcome, ended.latency, !never);
+            let id = &held.taken.id;
+            message_trace::attempt_ended(id, call.attempt, result.outcome, result.latency, may_have_run);
         }
         if let Some(destination) = self.directory.destination(endpoint) {
-            self.destination_metrics.call_ended(destination, ended.outcome, ended.allowance);
+            self.destination_metrics.call_ended(destination, result.outcome, result.allowance);
         }
-        if let Outcome::Full(Some(wait)) = ended.outcome {
+        if let Outcome::Full(Some(wait)) = result.outcome {
             let destination = self.directory.destination(endpoint);
             if let Some(more) = self.retry_after_log.due(now) {
                 info!(?destination, ?wait, more, "told to wait");
             }
             self.withdraw_unsent_calls(|other, directory| directory.destination(other) == destination);
         }
-        if ended.is_final {
+        if result.is_final {
             if self.is_undecided(message) {
-                match ended.outcome {
+                match result.outcome {
                     Outcome::Ok => self.class_counts(message).served += 1,
                     _ => self.counts.abandoned += 1,
                 }
             }
-            if ended.outcome == Outcome::Ok && !self.courier.is_surely_in_time(now, message) {
+            // After a pause of this process the delivery may have been too late. Its client is told of a failure then.
+            if result.outcome == Outcome::Ok && !self.courier.is_surely_in_time(now, message) {
                 let written = self.journal.owe(message.0, Verdict::Failed);
                 self.log_journal_error(now, written);
                 self.send_notice(message, Verdict::Failed);
             } else {
                 self.complete(now, message);
             }
-        } else if is_written {
-            // One that is not written has no outcome there either: it would be taken for that of the attempt before, which may
-            // have run, where its own could not be written.
-            let written = self.journal.outcome(message.0, !never);
+        } else if is_start_recorded {
+            // Without a recorded start the journal would apply the outcome to the previous attempt, which may have run and
+            // whose own outcome may be missing.
+            let written = self.journal.outcome(message.0, may_have_run);
             self.log_journal_error(now, written);
         }
         self.courier.handle(
@@ -684,30 +707,31 @@
             Event::Finished(Finished {
                 message,
                 endpoint,
-                attempt: out.attempt,
-                outcome: ended.outcome,
-                latency: ended.latency,
-                complete: ended.is_final,
-                allowance: ended.allowance,
+                attempt: call.attempt,
+                outcome: result.outcome,
+                latency: result.latency,
+                complete: result.is_final,
+                allowance: result.allowance,
             }),
         );
         if self.directory.is_gone(endpoint) {
-            self.forget_gone();
+            self.remove_gone_endpoints();
         }
     }
 
-    /// A message is held, and its end is not decided.
+    /// Whether a message is held and has no verdict.
     fn is_undecided(&self, message: MessageId) -> bool {
         self.journal.image().held.get(&message.0).is_some_and(|held| held.verdict.is_none())
     }
 
+    /// The counters of a message's class.
     fn class_counts(&mut self, message: MessageId) -> &mut ClassCounts {
         let held = self.journal.image().held.get(&message.0);
         let class = held.and_then(|held| self.class(&held.taken.class));
         self.counts.class_mut(class.map(|class| usize::from(class.0)))
     }
 
-    /// Nothing more is owed for a message.
+    /// Stops holding a message: it was delivered, its notice was acknowledged, or no client waits for it.
     fn complete(&mut self, now: Time, message: MessageId) {
         if let Some(held) = self.journal.image().held.get(&message.0) {
             message_trace::completed(&held.taken.id);
@@ -730,12 +754,13 @@
     fn act(&mut self, now: Time, action: Action) {
         match action {
             Action::Route { message, endpoint, try_for, send_by } => {
-                self.route(now, message, endpoint, try_for, send_by);
+                self.start_call(now, message, endpoint, try_for, send_by);
             }
             Action::StopAttempt { message, .. } => {
-                // A message has one attempt out at most.
-                if let Some(out) = self.in_flight.get_mut(&message).filter(|out| !out.is_cancel_requested) {
-                    out.is_cancel_requested = true;
+                // A message has at most one call in flight.
+                let call = self.in_flight.get_mut(&message);
+                if let Some(call) = call.filter(|call| !call.is_cancel_requested) {
+                    call.is_cancel_requested = true;
                     self.effects.push(Effect::StopCall(message, StopReason::Cancelled));
                 }
             }
@@ -748,12 +773,12 @@
             Action::Wake { after, token } => self.wake_up = Some((now + after, token)),
             Action::CloseIdle { endpoint } => self.effects.push(Effect::CloseIdle(endpoint)),
             Action::Log { text } => info!("{text}"),
-            // The watch is always on, and the deployment permits neither probes nor notes.
+            // The watch of the list is always open, and the deployment permits neither probes nor messages between couriers.
             Action::KeepInformed { .. } | Action::Refresh | Action::Probe { .. } | Action::Tell { .. } => {}
         }
     }
 
-    fn route(
+    fn start_call(
         &mut self,
         now: Time,
         message: MessageId,
@@ -766,12 +791,12 @@
         let taken = held.map(|held| held.taken.clone());
         let may_have_run = held.is_some_and(|held| held.maybe_ran.or(held.out).is_some());
         self.in_flight.insert(message, InFlightCall { endpoint, attempt, is_cancel_requested: false });
-        // An attempt that the next process would not know of is not made.
+        // An attempt whose start the journal cannot record is not made: a restarted process would not know of it.
         let start = (self.clock.to_unix_ms(now), self.directory.zone(endpoint).0);
         let written = self.journal.start(message.0, start);
-        let known = taken.zip(self.directory.address(endpoint)).filter(|_| written.is_ok());
+        let call_data = taken.zip(self.directory.address(endpoint)).filter(|_| written.is_ok());
         self.log_journal_error(now, written);
-        let Some((taken, address)) = known else {
+        let Some((taken, address)) = call_data else {
             self.unsent.push((message, endpoint));
             return;
         };
@@ -800,44 +825,45 @@
         self.effects.push(Effect::StartCall(call));
     }
 
-    /// Gives a message its end. It is in the journal before it is told: who was told that a message came back
-    /// may hand it in again, and it must not be sent after that.
+    /// Ends an undelivered message with a verdict. The journal records it before the notice is sent: a client whose message was
+    /// returned may enqueue it again, and this courier must not send it after that, not even after a restart.
     fn decide_end(&mut self, now: Time, message: MessageId, verdict: Verdict) {
         #[cfg(feature = "broken")]
         let verdict = self.fault_injector.alter_verdict(verdict);
-        let is_new = self.is_undecided(message);
-        let (mut verdict, mut written) = (verdict, self.journal.owe(message.0, verdict));
+        let was_undecided = self.is_undecided(message);
+        let mut verdict = verdict;
+        let mut written = self.journal.owe(message.0, verdict);
         if written.is_err() && verdict != Verdict::Failed {
-            // The next process would not know that it was handed back, and might send it beside what its client hands in anew.
-            // Who is told of a failure does not come again.
+            // A restarted process would not know that the message was returned, and could send it in addition to the one that
+            // its client enqueues again. A client does not enqueue a failed message again.
             verdict = Verdict::Failed;
             written = self.journal.owe(message.0, verdict);
         }
-        if is_new {
-            let ends = self.class_counts(message);
+        if was_undecided {
+            let counts = self.class_counts(message);
             match verdict {
-                Verdict::Failed => ends.failed += 1,
-                Verdict::Returned { .. } => ends.returned += 1,
+                Verdict::Failed => counts.failed += 1,
+                Verdict::Returned { .. } => counts.returned += 1,
             }
         }
         self.log_journal_error(now, written);
         self.send_notice(message, verdict);
     }
 
-    /// Tells the end of a message, which is in the journal.
+    /// Sends the notice for a verdict that the journal was given.
     fn send_notice(&mut self, message: MessageId, verdict: Verdict) {
         if let Some(held) = self.journal.image().held.get(&message.0) {
             message_trace::notice_pending(&held.taken.id, verdict);
             #[cfg(feature = "broken")]
-            if let Some(instead) = self.faulty_notices(message, held, verdict) {
-                return self.effects.extend(instead);
+            if let Some(effects) = self.faulty_notices(message, held, verdict) {
+                return self.effects.extend(effects);
             }
             let notice = Notice { message, id: held.taken.id.clone(), verdict };
             self.effects.push(Effect::SendNotice(notice));
         }
     }
 
-    /// What is done in place of telling an end, where that is broken.
+    /// The effects that replace a notice under an injected fault; `None` if the notice is to be sent as it is.
     #[cfg(feature = "broken")]
     fn faulty_notices(&self, message: MessageId, held: &Held, verdict: Verdict) -> Option<Vec<Effect>> {
         let notice = |verdict| Notice { message, id: held.taken.id.clone(), verdict };
@@ -855,8 +881,8 @@
         (self.fault_injector.is_active(Fault::NeverTells) && verdict == Verdict::Failed).then(Vec::new)
     }
 
-    /// Writes down what is to be remembered of outages, when it has changed. A turn goes over the destinations that may have
-    /// changed; all of them are gone over where the journal does not hold what it was told before.
+    /// Records changed outages in the journal. Usually only the destinations that may have changed are compared; all of them
+    /// are the first time, and while the journal could not write what it was given before.
     fn record_outages(&mut self, now: Time) {
         let changed = self.courier.take_changed_outages();
         if !self.outages_synchronized || self.journal.is_behind() {
@@ -880,17 +906,17 @@
         self.log_journal_error(now, written);
         debug_assert!(
             self.journal_has_all_outages(),
-            "an outage changed at a destination that was not named"
+            "an outage changed at a destination that the courier did not report as changed"
         );
     }
 
-    /// Whether the journal holds what there is to be remembered of outages, unless it could not be written.
+    /// Whether the journal holds the current outages, or could not write them.
     fn journal_has_all_outages(&self) -> bool {
         let notes = self.outages_for_journal(self.courier.outages());
         self.journal.is_behind() || self.journal.image().has_outages(&notes)
     }
 
-    /// Outages as the journal keeps them.
+    /// Converts outages to the journal's format.
     fn outages_for_journal(&self, outages: impl Iterator<Item = Outage>) -> Vec<OutageNote> {
         let note = |outage: Outage| OutageNote {
             destination: outage.destination.0,
@@ -904,11 +930,11 @@
         outages.map(note).collect()
     }
 
-    /// Says in the log how many destinations are held to be out, where that has changed.
+    /// Logs the number of destinations in an outage if it changed.
     fn log_outage_count(&mut self, now: Time, before: usize, after: usize) {
         if before != after {
             if let Some(more) = self.outage_log.due(now) {
-                info!(before, after, more, "destinations held to be out");
+                info!(before, after, more, "the number of destinations in an outage changed");
             }
         }
     }
@@ -921,16 +947,16 @@
         }
     }
 
-    /// What is counted, since this process began.
+    /// The counters since the process started.
     pub fn counts(&self) -> &MessageCounts {
         &self.counts
     }
 
-    /// What an operator is told.
+    /// The metrics for the console.
     pub fn metrics(&self, now: Time) -> EngineMetrics {
         let classes = self.class_names.iter().zip(&self.counts.classes);
         EngineMetrics {
-            classes: classes.map(|(name, ends)| (name.clone(), *ends)).collect(),
+            classes: classes.map(|(name, counts)| (name.clone(), *counts)).collect(),
             attempts: self.counts.calls_written,
             in_flight: self.journal.image().held.values().filter(|held| held.verdict.is_none()).count(),
             endpoints_known: self.directory.listed_count(),
@@ -938,24 +964,24 @@
         }
     }
 
-    /// Says in the log what each destination was given and what waits for it, where [`crate::TALLY`] is switched on. To be
-    /// called once a second.
+    /// Logs the counters and the waiting messages of each destination, if [`crate::DESTINATION_METRICS_TARGET`] is enabled. To
+    /// be called once a second.
     pub fn log_destination_metrics(&mut self, now: Time) {
         self.destination_metrics.log(self.courier.standings(now));
     }
 
-    /// Says in the log what has happened since the last time, and how late the loop was at the most.
-    pub fn log_activity(&mut self, latest: Duration) {
-        let (sum, before) = (self.counts.total(), self.logged_counts.total());
+    /// Logs what the counters gained since the last call. `max_delay` is the longest delay of the caller's loop since then.
+    pub fn log_activity(&mut self, max_delay: Duration) {
+        let (total, logged) = (self.counts.total(), self.logged_counts.total());
         let taken = self.counts.accepted - self.logged_counts.accepted;
-        let busy = sum.rejected - before.rejected;
-        let delivered = sum.served - before.served;
-        let failed = sum.failed - before.failed;
-        let returned = sum.returned - before.returned;
+        let busy = total.rejected - logged.rejected;
+        let delivered = total.served - logged.served;
+        let failed = total.failed - logged.failed;
+        let returned = total.returned - logged.returned;
         let calls = self.counts.calls_started - self.logged_counts.calls_started;
         self.logged_counts = self.counts.clone();
         let (held, out) = self.load();
-        info!(taken, busy, delivered, failed, returned, calls, held, out, ?latest, "load");
+        info!(taken, busy, delivered, failed, returned, calls, held, out, latest = ?max_delay, "load");
         let Figures { appended, rewritten, freed, segments, used, live, unwritten } = self.journal.figures();
         info!(appended, rewritten, freed, segments, used, live, unwritten, "journal");
     }
--- a/crates/gullcart-engine/src/engine_snapshot.rs
+++ b/crates/gullcart-engine/src/engine_snapshot.rs
@@ -1,4 +1,4 @@
-//! The engine that goes on in another process: all that the journal does not hold, as one block of bytes.
+//! The engine's state in serialized form, which lets another process resume the engine. It holds what the journal does not.
 
 use cloverstile::{Courier, EndpointId, MessageId, Time};
 use serde::{Deserialize, Serialize};
@@ -7,42 +7,42 @@
 
 use crate::directory::Directory;
 
-/// Whoever changes a type that is carried raises it.
+/// Version of the snapshot's format. Raise it with every change of a type that the snapshot contains.
 pub(crate) const SNAPSHOT_FORMAT: u32 = 4;
 
-/// A call that is out.
+/// A call that is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InFlightCall {
-    /// The endpoint that was called.
+    /// The endpoint that is called.
     pub endpoint: EndpointId,
-    /// The how-manieth attempt of the message, from 0.
+    /// Index of the attempt among the message's attempts, from 0.
     pub attempt: u16,
-    /// The module has called it off.
+    /// The call was asked to stop.
     pub is_cancel_requested: bool,
 }
 
-/// Why a block cannot be taken up. The journal alone is enough for an ordinary start.
+/// Why a snapshot cannot be resumed. The engine then starts from the journal alone.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum ResumeError {
-    /// Written by a release that keeps other books.
-    #[error("its format is {0}, and this release reads {SNAPSHOT_FORMAT}")]
+    /// The snapshot was written by a release with another format.
+    #[error("the snapshot has format {0}, but this release reads format {SNAPSHOT_FORMAT}")]
     UnsupportedFormat(u32),
-    /// Its classes, kinds, zones or figures are others.
-    #[error("the settings are others")]
+    /// The snapshot was written under other settings.
+    #[error("the snapshot was written under other settings")]
     SettingsMismatch,
-    /// It ends early, or says what cannot be.
-    #[error("it cannot be read")]
+    /// The snapshot is truncated, has trailing bytes or does not decode.
+    #[error("the snapshot is corrupt")]
     Corrupt,
-    /// The journal and the books do not hold the same messages.
-    #[error("the journal holds other messages")]
+    /// The journal and the snapshot do not hold the same messages.
+    #[error("the snapshot and the journal hold different messages")]
     JournalMismatch,
 }
 
-/// Comes first, so that it can be read whatever follows.
+/// Precedes the snapshot. Its own format never changes, so that every release can read it.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct SnapshotHeader {
     pub format: u32,
-    /// Sum over the settings, which give the numbers in the books their meaning.
+    /// Checksum of the settings. Class, zone and kind numbers in the snapshot are valid only under the same settings.
     pub settings: u32,
 }
 
@@ -51,27 +51,29 @@
     pub courier: Courier,
     pub directory: Directory,
     pub in_flight: BTreeMap<MessageId, InFlightCall>,
-    /// Messages that a second hand-in was told are held.
+    /// Messages for which more than one enqueue request was answered.
     pub shared_messages: Vec<MessageId>,
+    /// When the courier's timer is due, and the timer's token.
     pub wake_up: Option<(Time, u64)>,
 }
 
-pub(crate) fn write(label: &SnapshotHeader, carried: &EngineSnapshot) -> Result<Vec<u8>, postcard::Error> {
-    let block = postcard::to_extend(label, Vec::new())?;
-    postcard::to_extend(carried, block)
+pub(crate) fn write(header: &SnapshotHeader, snapshot: &EngineSnapshot) -> Result<Vec<u8>, postcard::Error> {
+    let bytes = postcard::to_extend(header, Vec::new())?;
+    postcard::to_extend(snapshot, bytes)
 }
 
-pub(crate) fn read(block: &[u8], settings: u32) -> Result<EngineSnapshot, ResumeError> {
-    let (label, rest): (SnapshotHeader, _) =
-        postcard::take_from_bytes(block).map_err(|_| ResumeError::Corrupt)?;
-    if label.format != SNAPSHOT_FORMAT {
-        return Err(ResumeError::UnsupportedFormat(label.format));
+/// Reads a snapshot that was written under settings with the given checksum.
+pub(crate) fn read(bytes: &[u8], settings: u32) -> Result<EngineSnapshot, ResumeError> {
+    let (header, rest): (SnapshotHeader, _) =
+        postcard::take_from_bytes(bytes).map_err(|_| ResumeError::Corrupt)?;
+    if header.format != SNAPSHOT_FORMAT {
+        return Err(ResumeError::UnsupportedFormat(header.format));
     }
-    if label.settings != settings {
+    if header.settings != settings {
         return Err(ResumeError::SettingsMismatch);
     }
     match postcard::take_from_bytes(rest) {
-        Ok((carried, [])) => Ok(carried),
+        Ok((snapshot, [])) => Ok(snapshot),
         _ => Err(ResumeError::Corrupt),
     }
 }
--- a/crates/gullcart-engine/src/idle_connections.rs
+++ b/crates/gullcart-engine/src/idle_connections.rs
@@ -1,30 +1,32 @@
-//! Which connections are kept once their call is over. No socket and no clock.
+//! Which connections are kept open after their call. No I/O and no clock.
 //!
-//! An endpoint holds few connections, idle ones counted. One kept by each of a few couriers harms nobody; one kept by each of a
-//! hundred leaves the endpoint no room for calls, and nobody who holds one sees that others are turned away.
+//! An endpoint accepts few connections, including idle ones. If each of a hundred couriers kept one idle connection, the
+//! endpoint would have none left for calls, and the couriers with an idle connection would not notice the rejections.
 
 use fastrand::Rng;
 
-/// Idle connections that all couriers together keep at one endpoint, in the mean.
-const OVER_THE_FLEET: f64 = 8.0;
+/// Mean number of idle connections that all couriers together keep to one endpoint.
+const FLEET_IDLE_CONNECTIONS: f64 = 8.0;
 
-/// One courier's part of the idle connections to each endpoint.
+/// Decides which connections one courier keeps.
 #[derive(Debug)]
 pub struct IdleConnectionPolicy {
-    part: f64,
+    /// Probability of keeping a connection; always keep it from 1 on.
+    keep_probability: f64,
     rng: Rng,
 }
 
 impl IdleConnectionPolicy {
-    /// For a courier of so many; none counts as one.
+    /// For one of `couriers` couriers; zero counts as one.
     pub fn new(couriers: u32, seed: u64) -> Self {
-        IdleConnectionPolicy { part: OVER_THE_FLEET / f64::from(couriers.max(1)), rng: Rng::with_seed(seed) }
+        let keep_probability = FLEET_IDLE_CONNECTIONS / f64::from(couriers.max(1));
+        IdleConnectionPolicy { keep_probability, rng: Rng::with_seed(seed) }
     }
 
-    /// Whether to keep a connection whose call is over. Where a courier calls at a steady rate, each connection kept waits
-    /// for the next call, so that the part of the calls which keep theirs is the part of the couriers that hold one.
+    /// Whether to keep a connection after its call. If a courier calls at a steady rate, a kept connection stays idle until the
+    /// next call, so the fraction of calls that keep their connection equals the fraction of couriers that hold one.
     pub fn should_keep(&mut self) -> bool {
-        self.part >= 1.0 || self.rng.f64() < self.part
+        self.keep_probability >= 1.0 || self.rng.f64() < self.keep_probability
     }
 }
 
--- a/crates/gullcart-engine/src/lib.rs
+++ b/crates/gullcart-engine/src/lib.rs
@@ -1,11 +1,11 @@
-//! The courier without sockets and without a clock.
+//! The courier as a state machine without I/O and without a clock.
 //!
-//! [`Engine`] is told what happens, with the time, and gives back what is to be done ([`Effect`]) when a turn is over: all
-//! that was promised in it is in the journal by then. The daemon moves bytes round it; a fleet in virtual time can
-//! run it as it is, on a simulated folder.
+//! [`Engine`] handles inputs, each with the current time, and returns the resulting [`Effect`]s at the end of a turn. By then
+//! the journal holds everything that the effects promise. The daemon performs the I/O around the engine; a simulation can run
+//! the same engine in virtual time on a simulated folder.
 //!
-//! What stays bounded, and by what: messages held by the settings and the journal's room, calls out by the call slots,
-//! effects of a turn by what happened in it, notices by the messages held.
+//! Bounds: the settings and the journal's capacity bound the messages held, the call slots bound the calls in flight, the
+//! inputs of a turn bound its effects, and the messages held bound the notices.
 #![forbid(unsafe_code)]
 
 #[cfg(feature = "broken")]
--- a/crates/gullcart-engine/src/message_trace.rs
+++ b/crates/gullcart-engine/src/message_trace.rs
@@ -1,4 +1,4 @@
-//! What becomes of each message, step by step, for who follows one of them by its id through the logs of couriers.
+//! Debug log lines for each step of a message's life, which allow to follow one message by its id through couriers' logs.
 
 use cloverstile::Outcome;
 use gullcart_journal::Held;
@@ -8,63 +8,74 @@
 
 use crate::types::{Answer, Call, Enqueue};
 
-/// The log's target of these lines: `GULLCART_LOG=gullcart::trail=debug` switches them on.
+/// Log target of the message trace. `GULLCART_LOG=gullcart::trail=debug` enables it.
 pub const MESSAGE_TRACE_TARGET: &str = "gullcart::trail";
 
-/// A message was taken on.
+/// A message was accepted.
 pub(crate) fn accepted(number: u32, taken: &Taken) {
     let Taken { id, class, destination, again, idempotency_key: key, key: order, .. } = taken;
-    debug!(target: MESSAGE_TRACE_TARGET, id, number, order = format_args!("{order:016x}"), class, destination, again, key, "taken on");
+    debug!(
+        target: MESSAGE_TRACE_TARGET, id, number, order = format_args!("{order:016x}"), class, destination, again, key,
+        "message accepted"
+    );
 }
 
-/// A hand-in that brought no new message: it was turned away with so many messages held, or the message is one of them.
+/// An enqueue request added no message: it was rejected, or the message is already held. `held` messages are held.
 pub(crate) fn not_accepted(enqueue: &Enqueue, answer: &Answer, held: usize) {
-    let Enqueue { id, order_key: order, class, destination, .. } = enqueue;
-    let order = format_args!("{order:016x}");
-    debug!(target: MESSAGE_TRACE_TARGET, id, order, class, destination, ?answer, held, "not taken on");
+    let Enqueue { id, order_key, class, destination, .. } = enqueue;
+    let order = format_args!("{order_key:016x}");
+    debug!(
+        target: MESSAGE_TRACE_TARGET, id, order, class, destination, ?answer, held, "enqueue request added no message"
+    );
 }
 
-/// A hand-in was turned away, as the journal could not be written.
+/// A message was rejected because the journal could not record it.
 pub(crate) fn not_recorded(id: &str, answer: &Answer) {
-    debug!(target: MESSAGE_TRACE_TARGET, id, ?answer, "not taken on, as the journal cannot be written");
+    debug!(target: MESSAGE_TRACE_TARGET, id, ?answer, "message rejected, as the journal cannot be written");
 }
 
-/// Its client did not hear that it was taken on. A hand-in of it that was answered meanwhile (`shared`) keeps it.
+/// The client did not get the answer that the message was accepted. If the message is `shared`, another enqueue request for it
+/// was answered since, and it stays.
 pub(crate) fn answer_unacknowledged(id: &str, shared: bool) {
-    debug!(target: MESSAGE_TRACE_TARGET, id, shared, "its client did not hear the answer");
+    debug!(target: MESSAGE_TRACE_TARGET, id, shared, "the client did not receive the answer");
 }
 
-/// It was found in the journal after a restart.
+/// The message was restored from the journal after a restart.
 pub(crate) fn recovered(number: u32, held: &Held) {
     let Held { taken: Taken { id, key: order, .. }, attempts, maybe_ran, out, verdict } = held;
     let may_have_run = maybe_ran.or(*out).is_some();
     let order = format_args!("{order:016x}");
-    debug!(target: MESSAGE_TRACE_TARGET, id, number, order, attempts, may_have_run, ?verdict, "found in the journal");
+    debug!(
+        target: MESSAGE_TRACE_TARGET, id, number, order, attempts, may_have_run, ?verdict,
+        "message restored from the journal"
+    );
 }
 
-/// An attempt is handed out.
+/// An attempt was started.
 pub(crate) fn attempt_started(call: &Call, attempt: u16) {
     let Call { id, message, endpoint, address, try_for, send_by, .. } = call;
     let (number, endpoint) = (message.0, endpoint.0);
-    debug!(target: MESSAGE_TRACE_TARGET, id, number, attempt, endpoint, %address, ?try_for, ?send_by, "an attempt begins");
+    debug!(
+        target: MESSAGE_TRACE_TARGET, id, number, attempt, endpoint, %address, ?try_for, ?send_by, "attempt started"
+    );
 }
 
-/// An attempt is over.
+/// An attempt ended.
 pub(crate) fn attempt_ended(id: &str, attempt: u16, outcome: Outcome, latency: Duration, may_have_run: bool) {
-    debug!(target: MESSAGE_TRACE_TARGET, id, attempt, ?outcome, ?latency, may_have_run, "an attempt is over");
+    debug!(target: MESSAGE_TRACE_TARGET, id, attempt, ?outcome, ?latency, may_have_run, "attempt ended");
 }
 
-/// It ends without having been delivered.
+/// The message ended without delivery, and its notice will be sent.
 pub(crate) fn notice_pending(id: &str, verdict: Verdict) {
-    debug!(target: MESSAGE_TRACE_TARGET, id, ?verdict, "its end is to be told");
+    debug!(target: MESSAGE_TRACE_TARGET, id, ?verdict, "notice pending");
 }
 
-/// The platform has answered its notice.
+/// The platform acknowledged the message's notice.
 pub(crate) fn notice_acknowledged(id: &str) {
-    debug!(target: MESSAGE_TRACE_TARGET, id, "its notice was answered");
+    debug!(target: MESSAGE_TRACE_TARGET, id, "notice acknowledged");
 }
 
-/// Nothing more is owed for it.
+/// Nothing is left to do for the message.
 pub(crate) fn completed(id: &str) {
-    debug!(target: MESSAGE_TRACE_TARGET, id, "it is over");
+    debug!(target: MESSAGE_TRACE_TARGET, id, "message completed");
 }
--- a/crates/gullcart-engine/src/metrics.rs
+++ b/crates/gullcart-engine/src/metrics.rs
@@ -1,78 +1,81 @@
-//! What became of messages, counted once each, since this process began.
+//! Counters of messages and calls since the process started.
 
-/// How messages of a class ended.
+/// How the messages of one class ended, each counted once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounts {
     /// Delivered.
     pub served: u64,
-    /// Refused when they were handed in.
+    /// Rejected with [`crate::Answer::Busy`] when they were enqueued.
     pub rejected: u64,
-    /// Taken, and handed back.
+    /// Accepted, and returned to the client unsent.
     pub returned: u64,
-    /// Taken, and given up.
+    /// Accepted, and reported as failed.
     pub failed: u64,
-    /// Answered with an error when they were handed in.
+    /// Answered with [`crate::Answer::Error`] when they were enqueued.
     pub invalid: u64,
 }
 
-/// Counts since this process began.
+/// Counters since the process started.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MessageCounts {
-    /// By class, in the order of the settings; one more for messages of classes that these do not hold any more.
+    /// One entry for each class, in the order of the settings, and a last one for messages of classes that are no longer in
+    /// the settings.
     pub classes: Vec<ClassCounts>,
-    /// Messages taken by this process.
+    /// Messages that this process accepted.
     pub accepted: u64,
-    /// Messages that were held when it began.
+    /// Messages without a verdict that this process found in the journal or took over from the process before.
     pub recovered: u64,
-    /// Messages taken that nobody wants any more: withdrawn, or never heard to be taken.
+    /// Accepted messages that were dropped because no client waits for them: they were cancelled, or the client never got the
+    /// answer that they were accepted.
     pub abandoned: u64,
-    /// Calls begun.
+    /// Calls that were started.
     pub calls_started: u64,
-    /// Calls of which the last byte was written.
+    /// Calls whose last byte was written.
     pub calls_written: u64,
 }
 
 impl MessageCounts {
-    /// Nothing yet, for so many classes.
+    /// Counters at zero for this number of classes.
     pub fn new(classes: usize) -> Self {
         MessageCounts { classes: vec![ClassCounts::default(); classes + 1], ..MessageCounts::default() }
     }
 
-    /// The ends of a class, or of those that are not known.
+    /// The counters of a class by its index; the last ones for an unknown class.
     pub fn class_mut(&mut self, class: Option<usize>) -> &mut ClassCounts {
         let last = self.classes.len() - 1;
         &mut self.classes[class.map_or(last, |class| class.min(last))]
     }
 
-    /// All classes together.
+    /// Sum over all classes.
     pub fn total(&self) -> ClassCounts {
-        self.classes.iter().fold(ClassCounts::default(), |sum, ends| ClassCounts {
-            served: sum.served + ends.served,
-            rejected: sum.rejected + ends.rejected,
-            returned: sum.returned + ends.returned,
-            failed: sum.failed + ends.failed,
-            invalid: sum.invalid + ends.invalid,
+        self.classes.iter().fold(ClassCounts::default(), |sum, class| ClassCounts {
+            served: sum.served + class.served,
+            rejected: sum.rejected + class.rejected,
+            returned: sum.returned + class.returned,
+            failed: sum.failed + class.failed,
+            invalid: sum.invalid + class.invalid,
         })
     }
 
-    /// Messages that must be held still, if each of them ended once.
+    /// Messages that have not ended, according to the counters. Equals the number of messages held without a verdict if each
+    /// message ended exactly once.
     pub fn unfinished(&self) -> u64 {
         let ClassCounts { served, returned, failed, .. } = self.total();
         (self.accepted + self.recovered).saturating_sub(served + returned + failed + self.abandoned)
     }
 }
 
-/// What an operator is told of a courier.
+/// The metrics that the console shows to an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineMetrics {
-    /// Each class by its name, and how its messages ended.
+    /// The name of each class and how its messages ended.
     pub classes: Vec<(String, ClassCounts)>,
-    /// Calls of which the last byte was written.
+    /// Calls whose last byte was written.
     pub attempts: u64,
-    /// Messages taken that have no end yet.
+    /// Accepted messages without a verdict.
     pub in_flight: usize,
     /// Endpoints in the list.
     pub endpoints_known: usize,
-    /// Those of them that are avoided now, by hand or by choice.
+    /// Listed endpoints that get no new work at the moment, because an operator suspended them or the courier avoids them.
     pub endpoints_excluded: usize,
 }
--- a/crates/gullcart-engine/src/rate_limited_log.rs
+++ b/crates/gullcart-engine/src/rate_limited_log.rs
@@ -1,25 +1,26 @@
-//! Bounds the rate of a log line.
+//! Limits the rate of a repeated log line.
 
 use cloverstile::Time;
 use std::time::Duration;
 
-const GAP: Duration = Duration::from_secs(5);
+/// Minimum time between two lines.
+const MIN_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Lets one of many like events through, and tells how many were held back since the last one.
+/// Lets one event per interval through to the log and counts those in between.
 #[derive(Debug, Default)]
 pub struct RateLimitedLog {
     last: Option<Time>,
-    held_back: u32,
+    suppressed: u32,
 }
 
 impl RateLimitedLog {
-    /// The number held back, if a line is due.
+    /// If a line may be logged now, returns how many were suppressed since the previous one.
     pub fn due(&mut self, now: Time) -> Option<u32> {
-        if self.last.is_some_and(|last| now < last + GAP) {
-            self.held_back += 1;
+        if self.last.is_some_and(|last| now < last + MIN_INTERVAL) {
+            self.suppressed += 1;
             return None;
         }
         self.last = Some(now);
-        Some(std::mem::take(&mut self.held_back))
+        Some(std::mem::take(&mut self.suppressed))
     }
 }
--- a/crates/gullcart-engine/src/trial_duties.rs
+++ b/crates/gullcart-engine/src/trial_duties.rs
@@ -1,95 +1,97 @@
-//! Which partners in an outage this courier tries for all, where couriers agree on that, and what it makes of what others
-//! learnt. Each destination that is held to be out is a duty: who holds it tries, tells all that want it what came of it, and
-//! passes it on where it gets nowhere. Without a holder, or without news of one, each courier tries for itself as ever.
+//! Shares the trials of destinations in an outage among the couriers of a group.
+//!
+//! Each destination in an outage is a duty, which the group assigns to at most one courier. The holder makes the trials,
+//! reports the outcome to all couriers that registered for the duty, and passes the duty on if its trials get nowhere. While
+//! no courier is known to hold a duty, or nothing is heard of the holder, each courier makes trials of its own.
 
 use cloverstile::{Courier, DestinationId, Event, News, Outing, Time, Trials};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Destinations that are wanted at a time; beyond them each courier tries for itself.
-const MOST: usize = 1024;
-/// A holder that gets nowhere for so many times the fall window passes the duty on: it may be its own way that fails.
-const HELD_FALLS: u32 = 2;
-/// Where nothing is wanted, outages are looked for so often.
-const LOOK: Duration = Duration::from_millis(5);
-/// Before the group is asked again for what it does not know to be wanted.
-const ASK_AGAIN: Duration = Duration::from_secs(1);
+/// Maximum duties a courier registers for. It makes its own trials of all other destinations.
+const MAX_DUTIES: usize = 1024;
+/// A holder without success passes the duty on after this many collapse windows: only its own network path may be broken.
+const MAX_HOLD_COLLAPSE_WINDOWS: u32 = 2;
+/// Interval between searches for outages while this courier is registered for no duty.
+const SEARCH_INTERVAL: Duration = Duration::from_millis(5);
+/// Interval between registrations for a duty that the group does not know about.
+const REGISTER_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Who holds a duty.
+/// Which courier holds a duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DutyHolder {
-    /// Nobody, as far as is known.
+    /// No courier, as far as is known.
     Nobody,
-    /// This courier, until then at the least.
+    /// This courier.
     ThisCourier {
-        /// Under which epoch.
+        /// Epoch in which it holds the duty.
         epoch: u64,
-        /// Until when it may act, if it hears no more.
+        /// Until when it may act without further news from the group.
         until: Time,
     },
-    /// Another one, which is believed until then.
+    /// Another courier.
     OtherCourier {
-        /// Until when.
+        /// Until when it counts as the holder without further news from the group.
         until: Time,
     },
 }
 
-/// What a holder told last.
+/// The latest report of a duty's holder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DutyReport {
-    /// Under which epoch.
+    /// Epoch in which the reporting courier held the duty.
     pub epoch: u64,
-    /// In its own words.
+    /// The report, which the group does not interpret.
     pub payload: Vec<u8>,
-    /// When that was agreed on, at the latest.
+    /// Latest moment at which the group may have agreed on the report.
     pub agreed_at: Time,
 }
 
-/// How a duty stands.
+/// State of a duty as the group last reported it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DutyView {
-    /// Who holds it.
+    /// Which courier holds it.
     pub holder: DutyHolder,
-    /// What was told of it.
+    /// What its holder reported last.
     pub report: Option<DutyReport>,
 }
 
-/// What is to be asked of the group.
+/// A request to the group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TrialRequest {
-    /// To try a destination for all.
+    /// Registers this courier for the duty of a destination: as a possible holder and for the holder's reports.
     Register(DestinationId),
-    /// No more: it serves, or nothing waits for it.
+    /// Ends the registration: the destination serves again, or no message waits for it.
     Unregister(DestinationId),
-    /// That another one tries it, and this one not for so long.
+    /// Assigns the duty to another courier, and does not assign it to this one for the given time.
     PassOn(DestinationId, Duration),
-    /// To tell all that want it something.
+    /// Sends a report to all couriers that are registered for the duty.
     Report(DestinationId, Vec<u8>),
 }
 
-/// What a holder learnt, as it is told.
+/// What a holder found out, as its report says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TrialOutcome {
-    /// It served a call so long ago.
+    /// The destination served a call this long before the report.
     Served(Duration),
-    /// It said to wait for so long.
+    /// The destination asked to retry after this time, counted from the report.
     RetryAfter(Duration),
 }
 
 impl TrialOutcome {
-    fn write(self) -> Vec<u8> {
+    fn encode(self) -> Vec<u8> {
         let (kind, span) = match self {
             TrialOutcome::Served(ago) => (b's', ago),
             TrialOutcome::RetryAfter(left) => (b'w', left),
         };
-        let mut words = vec![kind];
-        words.extend((span.as_millis().min(u128::from(u64::MAX)) as u64).to_le_bytes());
-        words
+        let mut payload = vec![kind];
+        payload.extend((span.as_millis().min(u128::from(u64::MAX)) as u64).to_le_bytes());
+        payload
     }
 
-    /// Words of another release may mean nothing here.
-    fn read(words: &[u8]) -> Option<Self> {
-        let (kind, rest) = words.split_first()?;
+    /// Decodes a report; `None` if another release wrote it in a format that this one does not know.
+    fn decode(payload: &[u8]) -> Option<Self> {
+        let (kind, rest) = payload.split_first()?;
         let span = Duration::from_millis(u64::from_le_bytes(rest.try_into().ok()?));
         match kind {
             b's' => Some(TrialOutcome::Served(span)),
@@ -98,162 +100,177 @@
         }
     }
 
-    /// As news here. It is never taken for earlier than it was: a return is rather slow, and a wait rather long.
-    fn news(self, at: Time) -> News {
+    /// Converts the outcome to local time. `agreed_at` is an upper bound, so the slow start begins rather too late and the
+    /// retry-after time ends rather too late, which is the safe side for both.
+    fn to_news(self, agreed_at: Time) -> News {
         match self {
-            TrialOutcome::Served(ago) => News::Served(at - ago),
-            TrialOutcome::RetryAfter(left) => News::Wait(at + left),
+            TrialOutcome::Served(ago) => News::Served(agreed_at - ago),
+            TrialOutcome::RetryAfter(left) => News::Wait(agreed_at + left),
         }
     }
 }
 
+/// A duty that this courier is registered for.
 #[derive(Debug, Default)]
 struct TrackedDuty {
-    /// Under which epoch this courier holds it, and since when.
+    /// The epoch in which this courier holds or last held the duty, and since when.
     held: Option<(u64, Time)>,
-    /// When the group was asked for it last.
-    asked: Time,
-    /// What it told under that epoch, and when.
-    told: Option<(Vec<u8>, Time)>,
-    /// What was heard of others last.
-    heard: Option<(u64, Vec<u8>)>,
+    /// When this courier last registered with the group.
+    registered_at: Time,
+    /// What this courier reported in that epoch, and when.
+    own_report: Option<(Vec<u8>, Time)>,
+    /// Epoch and payload of the last report of another courier.
+    last_report: Option<(u64, Vec<u8>)>,
 }
 
-/// The duties of one courier.
+/// The duties that one courier is registered for.
 #[derive(Debug)]
 pub struct TrialDuties {
-    wanted: BTreeMap<DestinationId, TrackedDuty>,
+    duties: BTreeMap<DestinationId, TrackedDuty>,
     rng: fastrand::Rng,
-    fall: Duration,
-    looked: Option<Time>,
+    collapse_window: Duration,
+    last_search: Option<Time>,
 }
 
 impl TrialDuties {
-    /// None yet. `fall` is the window of the rule on returning destinations.
-    pub fn new(fall: Duration, seed: u64) -> Self {
-        TrialDuties { wanted: BTreeMap::new(), rng: fastrand::Rng::with_seed(seed), fall, looked: None }
+    /// No duties. `collapse_window` is the window of the rule against overload collapse, `seed` is for random rest times.
+    pub fn new(collapse_window: Duration, seed: u64) -> Self {
+        TrialDuties {
+            duties: BTreeMap::new(),
+            rng: fastrand::Rng::with_seed(seed),
+            collapse_window,
+            last_search: None,
+        }
     }
 
-    /// Looks at outages and duties. What the decisions are to hear, and what is to be asked of the group. `asked` are the
-    /// duties that the group has been asked for, also by a process before this one.
+    /// Compares outages and duties. Returns the events for the courier and the requests to the group. `registered` are the
+    /// duties that the group has this courier registered for, also by an earlier process; `view` is their state.
     pub fn update(
         &mut self,
         now: Time,
         courier: &Courier,
-        asked: impl IntoIterator<Item = DestinationId>,
+        registered: impl IntoIterator<Item = DestinationId>,
         view: impl Fn(DestinationId) -> Option<DutyView>,
     ) -> (Vec<Event>, Vec<TrialRequest>) {
-        let (mut events, mut wishes) = (Vec::new(), Vec::new());
-        if self.wanted.is_empty() && self.looked.is_some_and(|at| now < at + LOOK) {
-            return (events, wishes);
+        let (mut events, mut requests) = (Vec::new(), Vec::new());
+        if self.duties.is_empty() && self.last_search.is_some_and(|at| now < at + SEARCH_INTERVAL) {
+            return (events, requests);
         }
-        self.looked = Some(now);
-        for to in courier.outings() {
-            let is_new = !self.wanted.contains_key(&to) && self.wanted.len() < MOST;
-            if is_new && courier.outing(to).is_some_and(|outing| outing.waiting) {
-                self.wanted.insert(to, TrackedDuty { asked: now, ..TrackedDuty::default() });
-                wishes.push(TrialRequest::Register(to));
+        self.last_search = Some(now);
+        for destination in courier.outings() {
+            let is_new = !self.duties.contains_key(&destination) && self.duties.len() < MAX_DUTIES;
+            if is_new && courier.outing(destination).is_some_and(|outing| outing.waiting) {
+                self.duties.insert(destination, TrackedDuty { registered_at: now, ..TrackedDuty::default() });
+                requests.push(TrialRequest::Register(destination));
             }
         }
-        for to in asked {
-            // A process before this one asked for it, and it has served since.
-            if !self.wanted.contains_key(&to) {
-                wishes.push(TrialRequest::Unregister(to));
+        for destination in registered {
+            // An earlier process registered for it, and the outage ended since.
+            if !self.duties.contains_key(&destination) {
+                requests.push(TrialRequest::Unregister(destination));
             }
         }
-        let mut over = Vec::new();
-        for (to, wanted) in &mut self.wanted {
-            let outing = courier.outing(*to);
-            let view = view(*to);
-            if view.is_none() && now - wanted.asked > ASK_AGAIN {
-                // The group was not there to be asked, or began anew since.
-                wanted.asked = now;
-                wishes.push(TrialRequest::Register(*to));
+        let mut finished = Vec::new();
+        for (destination, duty) in &mut self.duties {
+            let outing = courier.outing(*destination);
+            let view = view(*destination);
+            if view.is_none() && now - duty.registered_at > REGISTER_RETRY_INTERVAL {
+                // The group could not be reached at the time, or lost its state since.
+                duty.registered_at = now;
+                requests.push(TrialRequest::Register(*destination));
             }
             let view = view.unwrap_or(DutyView { holder: DutyHolder::Nobody, report: None });
-            let chance = self.rng.f64();
-            let (stays, trials) = match outing {
+            let random = self.rng.f64();
+            let (is_needed, trials) = match outing {
                 Some(outing) => {
-                    events.extend(wanted.hear(*to, &view));
-                    wanted.stand(now, *to, outing, &view, self.fall * HELD_FALLS, chance, &mut wishes)
+                    events.extend(duty.learn(*destination, &view));
+                    let max_hold = self.collapse_window * MAX_HOLD_COLLAPSE_WINDOWS;
+                    duty.update(now, *destination, outing, &view, max_hold, random, &mut requests)
                 }
                 None => (false, Trials::Own),
             };
-            events.push(Event::Trials(*to, trials));
-            if !stays {
-                wishes.push(TrialRequest::Unregister(*to));
-                over.push(*to);
+            events.push(Event::Trials(*destination, trials));
+            if !is_needed {
+                requests.push(TrialRequest::Unregister(*destination));
+                finished.push(*destination);
             }
         }
-        over.iter().for_each(|to| drop(self.wanted.remove(to)));
-        (events, wishes)
+        finished.iter().for_each(|destination| drop(self.duties.remove(destination)));
+        (events, requests)
     }
 }
 
 impl TrackedDuty {
-    /// What others told since it was looked at last.
-    fn hear(&mut self, to: DestinationId, view: &DutyView) -> Option<Event> {
-        let DutyReport { epoch, payload: words, agreed_at: at } = view.report.as_ref()?;
+    /// The event for a report of another courier that was not seen before.
+    fn learn(&mut self, destination: DestinationId, view: &DutyView) -> Option<Event> {
+        let DutyReport { epoch, payload, agreed_at } = view.report.as_ref()?;
         let is_own = self.held.is_some_and(|(held, _)| held == *epoch);
-        let is_old = self.heard.as_ref().is_some_and(|(known, said)| (*known, said) >= (*epoch, words));
+        let is_old = self
+            .last_report
+            .as_ref()
+            .is_some_and(|(last_epoch, last_payload)| (*last_epoch, last_payload) >= (*epoch, payload));
         if is_own || is_old {
             return None;
         }
-        self.heard = Some((*epoch, words.clone()));
-        let news = TrialOutcome::read(words)?.news(*at);
-        Some(Event::Learnt(to, news))
+        self.last_report = Some((*epoch, payload.clone()));
+        let news = TrialOutcome::decode(payload)?.to_news(*agreed_at);
+        Some(Event::Learnt(destination, news))
     }
 
-    /// Whether it is wanted on, and who tries until this is looked at again.
+    /// Whether the registration is still needed, and which courier makes the trials until the next update. `max_hold` is the
+    /// longest time to hold the duty without success, `random` is between 0 and 1.
     #[allow(clippy::too_many_arguments)]
-    fn stand(
+    fn update(
         &mut self,
         now: Time,
-        to: DestinationId,
+        destination: DestinationId,
         outing: Outing,
         view: &DutyView,
-        longest: Duration,
-        chance: f64,
-        wishes: &mut Vec<TrialRequest>,
+        max_hold: Duration,
+        random: f64,
+        requests: &mut Vec<TrialRequest>,
     ) -> (bool, Trials) {
-        let is_out = outing.since.is_some();
+        let has_outage = outing.since.is_some();
         let (epoch, until) = match view.holder {
-            DutyHolder::Nobody => return (is_out, Trials::Own),
-            DutyHolder::OtherCourier { until } => return (is_out, Trials::Elsewhere(until)),
+            DutyHolder::Nobody => return (has_outage, Trials::Own),
+            DutyHolder::OtherCourier { until } => return (has_outage, Trials::Elsewhere(until)),
             DutyHolder::ThisCourier { epoch, until } => (epoch, until),
         };
         if self.held.is_none_or(|(held, _)| held != epoch) {
-            (self.held, self.told) = (Some((epoch, now)), None);
+            self.held = Some((epoch, now));
+            self.own_report = None;
         }
         let since = self.held.map_or(now, |(_, since)| since);
-        if is_out {
-            // What was told of the outage before is over.
-            self.told = None;
-            let gets_nowhere = now - since > longest;
+        if has_outage {
+            // A report made in this epoch concerned an earlier outage.
+            self.own_report = None;
+            let gets_nowhere = now - since > max_hold;
             if !outing.waiting || gets_nowhere {
-                wishes.push(TrialRequest::PassOn(to, longest.mul_f64(1.0 + chance)));
+                requests.push(TrialRequest::PassOn(destination, max_hold.mul_f64(1.0 + random)));
                 return (true, Trials::Own);
             }
             return (true, Trials::Held(until));
         }
-        // It serves, or said when it will. Those that wait for it hear of that before it is given up.
-        if self.told.is_none() {
-            let lesson = if outing.told_wait > now {
+        // The destination serves again or gave a retry-after time. The other couriers are told before the duty ends.
+        if self.own_report.is_none() {
+            let outcome = if outing.told_wait > now {
                 TrialOutcome::RetryAfter(outing.told_wait - now)
             } else if outing.last_answer >= since {
                 TrialOutcome::Served(now - outing.last_answer)
             } else {
                 return (false, Trials::Own);
             };
-            let words = lesson.write();
-            wishes.push(TrialRequest::Report(to, words.clone()));
-            self.told = Some((words, now));
+            let payload = outcome.encode();
+            requests.push(TrialRequest::Report(destination, payload.clone()));
+            self.own_report = Some((payload, now));
         }
-        // Words that get lost on their way are not waited for without end: others find out for themselves.
-        let is_done = self.told.as_ref().is_some_and(|(words, at)| {
-            let is_heard =
-                view.report.as_ref().is_some_and(|told| told.epoch == epoch && told.payload == *words);
-            is_heard || now - *at > longest
+        // A report that gets lost must not keep the duty forever: the other couriers will find out by their own trials.
+        let is_done = self.own_report.as_ref().is_some_and(|(payload, reported_at)| {
+            let is_agreed = view
+                .report
+                .as_ref()
+                .is_some_and(|report| report.epoch == epoch && report.payload == *payload);
+            is_agreed || now - *reported_at > max_hold
         });
         (!is_done, Trials::Held(until))
     }
--- a/crates/gullcart-engine/src/trial_duties/tests.rs
+++ b/crates/gullcart-engine/src/trial_duties/tests.rs
@@ -120,7 +120,7 @@
     let (_, wishes) = scene.pass(Duration::from_secs(2), Outcome::Ok);
     let [TrialRequest::Report(TO, words)] = &wishes[..] else { panic!("{wishes:?}") };
     assert!(
-        matches!(TrialOutcome::read(words), Some(TrialOutcome::Served(ago)) if ago < Duration::from_millis(20))
+        matches!(TrialOutcome::decode(words), Some(TrialOutcome::Served(ago)) if ago < Duration::from_millis(20))
     );
     let told = DutyReport { epoch: 4, payload: words.clone(), agreed_at: scene.now };
     scene.view = scene.view.take().map(|view| DutyView { report: Some(told), ..view });
@@ -130,7 +130,7 @@
 #[test]
 fn what_another_one_learnt_ends_the_outage_here_but_not_a_later_one() {
     let served = |epoch, at| {
-        Some(DutyReport { epoch, payload: TrialOutcome::Served(Duration::ZERO).write(), agreed_at: at })
+        Some(DutyReport { epoch, payload: TrialOutcome::Served(Duration::ZERO).encode(), agreed_at: at })
     };
     for (ahead, ends) in [(true, true), (false, false)] {
         let mut scene = Scene::new();
@@ -146,7 +146,7 @@
     // A wait that another one was told binds here, too.
     let mut scene = Scene::new();
     scene.fails(3000);
-    let words = TrialOutcome::RetryAfter(Duration::from_secs(5)).write();
+    let words = TrialOutcome::RetryAfter(Duration::from_secs(5)).encode();
     let told = Some(DutyReport { epoch: 9, payload: words, agreed_at: scene.now });
     scene.view = Some(DutyView { holder: DutyHolder::Nobody, report: told });
     scene.fails(10);
@@ -168,6 +168,6 @@
 #[test]
 fn words_of_another_release_mean_nothing() {
     for words in [&b""[..], b"s", b"x12345678", b"s123456789"] {
-        assert_eq!(TrialOutcome::read(words), None);
+        assert_eq!(TrialOutcome::decode(words), None);
     }
 }
--- a/crates/gullcart-engine/src/types.rs
+++ b/crates/gullcart-engine/src/types.rs
@@ -1,4 +1,4 @@
-//! What the engine is told, and what it wants done.
+//! Inputs and effects of the engine, and the types that they carry.
 
 use bytes::Bytes;
 use cloverstile::{Allowance, EndpointId, MessageId, Outcome, Time};
@@ -6,156 +6,177 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A message that a client hands in.
+/// A message that a client enqueues.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Enqueue {
+    /// The client's id of the message, unique among the messages that are held.
     pub id: String,
+    /// The order key; zero in classes without order.
     pub order_key: u64,
+    /// Name of the message's class.
     pub class: String,
+    /// Number of the destination.
     pub destination: u32,
-    /// How long it may still be delivered.
+    /// Time left until the message's deadline.
     pub time_left: Duration,
+    /// The idempotency key that every attempt carries.
     pub idempotency_key: Option<String>,
+    /// The message was held by a courier that died, so that an earlier attempt may have run.
     pub from_dead_courier: bool,
+    /// The content.
     pub body: Bytes,
 }
 
 impl Enqueue {
-    /// Whether a message that is held is this one. What is left of its time differs from try to try.
+    /// Whether this is the same message as one that is held. The time left is not compared: it differs between requests.
     pub fn is_same(&self, held: &Taken) -> bool {
         (self.order_key, &self.class, self.destination) == (held.key, &held.class, held.destination)
             && (&self.idempotency_key, &self.body) == (&held.idempotency_key, &held.body)
     }
 }
 
-/// A hand-in that waits for its answer, by a number of the caller's.
+/// The caller's number of a request that waits for an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket(pub u64);
 
-/// What the client is told.
+/// The answer to an [`Enqueue`] request. The message trace prints the variants by name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// Taken on by this hand-in, which alone may withdraw it.
+    /// The message was accepted by this request. If the client does not get this answer ([`Input::AnswerUnacknowledged`]),
+    /// the message is dropped, unless another request for it was answered with [`Answer::Held`].
     Taken(MessageId),
-    /// The same message is held already.
+    /// The same message is already held.
     Held,
-    /// Refused: handing it in again does no harm, after some time.
+    /// The message is rejected and may be enqueued again, after this time if one is given.
     Busy(Option<Duration>),
-    /// It cannot be taken.
+    /// The request is invalid, for this reason.
     Error(&'static str),
 }
 
-/// What an operator wants done.
+/// An operator's command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorCommand {
-    /// Nothing new is to go to this endpoint.
+    /// Sends no new work to the endpoint with this uid.
     Suspend(String),
-    /// This endpoint may serve again.
+    /// Lifts the suspension of the endpoint with this uid.
     Restore(String),
 }
 
-/// Why an order was not carried out; nothing has changed then.
+/// Why an operator's command was rejected. A rejected command changes nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandError {
-    /// No endpoint of that id was ever listed, as far as is known.
+    /// No endpoint with this uid is known to have been listed.
     UnknownEndpoint,
-    /// It cannot be written down, so that it would not last.
+    /// The journal could not record the command, so it would be lost at a restart.
     NotRecorded,
 }
 
-/// The end of a message that was not delivered, on its way to the platform.
+/// Tells the platform about the end of a message that was not delivered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Notice {
+    /// The message.
     pub message: MessageId,
+    /// The client's id of the message.
     pub id: String,
+    /// How the message ended.
     pub verdict: Verdict,
 }
 
 /// How a call ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallResult {
+    /// The result of the attempt.
     pub outcome: Outcome,
+    /// Time from the start of the call until its end.
     pub latency: Duration,
-    /// The message is over.
+    /// The message needs no further attempt.
     pub is_final: bool,
+    /// The rate limit that the endpoint reported with its answer.
     pub allowance: Option<Allowance>,
 }
 
-/// What happens.
+/// An event that the engine handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// A client hands a message in, and waits.
+    /// A client enqueues a message and waits for the answer.
     Enqueue(Ticket, Enqueue),
-    /// A client was gone before it could be told that its message was taken on, by its own hand-in.
+    /// The [`Answer::Taken`] for this message could not be delivered to its client.
     AnswerUnacknowledged(MessageId),
-    /// News of the list.
+    /// Discovery sent the list of endpoints or a change of it.
     ListUpdate(Update),
-    /// A change of the list that was kept back.
+    /// A change of the list that [`Effect::DelayListUpdate`] delayed.
     #[cfg(feature = "broken")]
     DelayedListUpdate(Update),
-    /// An operator wants something, and waits.
+    /// An operator sends a command and waits for the result.
     Command(Ticket, OperatorCommand),
-    /// The last byte of a call has been written.
+    /// The last byte of a call was written.
     CallWritten(MessageId),
-    /// A call has ended.
+    /// A call ended.
     CallEnded(MessageId, EndpointId, CallResult),
-    /// The platform has these notices.
+    /// The platform acknowledged the notices of these messages.
     NoticesAcknowledged(Vec<MessageId>),
-    /// The process is to end soon.
+    /// The process was asked to shut down.
     Terminate,
 }
 
-/// A call that is to be made.
+/// A call to start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
+    /// The message to deliver.
     pub message: MessageId,
+    /// The endpoint to call.
     pub endpoint: EndpointId,
+    /// The endpoint's address.
     pub address: SocketAddr,
+    /// The client's id of the message.
     pub id: String,
+    /// The idempotency key to send.
     pub idempotency_key: Option<String>,
+    /// The content.
     pub body: Bytes,
+    /// Timeout of the attempt.
     pub try_for: Duration,
-    /// After this nothing of it may be sent; none where only `try_for` bounds it.
+    /// No byte of the call may be sent after this moment; without it only `try_for` limits the call.
     pub send_by: Option<Time>,
-    /// An earlier attempt may have run: what becomes of this one is to be read from a connection of its own.
+    /// An earlier attempt may have run. The call must use a new connection, so that its answer is unambiguous.
     pub may_have_run: bool,
 }
 
 /// Why a call is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
-    /// The module has called it off.
+    /// The attempt was cancelled.
     Cancelled,
-    /// It must not be sent any more: it is stopped only if no byte of it has been.
+    /// The endpoint may get no new work, or asked to retry later. The call is stopped only if no byte of it was sent.
     Withdrawn,
 }
 
-/// What is to be done, in this order, once a turn is over.
+/// An action for the caller. Effects are carried out in order after the turn that returned them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// A client has its answer.
+    /// Answer a client.
     Answer(Ticket, Answer),
-    /// An operator has an answer.
+    /// Answer an operator's command.
     CommandResult(Ticket, Result<(), CommandError>),
-    /// A call is to be made; its end is told by [`Input::CallEnded`], whatever becomes of it.
+    /// Start a call. Every started call has to end with an [`Input::CallEnded`].
     StartCall(Call),
-    /// A call is to be stopped. It ends all the same.
+    /// Stop the call for a message. The call still ends with an [`Input::CallEnded`].
     StopCall(MessageId, StopReason),
-    /// The platform is to be told, until it answers; then that is told by [`Input::NoticesAcknowledged`].
+    /// Send a notice to the platform until it is acknowledged with [`Input::NoticesAcknowledged`].
     SendNotice(Notice),
-    /// Idle connections to an endpoint are to be closed.
+    /// Close the idle connections to an endpoint.
     CloseIdle(EndpointId),
-    /// The list has changed: idle connections to endpoints that take nothing new are to be closed.
+    /// Close the idle connections to all endpoints that may get no new work; the list of endpoints has changed.
     CloseIdleUnavailable,
-    /// Clients are to be told that this courier ends.
+    /// Tell clients that this courier shuts down.
     AnnounceShutdown,
-    /// What the list says is to be heard so much later.
+    /// Hand in this list update as [`Input::DelayedListUpdate`] after the delay.
     #[cfg(feature = "broken")]
     DelayListUpdate(Update, Duration),
-    /// The platform is to be told no sooner than that.
+    /// Send this notice not before the given moment.
     #[cfg(feature = "broken")]
     DelayNotice(Notice, cloverstile::Time),
-    /// A call is to be made that nobody knows of.
+    /// Start a call whose end is not reported to the engine.
     #[cfg(feature = "broken")]
     StartUntrackedCall(Call),
 }
