--- a/crates/gullcart-engine/tests/carried.rs
+++ b/crates/gullcart-engine/tests/carried.rs
@@ -1,4 +1,4 @@
-//! What goes on in another process, and what is done where it cannot.
+//! Resuming the engine in another process, and starting from the journal if that fails.
 
 mod common;
 
@@ -10,15 +10,15 @@
 use gullcart_message::Verdict;
 use std::time::Duration;
 
-fn calls(effects: &[Effect]) -> Vec<Call> {
-    let begun = |effect: &Effect| match effect {
+fn started_calls(effects: &[Effect]) -> Vec<Call> {
+    let started_call = |effect: &Effect| match effect {
         Effect::StartCall(call) => Some(call.clone()),
         _ => None,
     };
-    effects.iter().filter_map(begun).collect()
+    effects.iter().filter_map(started_call).collect()
 }
 
-fn ended(outcome: Outcome) -> CallResult {
+fn call_result(outcome: Outcome) -> CallResult {
     CallResult {
         outcome,
         latency: Duration::from_millis(40),
@@ -27,25 +27,25 @@
     }
 }
 
-/// A courier with a salary out to destination 1, stopped for a process after it.
-fn stopped(disk: &Disk) -> (Call, Vec<u8>) {
+/// The call and the snapshot of an engine that was frozen with a call to destination 1 in flight.
+fn frozen(disk: &Disk) -> (Call, Vec<u8>) {
     let mut engine = engine(disk, Crash::Process, EPOCH);
     engine.handle(EPOCH, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
-    let call = calls(&engine.turn(EPOCH).unwrap()).remove(0);
-    let (effects, block) = engine.freeze(EPOCH).unwrap();
+    let call = started_calls(&engine.turn(EPOCH).unwrap()).remove(0);
+    let (effects, snapshot) = engine.freeze(EPOCH).unwrap();
     assert!(effects.is_empty());
-    (call, block.unwrap())
+    (call, snapshot.unwrap())
 }
 
 #[test]
-fn a_call_that_is_out_ends_in_the_process_after() {
+fn a_call_in_flight_ends_in_the_next_process() {
     let disk = Disk::new(DISK, Crash::Process, 1);
-    let (call, block) = stopped(&disk);
-    let (mut engine, resumed) = Engine::resume(config(EPOCH), journal(&disk, Crash::Process), &block);
+    let (call, snapshot) = frozen(&disk);
+    let (mut engine, resumed) = Engine::resume(config(EPOCH), journal(&disk, Crash::Process), &snapshot);
     assert_eq!(resumed, Ok(()));
     assert_eq!(engine.in_flight_call(call.message, call.try_for), Some(call.clone()));
-    assert!(calls(&engine.turn(EPOCH).unwrap()).is_empty());
-    engine.handle(EPOCH, Input::CallEnded(call.message, call.endpoint, ended(Outcome::Ok)));
+    assert!(started_calls(&engine.turn(EPOCH).unwrap()).is_empty());
+    engine.handle(EPOCH, Input::CallEnded(call.message, call.endpoint, call_result(Outcome::Ok)));
     engine.turn(EPOCH).unwrap();
     assert_eq!(engine.load(), (0, 0));
     assert_eq!(engine.counts().total().served, 1);
@@ -53,34 +53,35 @@
 }
 
 #[test]
-fn a_told_wait_holds_in_the_process_after() {
+fn a_retry_after_time_binds_the_next_process() {
     let disk = Disk::new(DISK, Crash::Process, 1);
     let mut before = engine(&disk, Crash::Process, EPOCH);
     before.handle(EPOCH, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
-    let call = calls(&before.turn(EPOCH).unwrap()).remove(0);
-    let wait = Outcome::Full(Some(Duration::from_secs(2)));
-    before.handle(EPOCH, Input::CallEnded(call.message, call.endpoint, ended(wait)));
-    let block = before.freeze(EPOCH).unwrap().1.unwrap();
-    let (mut engine, resumed) = Engine::resume(config(EPOCH), journal(&disk, Crash::Process), &block);
+    let call = started_calls(&before.turn(EPOCH).unwrap()).remove(0);
+    let retry_after = Outcome::Full(Some(Duration::from_secs(2)));
+    before.handle(EPOCH, Input::CallEnded(call.message, call.endpoint, call_result(retry_after)));
+    let snapshot = before.freeze(EPOCH).unwrap().1.unwrap();
+    let (mut engine, resumed) = Engine::resume(config(EPOCH), journal(&disk, Crash::Process), &snapshot);
     assert_eq!(resumed, Ok(()));
-    let mut first = None;
+    let mut first_call_at = None;
     for step in 0..100 {
         let now = EPOCH + Duration::from_millis(50 * step);
-        if !calls(&engine.turn(now).unwrap()).is_empty() {
-            first = Some(now);
+        if !started_calls(&engine.turn(now).unwrap()).is_empty() {
+            first_call_at = Some(now);
             break;
         }
     }
-    assert!(first.is_some_and(|at| at >= EPOCH + Duration::from_secs(2)), "{first:?}");
+    assert!(first_call_at.is_some_and(|at| at >= EPOCH + Duration::from_secs(2)), "{first_call_at:?}");
 }
 
-/// Without the books the journal is enough: as after a crash, what was out may have run.
-fn from_the_journal(settings: EngineConfig, damage: impl Fn(&mut Vec<u8>), why: ResumeError) {
+/// Checks that an engine whose snapshot cannot be used starts from the journal, where a call that was in flight may have run,
+/// as after a crash.
+fn check_start_from_the_journal(settings: EngineConfig, damage: impl Fn(&mut Vec<u8>), error: ResumeError) {
     let disk = Disk::new(DISK, Crash::Process, 1);
-    let (call, mut block) = stopped(&disk);
-    damage(&mut block);
-    let (mut engine, resumed) = Engine::resume(settings, journal(&disk, Crash::Process), &block);
-    assert_eq!(resumed, Err(why));
+    let (call, mut snapshot) = frozen(&disk);
+    damage(&mut snapshot);
+    let (mut engine, resumed) = Engine::resume(settings, journal(&disk, Crash::Process), &snapshot);
+    assert_eq!(resumed, Err(error));
     assert_eq!(engine.in_flight_call(call.message, call.try_for), None);
     let effects = engine.turn(EPOCH).unwrap();
     let failed =
@@ -89,31 +90,39 @@
 }
 
 #[test]
-fn books_that_cannot_be_read_are_left_and_the_journal_is_enough() {
-    from_the_journal(config(EPOCH), |block| block.truncate(block.len() - 1), ResumeError::Corrupt);
-    from_the_journal(config(EPOCH), |block| block.push(0), ResumeError::Corrupt);
-    from_the_journal(config(EPOCH), |block| block[0] = 99, ResumeError::UnsupportedFormat(99));
-    let other = EngineConfig { settings_checksum: 2, ..config(EPOCH) };
-    from_the_journal(other, |_| {}, ResumeError::SettingsMismatch);
+fn an_unusable_snapshot_is_ignored_and_the_journal_suffices() {
+    check_start_from_the_journal(
+        config(EPOCH),
+        |snapshot| snapshot.truncate(snapshot.len() - 1),
+        ResumeError::Corrupt,
+    );
+    check_start_from_the_journal(config(EPOCH), |snapshot| snapshot.push(0), ResumeError::Corrupt);
+    check_start_from_the_journal(
+        config(EPOCH),
+        |snapshot| snapshot[0] = 99,
+        ResumeError::UnsupportedFormat(99),
+    );
+    let other_settings = EngineConfig { settings_checksum: 2, ..config(EPOCH) };
+    check_start_from_the_journal(other_settings, |_| {}, ResumeError::SettingsMismatch);
 }
 
-/// What the journal holds and the books do not was taken by somebody else meanwhile.
+/// Another process accepted a message after the snapshot was taken.
 #[test]
-fn books_that_do_not_fit_the_journal_are_left() {
+fn a_snapshot_that_does_not_match_the_journal_is_ignored() {
     let disk = Disk::new(DISK, Crash::Process, 1);
-    let (_, block) = stopped(&disk);
+    let (_, snapshot) = frozen(&disk);
     let later = EPOCH + Duration::from_millis(5);
     let mut between = engine(&disk, Crash::Process, later);
     between.handle(later, Input::Enqueue(Ticket(2), enqueue(2, "salary", 2)));
     between.turn(later).unwrap();
     drop(between);
-    let (_, resumed) = Engine::resume(config(Time(later.0)), journal(&disk, Crash::Process), &block);
+    let (_, resumed) = Engine::resume(config(Time(later.0)), journal(&disk, Crash::Process), &snapshot);
     assert_eq!(resumed, Err(ResumeError::JournalMismatch));
 }
 
-/// The books grow with what is held, and by little for each message: the bodies stay in the journal.
+/// The snapshot grows little with each message, as the content stays in the journal.
 #[test]
-fn the_books_hold_little_for_each_message() {
+fn the_snapshot_is_small_for_each_message() {
     let size = |messages: u64| {
         let disk = Disk::new(64 << 20, Crash::Process, 1);
         let mut settings = config(EPOCH);
--- a/crates/gullcart-engine/tests/common/mod.rs
+++ b/crates/gullcart-engine/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! An engine on a simulated folder, with destinations 0 to 3 of two endpoints each.
+//! An engine on a simulated folder, with the destinations 0 to 3, which have two endpoints each.
 #![allow(dead_code)]
 
 use bytes::Bytes;
@@ -10,9 +10,12 @@
 use serde_json::json;
 use std::time::Duration;
 
+/// Size of the simulated folder in bytes.
 pub const DISK: u64 = 256 << 10;
+/// Unix time of `EPOCH` in milliseconds.
 pub const START_MS: u64 = 1_790_000_000_000;
 
+/// The list's entry of endpoint `s-<number>`, which listens on port 1000 + `number`.
 pub fn target(number: u32, state: &str) -> Target {
     Target {
         uid: format!("s-{number}"),
@@ -25,6 +28,7 @@
     }
 }
 
+/// The journal's options that make its records survive this kind of crash.
 pub fn options(crash: Crash) -> Options {
     let durability = match crash {
         Crash::Process => Durability::Process,
@@ -33,18 +37,22 @@
     Options { durability, segment: None }
 }
 
+/// Replays the journal on `disk`.
 pub fn journal(disk: &Disk, crash: Crash) -> Journal<Disk> {
     Journal::replay(disk.clone(), DISK, options(crash), 7).unwrap()
 }
 
+/// An engine with what the journal on `disk` holds.
 pub fn engine(disk: &Disk, crash: Crash, now: Time) -> Engine<Disk> {
     Engine::new(config(now), journal(disk, crash))
 }
 
+/// Settings with the ordered class `notice`, whose messages have an idempotency key, and the unordered class `salary`, whose
+/// messages must not be sent twice.
 pub fn config(now: Time) -> EngineConfig {
-    let class = |name: &str, effect: &str, order: bool| {
+    let class = |name: &str, effect: &str, is_ordered: bool| {
         json!({
-            "Name": name, "Effect": effect, "Group": "all", "RepeatWindow": 10_000_000_000_u64, "OneAtATime": order,
+            "Name": name, "Effect": effect, "Group": "all", "RepeatWindow": 10_000_000_000_u64, "OneAtATime": is_ordered,
             "Worth": 1.0, "LateShare": 0.5, "Aim": 3_000_000_000_u64, "Deadline": 24_000_000_000_u64,
         })
     };
@@ -69,6 +77,7 @@
     }
 }
 
+/// An enqueue request for message `m<number>`.
 pub fn enqueue(number: u64, class: &str, destination: u32) -> Enqueue {
     Enqueue {
         id: format!("m{number}"),
--- a/crates/gullcart-engine/tests/taken_on.rs
+++ b/crates/gullcart-engine/tests/taken_on.rs
@@ -1,4 +1,5 @@
-//! What was taken on is tried: it is not given up for room, neither while the courier is nearly full nor by the next process.
+//! Accepted messages are tried. They are not returned to make room, neither by a courier that is nearly full nor by the process
+//! that restarts it.
 
 mod common;
 
@@ -8,92 +9,97 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What a turn gave: answers that were taken on, and refused ones, ends that were told, and calls.
+/// What the effects of one or more turns contain.
 #[derive(Default)]
-struct Turn {
-    taken: usize,
-    busy: usize,
-    ends: Vec<String>,
+struct EffectSummary {
+    /// Answers that accepted a message.
+    accepted: usize,
+    /// Answers that rejected a message.
+    rejected: usize,
+    /// Ids of the messages with a notice.
+    notices: Vec<String>,
+    /// Ids of the messages that were called for.
     calls: Vec<String>,
 }
 
-fn turn(engine: &mut Engine<Disk>, now: cloverstile::Time) -> Turn {
-    let mut turn = Turn::default();
+fn turn(engine: &mut Engine<Disk>, now: cloverstile::Time) -> EffectSummary {
+    let mut summary = EffectSummary::default();
     for effect in engine.turn(now).unwrap() {
         match effect {
-            Effect::Answer(_, Answer::Taken(_)) => turn.taken += 1,
-            Effect::Answer(_, Answer::Busy(Some(_))) => turn.busy += 1,
-            Effect::SendNotice(notice) => turn.ends.push(notice.id),
-            Effect::StartCall(call) => turn.calls.push(call.id),
+            Effect::Answer(_, Answer::Taken(_)) => summary.accepted += 1,
+            Effect::Answer(_, Answer::Busy(Some(_))) => summary.rejected += 1,
+            Effect::SendNotice(notice) => summary.notices.push(notice.id),
+            Effect::StartCall(call) => summary.calls.push(call.id),
             _ => {}
         }
     }
-    turn
+    summary
 }
 
-/// Hands so many messages in, one a turn; none of their calls is answered.
-fn fill(engine: &mut Engine<Disk>, numbers: std::ops::Range<u64>, class: &str) -> Turn {
-    let mut all = Turn::default();
+/// Enqueues the messages with these numbers, one per turn. Their calls get no answer.
+fn fill(engine: &mut Engine<Disk>, numbers: std::ops::Range<u64>, class: &str) -> EffectSummary {
+    let mut all = EffectSummary::default();
     for number in numbers {
         engine.handle(EPOCH, Input::Enqueue(Ticket(number), enqueue(number, class, (number % 4) as u32)));
-        let Turn { taken, busy, ends, calls } = turn(engine, EPOCH);
-        all.taken += taken;
-        all.busy += busy;
-        all.ends.extend(ends);
+        let EffectSummary { accepted, rejected, notices, calls } = turn(engine, EPOCH);
+        all.accepted += accepted;
+        all.rejected += rejected;
+        all.notices.extend(notices);
         all.calls.extend(calls);
     }
     all
 }
 
-/// The settings allow 60 messages. The least worth were handed back, to make room, when 56 were held: each cost its client a
-/// message that it had been told was taken on.
+/// The settings allow 60 messages. From 56 on, couriers used to return the messages of least worth to make room, although they
+/// had told the clients that these were accepted.
 #[test]
-fn a_courier_that_is_full_turns_away_at_the_door_and_gives_nothing_up() {
+fn a_full_courier_rejects_new_messages_and_returns_none() {
     let disk = Disk::new(DISK, Crash::Process, 1);
     let mut courier = engine(&disk, Crash::Process, EPOCH);
     let seen = fill(&mut courier, 0..100, "salary");
-    assert_eq!((seen.taken, seen.busy), (60, 40));
-    assert_eq!(seen.ends, Vec::<String>::new());
+    assert_eq!((seen.accepted, seen.rejected), (60, 40));
+    assert_eq!(seen.notices, Vec::<String>::new());
 }
 
-/// Nearly full, the last room is for the classes of most worth.
+/// A courier that is nearly full accepts only messages of the classes with the highest worth.
 #[test]
-fn the_last_room_is_kept_for_what_is_worth_most() {
+fn the_last_capacity_is_reserved_for_the_classes_with_the_highest_worth() {
     let disk = Disk::new(DISK, Crash::Process, 1);
     let mut config = config(EPOCH);
     config.parsed_settings.settings.classes[1].worth = 3.0;
     let mut courier = Engine::new(config, journal(&disk, Crash::Process));
-    let cheap = fill(&mut courier, 0..100, "notice");
-    let dear = fill(&mut courier, 100..200, "salary");
-    assert_eq!((cheap.taken, dear.taken), (55, 5));
-    assert!(cheap.ends.is_empty() && dear.ends.is_empty());
+    let low_worth = fill(&mut courier, 0..100, "notice");
+    let high_worth = fill(&mut courier, 100..200, "salary");
+    assert_eq!((low_worth.accepted, high_worth.accepted), (55, 5));
+    assert!(low_worth.notices.is_empty() && high_worth.notices.is_empty());
 }
 
-/// A process that is killed with all that it may hold, most of it untried, leaves that to the next one, which tries it all. It
-/// used to hand the least worth back in its first turn, with no call.
+/// A process is killed while it holds as many messages as it may, most of them untried. The next process tries them all. It used
+/// to return those of least worth in its first turn, without a call.
 #[test]
-fn what_a_restart_finds_untried_is_tried() {
+fn untried_messages_are_tried_after_a_restart() {
     let disk = Disk::new(DISK, Crash::Process, 1);
     let mut courier = engine(&disk, Crash::Process, EPOCH);
     let seen = fill(&mut courier, 0..60, "salary");
-    assert_eq!(seen.taken, 60);
+    assert_eq!(seen.accepted, 60);
     let tried: BTreeSet<String> = seen.calls.into_iter().collect();
     drop(courier);
     let disk = disk.crashed();
     let mut now = EPOCH + Duration::from_secs(2);
     let mut next = engine(&disk, Crash::Process, now);
-    let (mut calls, mut ends) = (BTreeSet::new(), BTreeSet::new());
-    // Half of its time is left at the end.
+    let mut calls = BTreeSet::new();
+    let mut notices = BTreeSet::new();
+    // At the end half of the messages' time is left.
     while now < EPOCH + Duration::from_secs(10) {
         for effect in next.turn(now).unwrap() {
             match effect {
-                Effect::SendNotice(notice) => drop(ends.insert(notice.id)),
+                Effect::SendNotice(notice) => drop(notices.insert(notice.id)),
                 Effect::StartCall(call) => {
                     let (outcome, latency) = (cloverstile::Outcome::Ok, Duration::from_millis(40));
-                    let ended =
+                    let result =
                         gullcart_engine::CallResult { outcome, latency, is_final: true, allowance: None };
                     next.handle(now, Input::CallWritten(call.message));
-                    next.handle(now, Input::CallEnded(call.message, call.endpoint, ended));
+                    next.handle(now, Input::CallEnded(call.message, call.endpoint, result));
                     calls.insert(call.id);
                 }
                 _ => {}
@@ -104,6 +110,6 @@
     let untried: BTreeSet<String> =
         (0..60).map(|n| format!("m{n}")).filter(|id| !tried.contains(id)).collect();
     assert!(untried.len() > 40, "{untried:?}");
-    assert_eq!(untried.difference(&calls).count(), 0, "with no call: {:?}", untried.difference(&calls));
-    assert!(ends.is_subset(&tried), "given up: {:?}", ends.difference(&tried));
+    assert_eq!(untried.difference(&calls).count(), 0, "without a call: {:?}", untried.difference(&calls));
+    assert!(notices.is_subset(&tried), "ended untried: {:?}", notices.difference(&tried));
 }
--- a/crates/gullcart-engine/tests/wide_destinations.rs
+++ b/crates/gullcart-engine/tests/wide_destinations.rs
@@ -1,4 +1,4 @@
-//! Destinations beyond 16 bits are listed, taken on for, journalled, replayed and called.
+//! Destination numbers beyond 16 bits work in the list, in messages, in the journal and in snapshots.
 
 mod common;
 
@@ -10,20 +10,20 @@
 use std::time::Duration;
 
 const WIDE: [u32; 3] = [65_535, 65_536, 1_600_000];
-/// The port of the first of them; each has its own.
+/// Port of the first destination's endpoint. Each endpoint has its own port.
 const FIRST_PORT: u16 = 2000;
 
 fn wide_targets() -> Vec<Target> {
-    let wide = |(place, destination): (u16, u32)| Target {
+    let wide = |(index, destination): (u16, u32)| Target {
         uid: format!("wide-{destination}"),
-        endpoint: format!("127.0.0.1:{}", FIRST_PORT + place),
+        endpoint: format!("127.0.0.1:{}", FIRST_PORT + index),
         pod_group: destination,
         ..target(0, "SERVING")
     };
     (0..).zip(WIDE).map(wide).collect()
 }
 
-/// The turn's calls, by their messages; whatever was refused fails the test.
+/// Ends a turn and returns its calls, ordered by message. Panics if a message was not accepted.
 fn calls(engine: &mut Engine<Disk>, now: cloverstile::Time) -> Vec<Call> {
     let mut calls = Vec::new();
     for effect in engine.turn(now).unwrap() {
@@ -42,39 +42,39 @@
 }
 
 #[test]
-fn wide_destinations_are_listed_taken_on_for_replayed_and_served() {
+fn wide_destinations_are_listed_accepted_replayed_and_served() {
     let disk = Disk::new(DISK, Crash::Process, 1);
     let mut courier = engine(&disk, Crash::Process, EPOCH);
     courier.handle(EPOCH, Input::ListUpdate(Update { rev: 2, all: false, targets: wide_targets() }));
     for (number, destination) in (1..).zip(WIDE) {
         courier.handle(EPOCH, Input::Enqueue(Ticket(number), enqueue(number, "notice", destination)));
     }
-    let begun = calls(&mut courier, EPOCH);
-    assert_eq!(ports(&begun), [FIRST_PORT, FIRST_PORT + 1, FIRST_PORT + 2]);
-    // Killed with all of them out: the next process has the list, and calls the same endpoints again.
+    let first_calls = calls(&mut courier, EPOCH);
+    assert_eq!(ports(&first_calls), [FIRST_PORT, FIRST_PORT + 1, FIRST_PORT + 2]);
+    // The process is killed with all calls in flight. The next one has the list and calls the same endpoints again.
     drop(courier);
     let (disk, now) = (disk.crashed(), EPOCH + Duration::from_secs(1));
     let mut courier = engine(&disk, Crash::Process, now);
     assert!(courier.journal().image().held.values().map(|held| held.taken.destination).eq(WIDE));
-    let mut again = Vec::new();
+    let mut retries = Vec::new();
     for step in 0..200 {
-        again.extend(calls(&mut courier, now + Duration::from_millis(20 * step)));
+        retries.extend(calls(&mut courier, now + Duration::from_millis(20 * step)));
     }
-    again.sort_by_key(|call| call.message);
-    assert_eq!(ports(&again), [FIRST_PORT, FIRST_PORT + 1, FIRST_PORT + 2]);
-    // Carried into another process as well, and served there.
+    retries.sort_by_key(|call| call.message);
+    assert_eq!(ports(&retries), [FIRST_PORT, FIRST_PORT + 1, FIRST_PORT + 2]);
+    // Another process resumes from a snapshot, and the calls are answered there.
     let now = now + Duration::from_secs(5);
-    let (_, block) = courier.freeze(now).unwrap();
+    let (_, snapshot) = courier.freeze(now).unwrap();
     drop(courier);
-    let (mut courier, taken_up) =
-        Engine::resume(config(now), journal(&disk, Crash::Process), &block.unwrap());
-    taken_up.unwrap();
-    let out: Vec<_> = courier.calls_in_flight().collect();
-    assert_eq!(out.len(), WIDE.len());
-    for (message, endpoint) in out {
+    let (mut courier, resumed) =
+        Engine::resume(config(now), journal(&disk, Crash::Process), &snapshot.unwrap());
+    resumed.unwrap();
+    let in_flight: Vec<_> = courier.calls_in_flight().collect();
+    assert_eq!(in_flight.len(), WIDE.len());
+    for (message, endpoint) in in_flight {
         let latency = Duration::from_millis(40);
-        let ended = CallResult { outcome: Outcome::Ok, latency, is_final: true, allowance: None };
-        courier.handle(now, Input::CallEnded(message, endpoint, ended));
+        let result = CallResult { outcome: Outcome::Ok, latency, is_final: true, allowance: None };
+        courier.handle(now, Input::CallEnded(message, endpoint, result));
     }
     courier.turn(now).unwrap();
     assert_eq!(courier.load(), (0, 0));
