--- a/crates/gullcart-engine/tests/once.rs
+++ b/crates/gullcart-engine/tests/once.rs
@@ -1,7 +1,11 @@
-//! No effect happens twice, whatever comes in whatever order: calls that come up late, are written in part, answered whole,
-//! cut, spoilt or never, called off, withdrawn; a courier that is killed and replayed, or goes on in another process;
-//! lists that move endpoints; messages that are handed in again. The partners' side is the truth here: it knows what of
-//! each call it has got, and when, and holds every later call against that.
+//! No message takes effect twice, whatever happens in whatever order:
+//!
+//! - Connections are established late, calls are sent in part, answered, reset, answered with malformed data, left without an
+//!   answer, cancelled or withdrawn.
+//! - The process is killed and restarted, or the engine is resumed in another process.
+//! - Updates of the list move endpoints, and clients enqueue messages again.
+//!
+//! The simulated partners are the reference: they record which calls they received, and check each new call against them.
 
 mod common;
 
@@ -18,21 +22,22 @@
 use std::time::Duration;
 
 const ENDPOINTS: u16 = 9;
-const CONNECT: Duration = Duration::from_millis(1000);
-const WINDOW: Duration = Duration::from_millis(3000);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+const REPEAT_WINDOW: Duration = Duration::from_millis(3000);
 const DEADLINE: Duration = Duration::from_millis(8000);
-/// A connection to a partner that is cut off comes up when the kernel tries again, or a moment after it was given up.
-const LATE: Duration = Duration::from_millis(900);
+/// Time until a connection to an unreachable partner is established by a retry of the kernel: just before or, depending on the
+/// steps of the simulated time, just after the connect timeout.
+const LATE_CONNECT: Duration = Duration::from_millis(900);
 
 fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
-/// Classes of each kind, with windows that are short beside the time that a connection may take.
+/// Settings with a class of each kind. The repeat window is short compared to the time that a connection may take.
 fn config(now: Time, epoch_ms: u64) -> EngineConfig {
     let class = |name: &str, effect: &str, group: &str, order: bool| {
         json!({
-            "Name": name, "Effect": effect, "Group": group, "RepeatWindow": WINDOW.as_nanos() as u64, "OneAtATime": order,
+            "Name": name, "Effect": effect, "Group": group, "RepeatWindow": REPEAT_WINDOW.as_nanos() as u64, "OneAtATime": order,
             "Worth": 1.0, "LateShare": 0.5, "Aim": 1_000_000_000_u64, "Deadline": DEADLINE.as_nanos() as u64,
         })
     };
@@ -43,7 +48,7 @@
         "MachineTypes": ["banks"], "Zones": ["kingston"], "WeightSource": "nominal",
         "FamilyInfo": {"CallsOut": 5, "KindBatch": [1], "OwnLimits": [false]},
         "Permissions": {"MostHeld": 60, "SendCap": 8, "Cancel": true, "ConnIdle": 15_000_000_000_u64,
-            "ConnectTimeout": CONNECT.as_nanos() as u64},
+            "ConnectTimeout": CONNECT_TIMEOUT.as_nanos() as u64},
         "Rules": {"AnswerSlack": 20_000_000, "OrderSettle": 100_000_000, "Fall": 500_000_000_u64, "Cold": 1_000_000_000_u64},
     });
     EngineConfig {
@@ -52,7 +57,7 @@
         initial_list: Update {
             rev: 1,
             all: true,
-            targets: (0..ENDPOINTS).map(|n| target(n, zone_at_first(n))).collect(),
+            targets: (0..ENDPOINTS).map(|n| target(n, initial_zone(n))).collect(),
         },
         now,
         epoch_ms,
@@ -62,8 +67,9 @@
     }
 }
 
-/// The settings hold the first zone alone; the others are numbered as they come.
-fn zone_at_first(number: u16) -> u8 {
+/// Index of an endpoint's zone at the start. Only the first zone is in the settings; the others are numbered in order of
+/// appearance.
+fn initial_zone(number: u16) -> u8 {
     (number % 3) as u8
 }
 
@@ -79,178 +85,192 @@
     }
 }
 
-/// How much of a call has gone.
+/// How much of a call has been sent.
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Gone {
+enum Sent {
     Nothing,
     Part,
     All,
 }
 
-/// A call as the courier's network code has it.
-struct Out {
+/// A call in flight, as the network code sees it.
+struct NetworkCall {
     call: Call,
-    began: Time,
-    /// Where the endpoint stood by the list when the call began.
+    started_at: Time,
+    /// Zone of the endpoint, by the list, when the call was started.
     zone: u8,
-    /// When its connection comes up.
-    up: Time,
-    gone: Gone,
-    called_off: bool,
+    /// When the connection is established.
+    connected_at: Time,
+    sent: Sent,
+    is_cancelled: bool,
 }
 
-/// What the partners have got of one message.
+/// What the partners received of one message.
 #[derive(Default)]
-struct Got {
+struct Received {
     class: String,
-    /// Each call that came whole and may have taken effect: when, and in which zone.
-    ran: Vec<(Time, u8)>,
-    /// Its end, as the platform was told.
-    returned: bool,
+    /// The calls that arrived completely and may have taken effect: when, and in which zone.
+    may_have_run: Vec<(Time, u8)>,
+    /// The platform was notified that the message was returned.
+    is_returned: bool,
 }
 
-struct World {
+struct Simulation {
     disk: Disk,
     engine: Engine<Disk>,
     now: Time,
     rng: fastrand::Rng,
-    out: BTreeMap<MessageId, Out>,
-    got: BTreeMap<String, Got>,
-    told: BTreeSet<MessageId>,
-    /// The list as discovery has it: zones and states.
+    in_flight: BTreeMap<MessageId, NetworkCall>,
+    received: BTreeMap<String, Received>,
+    /// Messages whose notices were sent and are not acknowledged.
+    notices: BTreeSet<MessageId>,
+    /// Zones of the endpoints in discovery's list.
     zones: Vec<u8>,
+    /// States of the endpoints in discovery's list.
     states: Vec<&'static str>,
-    next: u64,
+    /// The number that was used last for a message.
+    last_number: u64,
+    /// Revision of discovery's list.
     rev: u64,
-    /// What happened to each message, for the case that something is wrong.
-    story: Vec<String>,
+    /// What happened so far, to be printed if a check fails.
+    events: Vec<String>,
+    /// Calls that arrived for messages that may have run before.
     repeats: u32,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let disk = Disk::new(DISK, Crash::Process, seed);
         let engine = Engine::new(config(EPOCH, START_MS), journal(&disk, Crash::Process));
-        World {
+        Simulation {
             disk,
             engine,
             now: EPOCH,
             rng: fastrand::Rng::with_seed(seed),
-            out: BTreeMap::new(),
-            got: BTreeMap::new(),
-            told: BTreeSet::new(),
-            zones: (0..ENDPOINTS).map(zone_at_first).collect(),
+            in_flight: BTreeMap::new(),
+            received: BTreeMap::new(),
+            notices: BTreeSet::new(),
+            zones: (0..ENDPOINTS).map(initial_zone).collect(),
             states: vec!["SERVING"; usize::from(ENDPOINTS)],
-            next: 0,
+            last_number: 0,
             rev: 1,
-            story: Vec::new(),
+            events: Vec::new(),
             repeats: 0,
         }
     }
 
-    fn tell(&mut self, what: String) {
+    /// Records an event, to be printed if a check fails.
+    fn record(&mut self, event: String) {
         let at = (self.now - EPOCH).as_millis();
-        self.story.push(format!("{at:>7} {what}"));
+        self.events.push(format!("{at:>7} {event}"));
     }
 
-    fn wrong(&self, id: &str, what: &str) -> ! {
-        let story: Vec<&String> =
-            self.story.iter().filter(|l| l.contains(&format!("{id} ")) || l.contains("**")).collect();
-        panic!("{what}: {id}\n{story:#?}")
+    /// Fails the test and prints the events that concern a message.
+    fn fail(&self, id: &str, violation: &str) -> ! {
+        let events: Vec<&String> =
+            self.events.iter().filter(|l| l.contains(&format!("{id} ")) || l.contains("**")).collect();
+        panic!("{violation}: {id}\n{events:#?}")
     }
 
-    /// The last byte of a call has come: held against all that came before.
-    fn arrives(&mut self, message: MessageId) {
-        let out = &self.out[&message];
-        let id = out.call.id.clone();
-        let number = usize::from(out.call.address.port() - 1000);
-        let (zone, now) = (out.zone, self.now);
-        let got = self.got.entry(id.clone()).or_default();
-        let (class, before, returned) = (got.class.clone(), got.ran.first().copied(), got.returned);
-        got.ran.push((now, zone));
-        self.tell(format!("{id} of {class} arrives at {number} in zone {zone}"));
-        self.repeats += u32::from(before.is_some());
-        if returned {
-            self.wrong(&id, "sent after it was handed back");
+    /// A call arrives completely at its endpoint. Checks it against the earlier calls for the message.
+    fn call_arrives(&mut self, message: MessageId) {
+        let network_call = &self.in_flight[&message];
+        let id = network_call.call.id.clone();
+        let number = usize::from(network_call.call.address.port() - 1000);
+        let (zone, now) = (network_call.zone, self.now);
+        let received = self.received.entry(id.clone()).or_default();
+        let class = received.class.clone();
+        let first_call = received.may_have_run.first().copied();
+        let is_returned = received.is_returned;
+        received.may_have_run.push((now, zone));
+        self.record(format!("{id} of class {class} arrives at endpoint {number} in zone {zone}"));
+        self.repeats += u32::from(first_call.is_some());
+        if is_returned {
+            self.fail(&id, "sent after it was returned");
         }
-        let Some((first, first_zone)) = before else { return };
+        let Some((first_at, first_zone)) = first_call else { return };
         match class.as_str() {
-            "salary" => self.wrong(&id, "work that may run only once is sent again"),
-            _ if now > first + WINDOW => self.wrong(&id, "sent again behind its window"),
-            "letter" if zone != first_zone => self.wrong(&id, "sent again outside its group"),
+            "salary" => self.fail(&id, "a message that must not run twice is sent again"),
+            _ if now > first_at + REPEAT_WINDOW => self.fail(&id, "sent again after its repeat window"),
+            "letter" if zone != first_zone => self.fail(&id, "sent again to another zone"),
             _ => {}
         }
     }
 
-    /// The partner says of a call that it has never run, in an answer that came whole.
+    /// The partner answers that the call never ran.
     fn never_ran(&mut self, id: &str) {
-        if let Some(got) = self.got.get_mut(id) {
-            got.ran.pop();
+        if let Some(received) = self.received.get_mut(id) {
+            received.may_have_run.pop();
         }
     }
 
-    fn ended(&mut self, message: MessageId, outcome: Outcome) {
-        let Some(out) = self.out.remove(&message) else { return };
-        let (id, gone) = (&out.call.id, out.gone);
-        self.tell(format!("{id} {outcome:?} with {gone:?} of it gone"));
-        let complete = matches!(outcome, Outcome::Ok);
-        let ended =
-            CallResult { outcome, latency: self.now - out.began, is_final: complete, allowance: None };
-        self.engine.handle(self.now, Input::CallEnded(message, out.call.endpoint, ended));
+    /// Reports the end of a call to the engine.
+    fn end_call(&mut self, message: MessageId, outcome: Outcome) {
+        let Some(network_call) = self.in_flight.remove(&message) else { return };
+        let (id, sent) = (&network_call.call.id, network_call.sent);
+        self.record(format!("{id} ends with {outcome:?}, sent: {sent:?}"));
+        let is_final = matches!(outcome, Outcome::Ok);
+        let result =
+            CallResult { outcome, latency: self.now - network_call.started_at, is_final, allowance: None };
+        self.engine.handle(self.now, Input::CallEnded(message, network_call.call.endpoint, result));
     }
 
-    /// How the network code ends a call that is not answered.
-    fn breaks(&mut self, message: MessageId, touched: Outcome) {
-        match self.out[&message].gone {
-            Gone::Nothing => self.ended(message, Outcome::ConnectFailed),
-            Gone::Part | Gone::All => self.ended(message, touched),
+    /// Ends a call without an answer, with `outcome_if_sent` if any byte of it was sent.
+    fn end_unanswered(&mut self, message: MessageId, outcome_if_sent: Outcome) {
+        match self.in_flight[&message].sent {
+            Sent::Nothing => self.end_call(message, Outcome::ConnectFailed),
+            Sent::Part | Sent::All => self.end_call(message, outcome_if_sent),
         }
     }
 
-    fn a_call_goes_on(&mut self) {
-        let Some(message) = self.rng.choice(self.out.keys().copied().collect::<Vec<_>>()) else { return };
-        let out = &self.out[&message];
-        let id = out.call.id.clone();
-        let too_late = out.call.send_by.is_some_and(|by| self.now > by);
-        match (out.gone, self.rng.u8(..12)) {
-            (Gone::Nothing | Gone::Part, _) if too_late => {
-                let untouched = out.gone == Gone::Nothing;
-                self.ended(message, if untouched { Outcome::Moot } else { Outcome::Reset });
+    /// Advances a random call in flight.
+    fn advance_random_call(&mut self) {
+        let Some(message) = self.rng.choice(self.in_flight.keys().copied().collect::<Vec<_>>()) else {
+            return;
+        };
+        let network_call = &self.in_flight[&message];
+        let id = network_call.call.id.clone();
+        let is_too_late = network_call.call.send_by.is_some_and(|by| self.now > by);
+        match (network_call.sent, self.rng.u8(..12)) {
+            (Sent::Nothing | Sent::Part, _) if is_too_late => {
+                let is_unsent = network_call.sent == Sent::Nothing;
+                self.end_call(message, if is_unsent { Outcome::Moot } else { Outcome::Reset });
             }
-            (Gone::Nothing, 0) => self.ended(message, Outcome::ConnectFailed),
-            (Gone::Nothing, _) if self.now < out.up => {}
-            (Gone::Nothing, 5) => self.out.get_mut(&message).unwrap().gone = Gone::Part,
-            (Gone::Part, 0..=2) => self.ended(message, Outcome::Reset),
-            (Gone::Nothing | Gone::Part, _) => {
-                self.out.get_mut(&message).unwrap().gone = Gone::All;
-                self.arrives(message);
+            (Sent::Nothing, 0) => self.end_call(message, Outcome::ConnectFailed),
+            (Sent::Nothing, _) if self.now < network_call.connected_at => {}
+            (Sent::Nothing, 5) => self.in_flight.get_mut(&message).unwrap().sent = Sent::Part,
+            (Sent::Part, 0..=2) => self.end_call(message, Outcome::Reset),
+            (Sent::Nothing | Sent::Part, _) => {
+                self.in_flight.get_mut(&message).unwrap().sent = Sent::All;
+                self.call_arrives(message);
                 self.engine.handle(self.now, Input::CallWritten(message));
             }
-            (Gone::All, 0..=1) => self.ended(message, Outcome::Ok),
-            (Gone::All, 2) => self.ended(message, Outcome::Error),
-            (Gone::All, 3..=4) => self.ended(message, Outcome::Reset),
-            (Gone::All, 5) => self.ended(message, Outcome::Spoilt),
-            (Gone::All, 6..=8) => {
+            (Sent::All, 0..=1) => self.end_call(message, Outcome::Ok),
+            (Sent::All, 2) => self.end_call(message, Outcome::Error),
+            (Sent::All, 3..=4) => self.end_call(message, Outcome::Reset),
+            (Sent::All, 5) => self.end_call(message, Outcome::Spoilt),
+            (Sent::All, 6..=8) => {
                 self.never_ran(&id);
                 let wait = self.rng.bool().then(|| ms(50));
                 let outcomes = [Outcome::Full(wait), Outcome::Moot, Outcome::Spent];
                 let outcome = outcomes[usize::from(self.rng.u8(..20) / 18) * self.rng.usize(..3)];
-                self.ended(message, outcome);
+                self.end_call(message, outcome);
             }
-            (Gone::All, _) => {}
+            (Sent::All, _) => {}
         }
     }
 
-    fn something_happens(&mut self) {
+    /// Makes a random event happen.
+    fn trigger_random_event(&mut self) {
         match self.rng.u8(..40) {
-            0..4 => self.hands_in(),
-            4..30 => self.a_call_goes_on(),
+            0..4 => self.enqueue_message(),
+            4..30 => self.advance_random_call(),
             30 => {
-                let heard = std::mem::take(&mut self.told);
-                self.engine.handle(self.now, Input::NoticesAcknowledged(heard.into_iter().collect()));
+                let acknowledged = std::mem::take(&mut self.notices);
+                self.engine.handle(self.now, Input::NoticesAcknowledged(acknowledged.into_iter().collect()));
             }
             31 => {
-                // An endpoint drains, goes, comes back, or moves into another zone.
+                // An endpoint drains, disappears, comes back, or moves to another zone.
                 let number = self.rng.u16(..ENDPOINTS);
                 let zone = &mut self.zones[usize::from(number)];
                 *zone = if self.rng.u8(..4) == 0 { self.rng.u8(..3) } else { *zone };
@@ -266,28 +286,29 @@
                 (0..self.rng.u64(1..80)).for_each(|more| self.disk.fail(operation + more, Fault::Error));
             }
             33 | 36 => self.disk.mend(),
-            34 if self.rng.u8(..4) == 0 => self.is_killed(),
-            35 if self.rng.u8(..4) == 0 => self.moves(),
+            34 if self.rng.u8(..4) == 0 => self.kill(),
+            35 if self.rng.u8(..4) == 0 => self.resume_in_other_process(),
             _ => {}
         }
     }
 
-    fn hands_in(&mut self) {
-        // Now and then under an id that is held, as one whose connection closed over it does.
+    /// A client enqueues a message.
+    fn enqueue_message(&mut self) {
+        // Sometimes a client repeats the request for a message that is held, as after a lost connection.
         let held: Vec<String> =
             self.engine.journal().image().held.values().map(|h| h.taken.id.clone()).collect();
         let again = self.rng.choice(held).filter(|_| self.rng.u8(..6) == 0);
         let number = match &again {
             Some(id) => id[1..].parse().unwrap(),
             None => {
-                self.next += 1;
-                self.next
+                self.last_number += 1;
+                self.last_number
             }
         };
         let class = ["salary", "notice", "letter"][(number % 3) as usize];
-        // One that a courier had which died may have run there since it was handed in.
-        let from_dead = number % 7 == 0 && class != "salary";
-        let left = if from_dead { DEADLINE - ms(800) } else { DEADLINE };
+        // A message that was held by a courier that died may have run there.
+        let from_dead_courier = number % 7 == 0 && class != "salary";
+        let left = if from_dead_courier { DEADLINE - ms(800) } else { DEADLINE };
         let enqueue = Enqueue {
             id: format!("m{number}"),
             order_key: if class == "notice" { 1 + number % 2 } else { 0 },
@@ -295,39 +316,42 @@
             destination: (number % 3) as u32,
             time_left: left,
             idempotency_key: (class != "salary").then(|| format!("k{number}")),
-            from_dead_courier: from_dead,
+            from_dead_courier,
             body: Bytes::from_static(b"x"),
         };
-        let got = self.got.entry(enqueue.id.clone()).or_default();
-        if got.class.is_empty() {
-            got.class = class.to_owned();
-            got.ran.extend(from_dead.then_some((self.now - ms(800), u8::MAX)));
+        let received = self.received.entry(enqueue.id.clone()).or_default();
+        if received.class.is_empty() {
+            received.class = class.to_owned();
+            received.may_have_run.extend(from_dead_courier.then_some((self.now - ms(800), u8::MAX)));
         }
-        self.tell(format!("m{number} of {class} is handed in, dead {from_dead}, again {}", again.is_some()));
-        self.engine.handle(self.now, Input::Enqueue(Ticket(self.next), enqueue));
+        self.record(format!(
+            "m{number} of class {class} is enqueued, from a dead courier: {from_dead_courier}, repeated: {}",
+            again.is_some()
+        ));
+        self.engine.handle(self.now, Input::Enqueue(Ticket(self.last_number), enqueue));
     }
 
-    /// The process dies. What it has written stays with the partners; what it has not never comes.
-    fn is_killed(&mut self) {
-        self.tell("** killed".to_owned());
-        self.out.clear();
-        self.told.clear();
+    /// The process is killed and restarted. Bytes that it did not send never arrive.
+    fn kill(&mut self) {
+        self.record("** the process is killed".to_owned());
+        self.in_flight.clear();
+        self.notices.clear();
         self.disk = self.disk.crashed();
         self.disk.mend();
-        let down = ms(self.rng.u64(..1500));
-        // The next process has a clock of its own; now and then the wall was put back.
-        let wall = START_MS + (self.now + down - EPOCH).as_millis() as u64;
-        self.now = self.now + down;
-        let put_back = if self.rng.u8(..5) == 0 { 20_000 } else { 0 };
-        // Its own time goes on as this world's, so that the two stay comparable.
-        let passed = (self.now - EPOCH).as_millis() as u64;
-        let epoch_ms = wall - passed - put_back;
+        let downtime = ms(self.rng.u64(..1500));
+        // The next process reads the wall clock anew, which was sometimes set back.
+        let wall_ms = START_MS + (self.now + downtime - EPOCH).as_millis() as u64;
+        self.now = self.now + downtime;
+        let set_back_ms = if self.rng.u8(..5) == 0 { 20_000 } else { 0 };
+        // The engine's own time continues, so that it stays comparable to the simulation's.
+        let passed_ms = (self.now - EPOCH).as_millis() as u64;
+        let epoch_ms = wall_ms - passed_ms - set_back_ms;
         self.engine = Engine::new(config(self.now, epoch_ms), journal(&self.disk, Crash::Process));
-        self.hears_the_list();
+        self.send_whole_list();
     }
 
-    /// A new process asks discovery for what it may have missed, or could not write down.
-    fn hears_the_list(&mut self) {
+    /// Discovery sends the whole list to a new process, which may have missed updates or failed to record them.
+    fn send_whole_list(&mut self) {
         let listed = (0..ENDPOINTS).filter(|number| self.states[usize::from(*number)] != "DELETED");
         let entry = |number: u16| {
             let state = self.states[usize::from(number)].to_owned();
@@ -337,65 +361,73 @@
         self.engine.handle(self.now, Input::ListUpdate(Update { rev: self.rev, all: true, targets }));
     }
 
-    /// The courier goes on in another process, as the daemon's loop hands it over.
-    fn moves(&mut self) {
-        self.tell("** moves".to_owned());
+    /// Hands the engine over to another process, as the daemon does.
+    fn resume_in_other_process(&mut self) {
+        self.record("** the engine is resumed in another process".to_owned());
         self.disk.mend();
-        for message in self.out.keys().copied().collect::<Vec<_>>() {
-            let out = &self.out[&message];
-            match (out.gone, out.called_off) {
-                (Gone::Nothing, _) => self.ended(message, Outcome::Moot),
-                (_, true) => self.ended(message, Outcome::Cancelled),
-                (Gone::Part, false) => self.ended(message, Outcome::Reset),
-                (Gone::All, false) => {}
+        for message in self.in_flight.keys().copied().collect::<Vec<_>>() {
+            let network_call = &self.in_flight[&message];
+            match (network_call.sent, network_call.is_cancelled) {
+                (Sent::Nothing, _) => self.end_call(message, Outcome::Moot),
+                (_, true) => self.end_call(message, Outcome::Cancelled),
+                (Sent::Part, false) => self.end_call(message, Outcome::Reset),
+                (Sent::All, false) => {}
             }
         }
-        let (effects, block) = self.engine.freeze(self.now).unwrap();
-        self.carry_out(effects);
-        let mut block = block.unwrap();
+        let (effects, snapshot) = self.engine.freeze(self.now).unwrap();
+        self.execute_effects(effects);
+        let mut snapshot = snapshot.unwrap();
         let is_damaged = self.rng.u8(..4) == 0;
         if is_damaged {
-            block.truncate(block.len() / 2);
+            snapshot.truncate(snapshot.len() / 2);
         }
         let journal = journal(&self.disk, Crash::Process);
-        let (engine, resumed) = Engine::resume(config(self.now, START_MS), journal, &block);
+        let (engine, resumed) = Engine::resume(config(self.now, START_MS), journal, &snapshot);
         assert!(resumed.is_err() || !is_damaged);
-        // The courier starts from its journal alone: also where something of that could not be written before.
+        // The engine starts from the journal alone, even if some records could not be written before.
         if resumed.is_err() {
-            self.out.clear();
+            self.in_flight.clear();
         }
-        self.told.clear();
+        self.notices.clear();
         self.engine = engine;
-        self.hears_the_list();
+        self.send_whole_list();
     }
 
-    fn carry_out(&mut self, effects: Vec<Effect>) {
+    /// Carries out the effects of a turn.
+    fn execute_effects(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::StartCall(call) => {
                     let (message, id) = (call.message, call.id.clone());
-                    self.tell(format!("{id} begins, to be sent by {:?}", call.send_by));
+                    self.record(format!("{id} starts, to be sent by {:?}", call.send_by));
                     let zone = self.zones[usize::from(call.address.port() - 1000)];
-                    let late = [Duration::ZERO, ms(self.rng.u64(..300)), LATE, LATE][self.rng.usize(..4)];
-                    let (began, up, gone) = (self.now, self.now + late, Gone::Nothing);
-                    let out = Out { call, began, zone, up, gone, called_off: false };
-                    if self.out.insert(message, out).is_some() {
-                        self.wrong(&id, "two of its calls are out");
+                    let connect_time = [Duration::ZERO, ms(self.rng.u64(..300)), LATE_CONNECT, LATE_CONNECT]
+                        [self.rng.usize(..4)];
+                    let network_call = NetworkCall {
+                        call,
+                        started_at: self.now,
+                        zone,
+                        connected_at: self.now + connect_time,
+                        sent: Sent::Nothing,
+                        is_cancelled: false,
+                    };
+                    if self.in_flight.insert(message, network_call).is_some() {
+                        self.fail(&id, "two calls for the message are in flight");
                     }
-                    // What can never be allowed is wrong before it is written.
-                    if self.got[&id].class == "salary" && !self.got[&id].ran.is_empty() {
-                        self.wrong(&id, "work that may run only once begins again");
+                    // This is wrong even before the call is sent.
+                    if self.received[&id].class == "salary" && !self.received[&id].may_have_run.is_empty() {
+                        self.fail(&id, "a call for a message that must not run twice is started again");
                     }
                 }
-                Effect::StopCall(message, reason) => self.stops(message, reason),
+                Effect::StopCall(message, reason) => self.stop_call(message, reason),
                 Effect::SendNotice(notice) => {
                     let (id, is_returned) = (notice.id, matches!(notice.verdict, Verdict::Returned { .. }));
-                    self.tell(format!("{id} ends, handed back {is_returned}"));
-                    self.told.insert(notice.message);
-                    let got = self.got.get_mut(&id).unwrap();
-                    got.returned |= is_returned;
-                    if is_returned && !got.ran.is_empty() {
-                        self.wrong(&id, "handed back although it may have run");
+                    self.record(format!("{id} gets a notice, returned: {is_returned}"));
+                    self.notices.insert(notice.message);
+                    let received = self.received.get_mut(&id).unwrap();
+                    received.is_returned |= is_returned;
+                    if is_returned && !received.may_have_run.is_empty() {
+                        self.fail(&id, "returned although it may have run");
                     }
                 }
                 Effect::Answer(_, Answer::Taken(message)) if self.rng.u8(..30) == 0 => {
@@ -406,68 +438,73 @@
         }
     }
 
-    fn stops(&mut self, message: MessageId, reason: StopReason) {
-        let Some(out) = self.out.get_mut(&message) else { return };
-        match (reason, out.gone) {
-            (StopReason::Withdrawn, Gone::Nothing) => self.ended(message, Outcome::Moot),
+    fn stop_call(&mut self, message: MessageId, reason: StopReason) {
+        let Some(network_call) = self.in_flight.get_mut(&message) else { return };
+        match (reason, network_call.sent) {
+            (StopReason::Withdrawn, Sent::Nothing) => self.end_call(message, Outcome::Moot),
             (StopReason::Withdrawn, _) => {}
             (StopReason::Cancelled, _) => {
-                out.called_off = true;
-                // Its end is told at once, or after what else happens meanwhile.
+                network_call.is_cancelled = true;
+                // The call ends at once, or later when time passes.
                 if self.rng.bool() {
-                    self.breaks(message, Outcome::Cancelled);
+                    self.end_unanswered(message, Outcome::Cancelled);
                 }
             }
         }
     }
 
-    /// What runs out: connections that do not come up, calls that are not answered, calls that were called off.
-    fn time_passes(&mut self) {
+    /// Advances the time and ends calls that were cancelled, or whose connection or answer timed out.
+    fn advance_time(&mut self) {
         self.now = self.now + ms(self.rng.u64(1..25));
-        for message in self.out.keys().copied().collect::<Vec<_>>() {
-            let out = &self.out[&message];
-            let waited = self.now - out.began;
-            if out.called_off {
-                self.breaks(message, Outcome::Cancelled);
-            } else if waited >= out.call.try_for || (out.gone == Gone::Nothing && waited >= CONNECT) {
-                self.breaks(message, Outcome::Timeout);
+        for message in self.in_flight.keys().copied().collect::<Vec<_>>() {
+            let network_call = &self.in_flight[&message];
+            let waited = self.now - network_call.started_at;
+            if network_call.is_cancelled {
+                self.end_unanswered(message, Outcome::Cancelled);
+            } else if waited >= network_call.call.try_for
+                || (network_call.sent == Sent::Nothing && waited >= CONNECT_TIMEOUT)
+            {
+                self.end_unanswered(message, Outcome::Timeout);
             }
         }
     }
 }
 
-fn a_day(seed: u64, turns: u32) -> (u32, usize) {
-    let mut world = World::new(seed);
+/// Runs a simulation. Returns the number of repeated calls and the number of messages.
+fn simulate(seed: u64, turns: u32) -> (u32, usize) {
+    let mut simulation = Simulation::new(seed);
     for turn in 0..turns {
-        world.time_passes();
+        simulation.advance_time();
         if turn % 50 == 49 {
-            // It stood still, and decides before it hears what came meanwhile.
-            world.now = world.now + ms(world.rng.u64(..2500));
+            // The process was paused, and decides before it handles the inputs that arrived meanwhile.
+            simulation.now = simulation.now + ms(simulation.rng.u64(..2500));
         }
-        for _ in 0..if turn % 50 == 49 { 0 } else { world.rng.u8(1..5) } {
-            world.something_happens();
+        for _ in 0..if turn % 50 == 49 { 0 } else { simulation.rng.u8(1..5) } {
+            simulation.trigger_random_event();
         }
-        match world.engine.turn(world.now) {
-            Ok(effects) => world.carry_out(effects),
-            Err(_) => world.is_killed(),
+        match simulation.engine.turn(simulation.now) {
+            Ok(effects) => simulation.execute_effects(effects),
+            Err(_) => simulation.kill(),
         }
     }
-    (world.repeats, world.got.len())
+    (simulation.repeats, simulation.received.len())
 }
 
-/// Days to play, and the first one.
-fn wanted(name: &str, usual: u64) -> u64 {
-    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
+/// Reads a number from the environment.
+fn env_or(name: &str, default: u64) -> u64 {
+    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
 #[test]
-fn no_effect_happens_twice_whatever_comes_between() {
-    let (first, days) = (wanted("ONCE_SEED", 1), wanted("ONCE_DAYS", 16));
+fn no_message_takes_effect_twice() {
+    let first_seed = env_or("ONCE_SEED", 1);
+    let runs = env_or("ONCE_DAYS", 16);
     let (mut repeats, mut messages) = (0, 0);
-    for seed in first..first + days {
-        let (more, handed) = a_day(seed, 3000);
-        (repeats, messages) = (repeats + more, messages + handed);
+    for seed in first_seed..first_seed + runs {
+        let (more_repeats, more_messages) = simulate(seed, 3000);
+        repeats += more_repeats;
+        messages += more_messages;
     }
-    // Where nothing is repeated nothing is shown.
-    assert!(repeats as u64 > 8 * days, "{repeats} repeats of {messages} messages prove little");
+    // The checks need repeated calls.
+    assert!(repeats as u64 > 8 * runs, "too few: {repeats} repeated calls for {messages} messages");
 }
--- a/crates/gullcart-engine/tests/promises.rs
+++ b/crates/gullcart-engine/tests/promises.rs
@@ -1,4 +1,4 @@
-//! Nothing leaves the engine before the journal has what it promises: seen by crashing after every turn.
+//! No effect leaves the engine before the journal holds what it promises. The tests simulate a crash after every turn.
 
 mod common;
 
@@ -14,20 +14,25 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-fn after_a_crash(disk: &Disk, crash: Crash) -> Image {
+/// The state that the journal has after a crash at this moment.
+fn image_after_crash(disk: &Disk, crash: Crash) -> Image {
     journal(&disk.crashed(), crash).image().clone()
 }
 
-/// Everything that effects promise stands in the journal that a crash would leave.
-fn kept(effects: &[Effect], orders: &BTreeMap<Ticket, OperatorCommand>, image: &Image) -> Result<(), String> {
+/// Checks that the journal after a crash holds everything that the effects promise.
+fn check_promises(
+    effects: &[Effect],
+    commands: &BTreeMap<Ticket, OperatorCommand>,
+    image: &Image,
+) -> Result<(), String> {
     for effect in effects {
-        let good = match effect {
+        let is_kept = match effect {
             Effect::Answer(_, Answer::Taken(message)) => image.held.contains_key(&message.0),
             Effect::StartCall(call) => image.held.get(&call.message.0).is_some_and(|held| held.out.is_some()),
-            Effect::CommandResult(ticket, Ok(())) => match orders.get(ticket) {
-                // The last word of a turn on an endpoint counts.
+            Effect::CommandResult(ticket, Ok(())) => match commands.get(ticket) {
+                // The last command for an endpoint in a turn decides.
                 Some(OperatorCommand::Suspend(uid) | OperatorCommand::Restore(uid)) => {
-                    let last = orders.values().rev().find(|order| match order {
+                    let last = commands.values().rev().find(|command| match command {
                         OperatorCommand::Suspend(other) | OperatorCommand::Restore(other) => other == uid,
                     });
                     image.suspended.contains(uid) == matches!(last, Some(OperatorCommand::Suspend(_)))
@@ -39,66 +44,72 @@
             }
             _ => true,
         };
-        if !good {
-            return Err(format!("{effect:?} left before the journal had it"));
+        if !is_kept {
+            return Err(format!("{effect:?} left the engine before the journal held what it promises"));
         }
     }
     Ok(())
 }
 
-/// A courier at work, with what its world knows.
-struct World {
+/// An engine with a simulated environment.
+struct Simulation {
     disk: Disk,
     crash: Crash,
     engine: Engine<Disk>,
     now: Time,
     rng: fastrand::Rng,
-    out: BTreeMap<MessageId, EndpointId>,
-    told: BTreeSet<MessageId>,
-    /// Orders of this turn.
-    orders: BTreeMap<Ticket, OperatorCommand>,
-    next: u64,
+    in_flight: BTreeMap<MessageId, EndpointId>,
+    /// Messages whose notices were sent and are not acknowledged.
+    notices: BTreeSet<MessageId>,
+    /// Operators' commands of this turn.
+    commands: BTreeMap<Ticket, OperatorCommand>,
+    /// The number that was used last for a message or a ticket.
+    last_number: u64,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, crash: Crash) -> Self {
         let disk = Disk::new(DISK, crash, seed);
         let engine = engine(&disk, crash, EPOCH);
         let rng = fastrand::Rng::with_seed(seed);
-        World {
+        Simulation {
             disk,
             crash,
             engine,
             now: EPOCH,
             rng,
-            out: BTreeMap::new(),
-            told: BTreeSet::new(),
-            orders: BTreeMap::new(),
-            next: 0,
+            in_flight: BTreeMap::new(),
+            notices: BTreeSet::new(),
+            commands: BTreeMap::new(),
+            last_number: 0,
         }
     }
 
-    fn something_happens(&mut self) {
+    /// Hands a random input to the engine.
+    fn handle_random_input(&mut self) {
         self.now = self.now + Duration::from_millis(self.rng.u64(0..60));
         let input = match self.rng.u8(..11) {
             10 => {
                 let uid = format!("s-{}", self.rng.u16(..8));
-                let order = if self.rng.bool() {
+                let command = if self.rng.bool() {
                     OperatorCommand::Suspend(uid)
                 } else {
                     OperatorCommand::Restore(uid)
                 };
-                self.next += 1;
-                self.orders.insert(Ticket(self.next), order.clone());
-                Input::Command(Ticket(self.next), order)
+                self.last_number += 1;
+                self.commands.insert(Ticket(self.last_number), command.clone());
+                Input::Command(Ticket(self.last_number), command)
             }
             0..4 => {
-                self.next += 1;
+                self.last_number += 1;
                 let class = if self.rng.bool() { "notice" } else { "salary" };
-                Input::Enqueue(Ticket(self.next), enqueue(self.next, class, self.rng.u16(..4).into()))
+                Input::Enqueue(
+                    Ticket(self.last_number),
+                    enqueue(self.last_number, class, self.rng.u16(..4).into()),
+                )
             }
             4..8 => {
-                let Some((message, endpoint)) = self.out.pop_first() else { return };
+                let Some((message, endpoint)) = self.in_flight.pop_first() else { return };
                 let outcome = match self.rng.u8(..8) {
                     0 => Outcome::Reset,
                     1 => Outcome::Full(Some(Duration::from_millis(200))),
@@ -114,7 +125,7 @@
                     CallResult { outcome, latency, is_final: complete, allowance: None },
                 )
             }
-            8 => Input::NoticesAcknowledged(std::mem::take(&mut self.told).into_iter().collect()),
+            8 => Input::NoticesAcknowledged(std::mem::take(&mut self.notices).into_iter().collect()),
             _ => {
                 let state = if self.rng.bool() { "DRAINING" } else { "SERVING" };
                 let targets = vec![target(self.rng.u16(..8).into(), state)];
@@ -124,23 +135,22 @@
         self.engine.handle(self.now, input);
     }
 
-    /// The courier goes on in another process: the same messages, calls and figures' gauges, and nothing is told anew but
-    /// ends that the platform has not heard.
-    fn moves(&mut self) {
+    /// Resumes the engine in another process, with the same messages, calls and metrics. Only notices are sent once more.
+    fn resume_in_other_process(&mut self) {
         let before = (self.engine.load(), self.engine.metrics(self.now).endpoints_excluded);
         let image = self.engine.journal().image().clone();
-        let (effects, block) = self.engine.freeze(self.now).unwrap();
+        let (effects, snapshot) = self.engine.freeze(self.now).unwrap();
         assert!(effects.is_empty(), "{effects:?}");
         let journal = journal(&self.disk, self.crash);
         assert_eq!(journal.image().held, image.held);
-        let (engine, resumed) = Engine::resume(config(self.now), journal, &block.unwrap());
+        let (engine, resumed) = Engine::resume(config(self.now), journal, &snapshot.unwrap());
         assert_eq!(resumed, Ok(()));
         self.engine = engine;
         assert_eq!((self.engine.load(), self.engine.metrics(self.now).endpoints_excluded), before);
-        // What the platform has answered meanwhile was for the process before; it is told all of it once more.
-        self.told.clear();
-        let out: BTreeMap<MessageId, EndpointId> = self.engine.calls_in_flight().collect();
-        assert_eq!(out, self.out);
+        // Acknowledgements that are on their way were meant for the process before. All notices are sent again.
+        self.notices.clear();
+        let in_flight: BTreeMap<MessageId, EndpointId> = self.engine.calls_in_flight().collect();
+        assert_eq!(in_flight, self.in_flight);
     }
 
     fn turn(&mut self) -> Vec<Effect> {
@@ -148,17 +158,17 @@
         for effect in &effects {
             match effect {
                 Effect::StartCall(call) => {
-                    let before = self.out.insert(call.message, call.endpoint);
-                    assert_eq!(before, None, "two calls of one message are out");
+                    let previous = self.in_flight.insert(call.message, call.endpoint);
+                    assert_eq!(previous, None, "two calls for one message are in flight");
                 }
-                Effect::SendNotice(notice) => drop(self.told.insert(notice.message)),
-                // None has left yet for good.
+                Effect::SendNotice(notice) => drop(self.notices.insert(notice.message)),
+                // The simulated call ends at once.
                 Effect::StopCall(message, StopReason::Cancelled) => {
-                    if let Some(endpoint) = self.out.remove(message) {
+                    if let Some(endpoint) = self.in_flight.remove(message) {
                         let latency = Duration::ZERO;
                         let outcome = Outcome::Cancelled;
-                        let ended = CallResult { outcome, latency, is_final: false, allowance: None };
-                        self.engine.handle(self.now, Input::CallEnded(*message, endpoint, ended));
+                        let result = CallResult { outcome, latency, is_final: false, allowance: None };
+                        self.engine.handle(self.now, Input::CallEnded(*message, endpoint, result));
                     }
                 }
                 _ => {}
@@ -168,46 +178,54 @@
     }
 }
 
-fn image_of(world: &World) -> &Image {
-    world.engine.journal().image()
+fn image_of(simulation: &Simulation) -> &Image {
+    simulation.engine.journal().image()
 }
 
-/// Each message has one end in the figures, and what has none is in flight; nothing goes to an endpoint that is out by hand.
-fn a_day(seed: u64, crash: Crash) -> (u64, u64) {
-    let mut world = World::new(seed, crash);
-    let (mut begun, mut told) = (0, 0);
+/// Runs a simulation and checks every turn: effects are covered by the journal, the counters agree with the messages held, and no
+/// call goes to a suspended endpoint. Returns the number of calls and of notices.
+fn simulate(seed: u64, crash: Crash) -> (u64, u64) {
+    let mut simulation = Simulation::new(seed, crash);
+    let mut calls = 0;
+    let mut notices = 0;
     for turn in 0..600 {
-        world.orders.clear();
-        for _ in 0..world.rng.u8(1..5) {
-            world.something_happens();
+        simulation.commands.clear();
+        for _ in 0..simulation.rng.u8(1..5) {
+            simulation.handle_random_input();
         }
-        let effects = world.turn();
-        let counts = world.engine.counts();
-        let (left, now) = (counts.unfinished(), world.engine.metrics(world.now).in_flight);
-        assert_eq!(left, now as u64, "seed {seed}, turn {turn}: {counts:?}");
+        let effects = simulation.turn();
+        let counts = simulation.engine.counts();
+        let unfinished = counts.unfinished();
+        let in_flight = simulation.engine.metrics(simulation.now).in_flight;
+        assert_eq!(unfinished, in_flight as u64, "seed {seed}, turn {turn}: {counts:?}");
         for effect in &effects {
             let Effect::StartCall(call) = effect else { continue };
             let uid = format!("s-{}", call.address.port() - 1000);
-            assert!(!image_of(&world).suspended.contains(&uid), "seed {seed}, turn {turn}: a call to {uid}");
+            assert!(
+                !image_of(&simulation).suspended.contains(&uid),
+                "seed {seed}, turn {turn}: a call to {uid}"
+            );
         }
-        begun += effects.iter().filter(|effect| matches!(effect, Effect::StartCall(_))).count() as u64;
-        told += effects.iter().filter(|effect| matches!(effect, Effect::SendNotice(_))).count() as u64;
-        let image = after_a_crash(&world.disk, crash);
-        kept(&effects, &world.orders, &image)
+        calls += effects.iter().filter(|effect| matches!(effect, Effect::StartCall(_))).count() as u64;
+        notices += effects.iter().filter(|effect| matches!(effect, Effect::SendNotice(_))).count() as u64;
+        let image = image_after_crash(&simulation.disk, crash);
+        check_promises(&effects, &simulation.commands, &image)
             .unwrap_or_else(|error| panic!("seed {seed}, turn {turn}: {error}"));
         if turn % 41 == 40 {
-            world.moves();
+            simulation.resume_in_other_process();
         }
         if turn % 97 == 96 {
-            // The process dies, and the next one takes up what it held: nothing unsafe that was out goes again.
-            let out: Vec<MessageId> = world.out.keys().copied().collect();
-            let salaries: Vec<MessageId> =
-                out.into_iter().filter(|message| image.held[&message.0].taken.class == "salary").collect();
-            world.disk = world.disk.crashed();
-            world.out.clear();
-            world.told.clear();
-            world.engine = engine(&world.disk, crash, world.now);
-            let effects = world.turn();
+            // The process dies and is restarted. Messages that must not be sent twice and were in flight are not sent again.
+            let in_flight: Vec<MessageId> = simulation.in_flight.keys().copied().collect();
+            let salaries: Vec<MessageId> = in_flight
+                .into_iter()
+                .filter(|message| image.held[&message.0].taken.class == "salary")
+                .collect();
+            simulation.disk = simulation.disk.crashed();
+            simulation.in_flight.clear();
+            simulation.notices.clear();
+            simulation.engine = engine(&simulation.disk, crash, simulation.now);
+            let effects = simulation.turn();
             for message in salaries {
                 assert!(!effects
                     .iter()
@@ -215,47 +233,49 @@
             }
         }
     }
-    (begun, told)
+    (calls, notices)
 }
 
 #[test]
-fn nothing_leaves_before_the_journal_has_it() {
+fn no_effect_leaves_before_the_journal_holds_it() {
     for crash in [Crash::Process, Crash::Machine] {
-        let (mut begun, mut told) = (0, 0);
+        let mut calls = 0;
+        let mut notices = 0;
         for seed in 0..3 {
-            let (more_begun, more_told) = a_day(seed, crash);
-            (begun, told) = (begun + more_begun, told + more_told);
+            let (more_calls, more_notices) = simulate(seed, crash);
+            calls += more_calls;
+            notices += more_notices;
         }
-        assert!(begun > 500 && told > 50, "{begun} calls and {told} notices prove little");
+        assert!(calls > 500 && notices > 50, "too few: {calls} calls and {notices} notices");
     }
 }
 
-/// The check above can fail: without its commit a turn's promises are lost with the machine.
+/// The check of the simulation can fail: if the journal does not sync, a crash of the machine loses what a turn promised.
 #[test]
-fn the_check_sees_a_promise_that_is_not_kept() {
+fn the_check_detects_a_broken_promise() {
     let disk = Disk::new(DISK, Crash::Machine, 1);
     let mut engine = engine(&disk, Crash::Process, EPOCH);
     engine.handle(EPOCH, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
     let effects = engine.turn(EPOCH).unwrap();
-    let lost = (0..50).any(|_| {
-        // Nothing was synced, so that the folder may come back with anything, or with damage.
+    let is_promise_lost = (0..50).any(|_| {
+        // Nothing was synced, so after the crash the folder may hold any part of the data, or be damaged.
         match Journal::replay(disk.crashed(), DISK, options(Crash::Process), 7) {
-            Ok(journal) => kept(&effects, &BTreeMap::new(), journal.image()).is_err(),
+            Ok(journal) => check_promises(&effects, &BTreeMap::new(), journal.image()).is_err(),
             Err(_) => true,
         }
     });
-    assert!(lost);
+    assert!(is_promise_lost);
 }
 
 #[test]
-fn what_cannot_be_written_is_refused_and_no_call_is_made() {
+fn without_a_writable_journal_messages_are_rejected_and_no_call_is_made() {
     let disk = Disk::new(DISK, Crash::Process, 1);
     let mut engine = engine(&disk, Crash::Process, EPOCH);
     engine.handle(EPOCH, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
     for operation in 1..200 {
         disk.fail(disk.operations() + operation, Fault::Error);
     }
-    // It was taken on while that could be written; its attempt cannot be.
+    // The first message was accepted while the journal was writable, but the start of its attempt cannot be recorded.
     engine.handle(EPOCH, Input::Enqueue(Ticket(2), enqueue(2, "salary", 1)));
     let effects = engine.turn(EPOCH).unwrap();
     let answers: Vec<&Effect> =
@@ -265,7 +285,7 @@
     assert!(!effects.iter().any(|effect| matches!(effect, Effect::StartCall(_))), "{effects:?}");
     assert!(engine.next_wake().is_some());
     disk.mend();
-    // Once it can be written the attempt is made.
+    // Once the journal is writable again the attempt is made.
     let mut now = EPOCH;
     for _ in 0..50 {
         now = now + Duration::from_millis(100);
@@ -276,10 +296,10 @@
     panic!("the message was never sent");
 }
 
-/// Who is told that a message came back hands it in again: the next process has to know, or sends it beside that. A failure
-/// is told all the same, as nobody comes again after one.
+/// A client whose message was returned enqueues it again. A restarted process has to know of it, or would send the message as
+/// well. A failure can be reported without a record in the journal, as clients do not enqueue failed messages again.
 #[test]
-fn what_cannot_be_written_is_not_handed_back() {
+fn without_a_writable_journal_a_message_fails_instead_of_being_returned() {
     for is_writable in [true, false] {
         let disk = Disk::new(DISK, Crash::Process, 1);
         let mut engine = engine(&disk, Crash::Process, EPOCH);
@@ -291,18 +311,18 @@
             disk.fail(disk.operations() + operation, Fault::Error);
         }
         let late = EPOCH + Duration::from_secs(21);
-        let told = |effect: &Effect| match effect {
+        let verdict = |effect: &Effect| match effect {
             Effect::SendNotice(notice) => Some(notice.verdict),
             _ => None,
         };
-        let verdicts: Vec<Verdict> = engine.turn(late).unwrap().iter().filter_map(told).collect();
+        let verdicts: Vec<Verdict> = engine.turn(late).unwrap().iter().filter_map(verdict).collect();
         assert_eq!(verdicts.len(), 1);
         assert_eq!(verdicts[0] == Verdict::Failed, !is_writable, "{verdicts:?}");
     }
 }
 
 #[test]
-fn a_failed_sync_is_final_and_gives_nothing_out() {
+fn a_failed_sync_is_final_and_releases_no_effects() {
     let disk = Disk::new(DISK, Crash::Machine, 1);
     let mut engine = engine(&disk, Crash::Machine, EPOCH);
     engine.turn(EPOCH).unwrap();
@@ -312,7 +332,7 @@
 }
 
 #[test]
-fn a_client_that_hands_in_the_same_again_hears_that_it_is_held() {
+fn a_client_that_enqueues_a_message_again_is_told_that_it_is_held() {
     let disk = Disk::new(DISK, Crash::Process, 1);
     let mut engine = engine(&disk, Crash::Process, EPOCH);
     for ticket in 1..=2 {
@@ -322,22 +342,22 @@
     engine.handle(EPOCH, Input::Enqueue(Ticket(3), other));
     let effects = engine.turn(EPOCH).unwrap();
     let answer = |number| {
-        let of = |effect: &Effect| match effect {
+        let answer_to = |effect: &Effect| match effect {
             Effect::Answer(Ticket(ticket), answer) if *ticket == number => Some(answer.clone()),
             _ => None,
         };
-        effects.iter().find_map(of)
+        effects.iter().find_map(answer_to)
     };
     assert!(matches!(answer(1), Some(Answer::Taken(_))));
     assert_eq!(answer(2), Some(Answer::Held));
     assert!(matches!(answer(3), Some(Answer::Error(_))));
-    // The first was not heard, but the second was: it stays.
+    // The client did not receive the first answer, but the second one, so the message stays.
     engine.handle(EPOCH, Input::AnswerUnacknowledged(MessageId(1)));
     assert_eq!(engine.load().0, 1);
 }
 
 #[test]
-fn it_ends_at_once_when_nothing_is_held_and_in_time_when_something_is() {
+fn the_process_exits_early_if_nothing_is_held_and_in_time_otherwise() {
     let disk = Disk::new(DISK, Crash::Process, 1);
     let mut engine = engine(&disk, Crash::Process, EPOCH);
     engine.handle(EPOCH, Input::Terminate);
@@ -349,34 +369,34 @@
     assert!(!engine.may_exit(EPOCH + Duration::from_millis(3199)));
     assert!(engine.may_exit(EPOCH + Duration::from_millis(3200)));
     assert!(engine.next_wake().is_some_and(|at| at <= EPOCH + Duration::from_millis(3200)));
-    let verdicts = after_a_crash(&disk, Crash::Process);
-    assert!(verdicts.held.values().all(|held| held.verdict != Some(Verdict::Returned { after_ms: 0 })));
+    let image = image_after_crash(&disk, Crash::Process);
+    assert!(image.held.values().all(|held| held.verdict != Some(Verdict::Returned { after_ms: 0 })));
 }
 
-/// Its outcome could not be written, nor could the next attempt, which was not made: whatever is written of that, the first one
-/// may have run, at every moment at which the process may die.
+/// Neither the outcome of the first attempt nor the start of the second one could be recorded, so the second one was not made.
+/// Whatever is recorded of it later, the journal must show at any moment that the first attempt may have run.
 #[test]
-fn an_attempt_that_is_not_made_leaves_the_one_before_as_it_was() {
+fn an_attempt_that_is_not_made_does_not_change_the_outcome_of_the_previous_one() {
     let disk = Disk::new(DISK, Crash::Process, 1);
     let mut engine = engine(&disk, Crash::Process, EPOCH);
     engine.handle(EPOCH, Input::Enqueue(Ticket(1), enqueue(1, "notice", 1)));
-    let begun = |effects: &[Effect]| {
+    let started_call = |effects: &[Effect]| {
         effects.iter().find_map(|effect| match effect {
             Effect::StartCall(call) => Some((call.message, call.endpoint)),
             _ => None,
         })
     };
-    let (message, endpoint) = begun(&engine.turn(EPOCH).unwrap()).unwrap();
+    let (message, endpoint) = started_call(&engine.turn(EPOCH).unwrap()).unwrap();
     for operation in 1..2000 {
         disk.fail(disk.operations() + operation, Fault::Error);
     }
     let latency = Duration::from_millis(40);
     let reset = CallResult { outcome: Outcome::Reset, latency, is_final: false, allowance: None };
     engine.handle(EPOCH, Input::CallEnded(message, endpoint, reset));
-    // The courier goes on in another process, whose journal has no outcome. Its repeat is due, and cannot be written.
-    let block = engine.freeze(EPOCH).unwrap().1.unwrap();
+    // Another process resumes the engine; its journal lacks the outcome. The retry is due, but its start cannot be recorded.
+    let snapshot = engine.freeze(EPOCH).unwrap().1.unwrap();
     disk.mend();
-    let (mut engine, resumed) = Engine::resume(config(EPOCH), journal(&disk, Crash::Process), &block);
+    let (mut engine, resumed) = Engine::resume(config(EPOCH), journal(&disk, Crash::Process), &snapshot);
     assert_eq!(resumed, Ok(()));
     for operation in 1..2000 {
         disk.fail(disk.operations() + operation, Fault::Error);
@@ -384,7 +404,7 @@
     let mut now = EPOCH;
     while engine.next_wake() != Some(Time::ZERO) {
         now = now + Duration::from_millis(5);
-        assert!(begun(&engine.turn(now).unwrap()).is_none() && now < EPOCH + Duration::from_secs(5));
+        assert!(started_call(&engine.turn(now).unwrap()).is_none() && now < EPOCH + Duration::from_secs(5));
     }
     disk.mend();
     disk.capture(1);
