--- a/crates/gullcart-engine/src/engine.rs
+++ b/crates/gullcart-engine/src/engine.rs
@@ -35,7 +35,7 @@
 /// Longest time for which the process may stall between reading its clock and a write.
 const MAX_PAUSE: Duration = Duration::from_millis(150);
 
-/// Result of an attempt that was never handed out as a call.
+/// Result of an attempt whose call was not started.
 const NOT_SENT: CallResult =
     CallResult { outcome: Outcome::Moot, latency: Duration::ZERO, is_final: false, allowance: None };
 
@@ -89,7 +89,7 @@
     held_by_id: HashMap<String, HeldMessage>,
     /// Calls in flight. The map is ordered, so that a run can be reproduced.
     in_flight: BTreeMap<MessageId, InFlightCall>,
-    /// Attempts that could not be handed out. The courier is told at the start of the next turn.
+    /// Attempts whose calls could not be started. Their results go to the courier at the start of the next turn.
     unsent: Vec<(MessageId, EndpointId)>,
     /// Effects of the current turn.
     effects: Vec<Effect>,
@@ -304,7 +304,7 @@
             self.wake_up = None;
             self.courier.handle(now, Event::TickDue(token));
         }
-        self.decide(now);
+        self.apply_decisions(now);
         if let Some(error) = self.journal.trouble() {
             self.log_journal_error(now, Err(error));
         }
@@ -390,7 +390,7 @@
     fn restore_message(&mut self, now: Time, number: u32, held: &Held) {
         self.held_by_id.insert(held.taken.id.clone(), HeldMessage { number, is_shared: false });
         let message = MessageId(number);
-        let Some(taken) = self.accepted(number, &held.taken) else {
+        let Some(taken) = self.to_accepted(number, &held.taken) else {
             warn!(
                 class = held.taken.class,
                 "the class of a held message is not in the settings; the message fails"
@@ -418,8 +418,8 @@
     }
 
     /// A message as the courier's decisions need it; `None` if its class is not in the settings.
-    fn accepted(&self, number: u32, taken: &Taken) -> Option<Accepted> {
-        let class = self.class(&taken.class)?;
+    fn to_accepted(&self, number: u32, taken: &Taken) -> Option<Accepted> {
+        let class = self.class_id(&taken.class)?;
         Some(Accepted {
             id: MessageId(number),
             class,
@@ -431,7 +431,8 @@
         })
     }
 
-    fn class(&self, name: &str) -> Option<ClassId> {
+    /// The index of a class in the settings.
+    fn class_id(&self, name: &str) -> Option<ClassId> {
         self.class_names.iter().position(|class| class == name).map(|index| ClassId(index as u8))
     }
 
@@ -439,7 +440,7 @@
     pub fn handle(&mut self, now: Time, input: Input) {
         match input {
             Input::Enqueue(ticket, enqueue) => {
-                let class = self.class(&enqueue.class);
+                let class = self.class_id(&enqueue.class);
                 let answer = self.enqueue(now, enqueue);
                 let counts = self.counts.class_mut(class.map(|class| usize::from(class.0)));
                 match &answer {
@@ -504,7 +505,7 @@
 
     /// Whether a message may be accepted. Returns the longest deadline that its class allows, or the answer to the client.
     fn check_admission(&mut self, now: Time, enqueue: &Enqueue) -> Result<Duration, Answer> {
-        let Some(class) = self.class(&enqueue.class) else { return Err(Answer::Error("unknown class")) };
+        let Some(class) = self.class_id(&enqueue.class) else { return Err(Answer::Error("unknown class")) };
         if let Some(same_id) = self.held_by_id.get_mut(&enqueue.id) {
             // Either the client repeats its request on a new connection, or the id is used for a second message.
             let held = self.journal.image().held.get(&same_id.number);
@@ -530,6 +531,7 @@
         Ok(max_time_left)
     }
 
+    /// Records a message in the journal and accepts it. Its deadline is at most `max_time_left` away.
     fn accept(&mut self, now: Time, enqueue: Enqueue, max_time_left: Duration) -> Answer {
         let destination = DestinationId(enqueue.destination);
         let taken = Taken {
@@ -552,7 +554,7 @@
                 taken.into_iter().for_each(|taken| message_trace::accepted(number, taken));
                 #[cfg(feature = "broken")]
                 let taken = taken.filter(|_| !self.fault_injector.fires(Fault::Swallows));
-                if let Some(accepted) = taken.and_then(|taken| self.accepted(number, taken)) {
+                if let Some(accepted) = taken.and_then(|taken| self.to_accepted(number, taken)) {
                     self.courier.handle(now, Event::Accept(accepted));
                 }
                 Answer::Taken(MessageId(number))
@@ -688,7 +690,7 @@
                     _ => self.counts.abandoned += 1,
                 }
             }
-            // After a pause of this process the delivery may have been too late. Its client is told of a failure then.
+            // A delivery that may have come after the deadline, because this process was paused, still gets a failure notice.
             if result.outcome == Outcome::Ok && !self.courier.is_surely_in_time(now, message) {
                 let written = self.journal.owe(message.0, Verdict::Failed);
                 self.log_journal_error(now, written);
@@ -727,7 +729,7 @@
     /// The counters of a message's class.
     fn class_counts(&mut self, message: MessageId) -> &mut ClassCounts {
         let held = self.journal.image().held.get(&message.0);
-        let class = held.and_then(|held| self.class(&held.taken.class));
+        let class = held.and_then(|held| self.class_id(&held.taken.class));
         self.counts.class_mut(class.map(|class| usize::from(class.0)))
     }
 
@@ -741,17 +743,18 @@
         }
     }
 
-    fn decide(&mut self, now: Time) {
+    /// Carries out the courier's decisions and records the outages that changed.
+    fn apply_decisions(&mut self, now: Time) {
         let mut actions = std::mem::take(&mut self.actions);
         self.courier.decide(now, &mut actions);
         for action in actions.drain(..) {
-            self.act(now, action);
+            self.apply_action(now, action);
         }
         self.actions = actions;
         self.record_outages(now);
     }
 
-    fn act(&mut self, now: Time, action: Action) {
+    fn apply_action(&mut self, now: Time, action: Action) {
         match action {
             Action::Route { message, endpoint, try_for, send_by } => {
                 self.start_call(now, message, endpoint, try_for, send_by);
@@ -778,6 +781,7 @@
         }
     }
 
+    /// Records the start of an attempt in the journal and starts its call.
     fn start_call(
         &mut self,
         now: Time,
