--- a/crates/gullcart-console/src/answer.rs
+++ b/crates/gullcart-console/src/answer.rs
@@ -1,6 +1,6 @@
 //! What a caller is answered.
 
-use gullcart_engine::{Denied, Ends, Reading};
+use gullcart_engine::{ClassCounts, CommandError, EngineMetrics};
 use std::fmt::{Display, Write};
 
 /// It is done, or so it is.
@@ -16,20 +16,26 @@
 }
 
 /// Why an order was not carried out, in an operator's words.
-pub fn denied(denied: Denied) -> &'static str {
+pub fn denied(denied: CommandError) -> &'static str {
     match denied {
-        Denied::Unknown => "no endpoint of that id was ever listed here",
-        Denied::Unwritten => "it cannot be written to the journal, so nothing was changed; see the log",
+        CommandError::UnknownEndpoint => "no endpoint of that id was ever listed here",
+        CommandError::NotRecorded => {
+            "it cannot be written to the journal, so nothing was changed; see the log"
+        }
     }
 }
 
 /// The figures, and a line that ends them. Counters are of this process, and begin at 0.
-pub fn figures(reading: &Reading) -> String {
+pub fn figures(reading: &EngineMetrics) -> String {
     let mut text = String::new();
     let mut line = |name: &str, value: u64, kind: &str| {
         let _ = writeln!(text, "{PREFIX}.{name}:{value}|{kind}");
     };
-    for (class, Ends { served, turned_away, handed_back, failed, unfit }) in &reading.classes {
+    for (
+        class,
+        ClassCounts { served, rejected: turned_away, returned: handed_back, failed, invalid: unfit },
+    ) in &reading.classes
+    {
         line(&format!("served.{class}"), *served, "c");
         line(&format!("refused.{class}"), turned_away + handed_back, "c");
         // To the client an error is the same as a notice that it failed.
--- a/crates/gullcart-console/src/answer/tests.rs
+++ b/crates/gullcart-console/src/answer/tests.rs
@@ -2,8 +2,8 @@
 
 #[test]
 fn figures_are_lines_of_their_own_and_end() {
-    let ends = Ends { served: 812, turned_away: 2, handed_back: 3, failed: 4, unfit: 1 };
-    let reading = Reading {
+    let ends = ClassCounts { served: 812, rejected: 2, returned: 3, failed: 4, invalid: 1 };
+    let reading = EngineMetrics {
         classes: vec![("pay-notice".to_owned(), ends)],
         attempts: 830,
         in_flight: 14,
--- a/crates/gullcart-emulator/src/calls.rs
+++ b/crates/gullcart-emulator/src/calls.rs
@@ -5,7 +5,7 @@
 use crate::events::{CallInTransit, EndpointCall, Scheduled};
 use crate::world::World;
 use cloverstile::{LimitReport, MessageId, Outcome};
-use gullcart_engine::{Call, Ended, Input, Stop};
+use gullcart_engine::{Call, CallResult, Input, StopReason};
 use gullcart_judge::trace::{Answer, At, By, CallId, CourierId, Event, State};
 use gullcart_rehearsal::Effect;
 use gullcart_standins::ids;
@@ -18,8 +18,8 @@
 /// After this the kernel says the first word of a connection again, then after twice as long, and so on.
 const FIRST_RETRY: Duration = Duration::from_secs(1);
 
-fn ended(outcome: Outcome, latency: Duration, allowance: Option<LimitReport>) -> Ended {
-    Ended { complete: outcome == Outcome::Ok, outcome, latency, allowance }
+fn ended(outcome: Outcome, latency: Duration, allowance: Option<LimitReport>) -> CallResult {
+    CallResult { is_final: outcome == Outcome::Ok, outcome, latency, allowance }
 }
 
 impl World<'_> {
@@ -276,7 +276,7 @@
         epoch: u32,
         message: MessageId,
         serial: u64,
-        ended: Ended,
+        ended: CallResult,
         keep: bool,
     ) {
         let now = self.now;
@@ -292,7 +292,7 @@
         if keep {
             process.keep(endpoint, address, now);
         }
-        self.input(courier, epoch, Input::Ended(message, endpoint, ended));
+        self.input(courier, epoch, Input::CallEnded(message, endpoint, ended));
     }
 
     /// The time that a call was given is up.
@@ -320,14 +320,14 @@
         self.finish(courier, epoch, message, serial, outcome, after);
     }
 
-    pub(crate) fn stop(&mut self, courier: usize, epoch: u32, message: MessageId, reason: Stop) {
+    pub(crate) fn stop(&mut self, courier: usize, epoch: u32, message: MessageId, reason: StopReason) {
         let Some(process) = self.places[courier].process(epoch) else { return };
         let Some(out) = process.out.get(&message).filter(|out| !out.is_done) else { return };
         match (reason, out.is_sent) {
-            (Stop::Withdrawn, true) => {}
-            (Stop::Withdrawn, false) => self.close(courier, epoch, message, Outcome::NotSent),
-            (Stop::CalledOff, false) => self.close(courier, epoch, message, Outcome::ConnectFailed),
-            (Stop::CalledOff, true) => self.close(courier, epoch, message, Outcome::Cancelled),
+            (StopReason::Withdrawn, true) => {}
+            (StopReason::Withdrawn, false) => self.close(courier, epoch, message, Outcome::NotSent),
+            (StopReason::Cancelled, false) => self.close(courier, epoch, message, Outcome::ConnectFailed),
+            (StopReason::Cancelled, true) => self.close(courier, epoch, message, Outcome::Cancelled),
         }
     }
 }
--- a/crates/gullcart-emulator/src/clients.rs
+++ b/crates/gullcart-emulator/src/clients.rs
@@ -107,13 +107,13 @@
         let deadline = arrival.at + Duration::from_secs_f64(class.deadline_s);
         let enqueue = Enqueue {
             id: ids::wire_id(message),
-            key: arrival.key.unwrap_or(0),
+            order_key: arrival.key.unwrap_or(0),
             class: class.name.clone(),
             destination: World::partner_id(arrival.partner).0,
             // Counted from when the client sent it: what came over the network is not taken off.
-            left: deadline - self.now,
+            time_left: deadline - self.now,
             idempotency_key: (class.effect == Effect::Keyed).then(|| ids::idempotency_key(origin as u64)),
-            again,
+            from_dead_courier: again,
             body: body(origin as u64, self.scenario.traffic.body),
         };
         self.input(courier, epoch, Input::Enqueue(Ticket(message.0), enqueue));
--- a/crates/gullcart-emulator/src/courier.rs
+++ b/crates/gullcart-emulator/src/courier.rs
@@ -2,7 +2,7 @@
 
 use crate::address::Address;
 use cloverstile::{EndpointId, MessageId, Time};
-use gullcart_engine::{Engine, IdleShare, EPOCH};
+use gullcart_engine::{Engine, IdleConnectionPolicy, EPOCH};
 use gullcart_journal::simulated::{Crash, Disk};
 use gullcart_judge::trace::{At, CallId, EndpointId as TraceEndpoint, State};
 use gullcart_message::{ListingUpdate, Target};
@@ -36,14 +36,14 @@
     pub out: BTreeMap<MessageId, OutCall>,
     idle: BTreeMap<EndpointId, Vec<(At, Address)>>,
     most_idle: usize,
-    share: IdleShare,
+    share: IdleConnectionPolicy,
     /// When its next turn is due, if one is.
     pub wake: Option<At>,
     pub is_ending: bool,
 }
 
 impl Process {
-    pub fn new(engine: Engine<Disk>, started: At, slots: u32, share: IdleShare) -> Self {
+    pub fn new(engine: Engine<Disk>, started: At, slots: u32, share: IdleConnectionPolicy) -> Self {
         let most_idle = IDLE_OF_SLOTS * slots as usize;
         let (out, idle) = Default::default();
         Process { engine, started, out, idle, most_idle, share, wake: None, is_ending: false }
@@ -72,7 +72,7 @@
 
     /// A connection is of further use.
     pub fn keep(&mut self, endpoint: EndpointId, address: Address, now: At) {
-        if !self.share.keeps() {
+        if !self.share.should_keep() {
             return;
         }
         if self.idle.values().map(Vec::len).sum::<usize>() >= self.most_idle {
--- a/crates/gullcart-emulator/src/events.rs
+++ b/crates/gullcart-emulator/src/events.rs
@@ -2,10 +2,10 @@
 
 use crate::address::Address;
 use cloverstile::{MessageId, Outcome};
-use gullcart_engine::{Ended, Notice};
+use gullcart_engine::{CallResult, Notice};
 use gullcart_judge::trace::{At, CallId, EndpointId, MessageId as HandInId, State, Told};
 #[cfg(feature = "broken")]
-use gullcart_message::Update;
+use gullcart_message::ListingUpdate;
 use gullcart_standins::partner::Fate;
 
 /// An endpoint of a partner.
@@ -80,7 +80,7 @@
     /// A courier closes the connection of a call.
     Cut(CallId),
     /// A call's end reaches its courier; with a connection that is of further use.
-    Back { courier: usize, epoch: u32, message: MessageId, serial: u64, ended: Ended, keep: bool },
+    Back { courier: usize, epoch: u32, message: MessageId, serial: u64, ended: CallResult, keep: bool },
     /// A courier gives a call up.
     GiveUp { courier: usize, epoch: u32, message: MessageId, serial: u64 },
     /// A call's connection does not come up in time.
@@ -95,7 +95,7 @@
     ToldAtLast(usize),
     /// What is kept back by a broken courier.
     #[cfg(feature = "broken")]
-    HeardAtLast(usize, u32, Update),
+    HeardAtLast(usize, u32, ListingUpdate),
     /// Something is done to the world.
     Act(usize),
     /// A process starts.
--- a/crates/gullcart-emulator/src/faults.rs
+++ b/crates/gullcart-emulator/src/faults.rs
@@ -94,7 +94,7 @@
             Action::Move(courier) => {
                 let (list, epoch) = (self.places[courier].agent.list(), self.places[courier].epoch);
                 if !self.places[courier].agent.is_silent {
-                    self.input(courier, epoch, Input::Listed(list));
+                    self.input(courier, epoch, Input::ListUpdate(list));
                 }
             }
             // Not modelled: the courier goes on.
@@ -155,7 +155,7 @@
         for (endpoint, state) in told {
             self.note(Event::Listed { courier: CourierId(courier as u16), endpoint, state });
         }
-        self.input(courier, epoch, Input::Listed(update));
+        self.input(courier, epoch, Input::ListUpdate(update));
     }
 
     /// What was not told counts as told.
--- a/crates/gullcart-emulator/src/play.rs
+++ b/crates/gullcart-emulator/src/play.rs
@@ -115,7 +115,7 @@
             }
             Scheduled::Notice(courier, epoch, notice) => self.noticed(courier, epoch, &notice),
             Scheduled::Heard(courier, epoch, message) => {
-                self.input(courier, epoch, Input::Heard(vec![message]));
+                self.input(courier, epoch, Input::NoticesAcknowledged(vec![message]));
             }
             Scheduled::News(courier, partner, standing, state) => {
                 self.news(courier, partner, standing, state);
@@ -123,7 +123,7 @@
             Scheduled::ToldAtLast(courier) => self.told_at_last(courier),
             #[cfg(feature = "broken")]
             Scheduled::HeardAtLast(courier, epoch, update) => {
-                self.input(courier, epoch, Input::HeardAtLast(update));
+                self.input(courier, epoch, Input::DelayedListUpdate(update));
             }
             Scheduled::Act(number) => self.next_action(number),
             Scheduled::Start(courier) => self.start(courier)?,
--- a/crates/gullcart-emulator/src/processes.rs
+++ b/crates/gullcart-emulator/src/processes.rs
@@ -5,7 +5,9 @@
 use crate::outcome::EmulationError;
 use crate::world::World;
 use cloverstile::EndpointId;
-use gullcart_engine::{Answer, Effect, Engine, IdleShare, Input, Notice, Start, Ticket, EPOCH};
+use gullcart_engine::{
+    Answer, Effect, Engine, EngineConfig, IdleConnectionPolicy, Input, Notice, Ticket, EPOCH,
+};
 use gullcart_journal::simulated::Disk;
 use gullcart_journal::{Journal, Options};
 use gullcart_judge::trace::{At, CourierId, Ended, Event, MessageId as HandInId, Process as What, Told};
@@ -26,8 +28,8 @@
         let (now, seed) = (self.now, self.rng.u64(..));
         self.note(Event::Process { courier: CourierId(courier as u16), what: What::Started });
         let engine = self.load_engine(courier, seed)?;
-        let rev = engine.rev();
-        let share = IdleShare::new(self.parsed.settings.couriers, seed);
+        let rev = engine.list_revision();
+        let share = IdleConnectionPolicy::new(self.parsed.settings.couriers, seed);
         let place = &mut self.places[courier];
         place.epoch += 1;
         let epoch = place.epoch;
@@ -35,7 +37,7 @@
         // Its watch tells it at once what has changed since the list that it remembers.
         if place.agent.rev > rev && !place.agent.is_silent {
             let list = place.agent.list();
-            self.input(courier, epoch, Input::Listed(list));
+            self.input(courier, epoch, Input::ListUpdate(list));
         }
         if !self.places[courier].agent.is_silent {
             self.count_as_told(courier);
@@ -55,20 +57,20 @@
         let journal =
             Journal::replay(place.disk.clone(), disk, Options::default(), seed | 1).map_err(failed)?;
         #[cfg(feature = "broken")]
-        let broken = gullcart_engine::broken::Broken::chosen(self.broken).unwrap_or_default();
+        let broken = gullcart_engine::broken::FaultInjector::from_name(self.broken).unwrap_or_default();
         let parsed = self.parsed.clone();
         // As the daemon does.
         #[cfg(feature = "broken")]
-        let parsed = broken.settings(parsed);
-        let start = Start {
-            parsed,
+        let parsed = broken.apply_to_settings(parsed);
+        let start = EngineConfig {
+            parsed_settings: parsed,
             seed,
-            known: place.agent.list(),
+            initial_list: place.agent.list(),
             now: EPOCH,
             epoch_ms: BEGIN_MS + self.now.0 / 1000,
-            fingerprint: 0,
+            settings_checksum: 0,
             #[cfg(feature = "broken")]
-            broken,
+            fault_injector: broken,
         };
         Ok(Engine::new(start, journal))
     }
@@ -115,7 +117,7 @@
                 return;
             }
         };
-        let may_end = process.is_ending && process.engine.may_end(time);
+        let may_end = process.is_ending && process.engine.may_exit(time);
         let next = process.engine.next_wake().map(|at| process.at(at).max(now));
         for effect in effects {
             self.effect(courier, epoch, effect);
@@ -138,9 +140,9 @@
                 let at = self.over_there();
                 self.queue.put(at, Scheduled::Told(HandInId(message), told));
             }
-            Effect::Begin(call) => self.begin(courier, epoch, &call),
-            Effect::Stop(message, reason) => self.stop(courier, epoch, message, reason),
-            Effect::Tell(notice) => {
+            Effect::StartCall(call) => self.begin(courier, epoch, &call),
+            Effect::StopCall(message, reason) => self.stop(courier, epoch, message, reason),
+            Effect::SendNotice(notice) => {
                 let at = self.over_there();
                 self.queue.put(at, Scheduled::Notice(courier, epoch, notice));
             }
@@ -149,26 +151,26 @@
                     process.close(|other: EndpointId| other == endpoint);
                 }
             }
-            Effect::CloseShut => {
+            Effect::CloseIdleUnavailable => {
                 if let Some(process) = self.places[courier].process(epoch) {
                     process.close_shut();
                 }
             }
             // No operator calls there yet.
-            Effect::Closing | Effect::Ordered(..) => {}
+            Effect::AnnounceShutdown | Effect::CommandResult(..) => {}
             #[cfg(feature = "broken")]
-            Effect::HearLater(update, after) => {
+            Effect::DelayListUpdate(update, after) => {
                 self.queue.put(self.now + after, Scheduled::HeardAtLast(courier, epoch, update));
             }
             #[cfg(feature = "broken")]
-            Effect::TellLater(notice, at) => {
+            Effect::DelayNotice(notice, at) => {
                 if let Some(process) = self.places[courier].process(epoch) {
                     let at = process.at(at);
                     self.queue.put(at.max(self.now), Scheduled::Notice(courier, epoch, notice));
                 }
             }
             #[cfg(feature = "broken")]
-            Effect::BeginUnknown(call) => self.begin_unknown(courier, epoch, &call),
+            Effect::StartUntrackedCall(call) => self.begin_unknown(courier, epoch, &call),
         }
     }
 
--- /dev/null
+++ b/crates/gullcart-engine/src/destination_metrics.rs
@@ -0,0 +1,131 @@
+//! Debug log lines with each destination's messages, calls and answers of the last second, to compare many couriers at once.
+
+use cloverstile::{DestinationId, DestinationStatus, LimitReport, Outcome};
+use std::collections::BTreeMap;
+use tracing::{debug, enabled, Level};
+
+/// Log target of these lines. `GULLCART_LOG=gullcart::tally=debug` enables them.
+pub const DESTINATION_METRICS_TARGET: &str = "gullcart::tally";
+/// Maximum destinations logged per second. The rest is summed up in the field `beyond` of one more line.
+const MAX_DESTINATIONS: usize = 1024;
+
+/// Counters of one destination since the last log line.
+#[derive(Default)]
+struct Counters {
+    /// Messages accepted.
+    accepted: u32,
+    /// Calls that delivered their message.
+    ok: u32,
+    /// Calls rejected with backpressure.
+    rejected: u32,
+    /// Of these, the ones that gave a retry-after time.
+    with_retry_after: u32,
+    /// Calls without an answer whose outcome is ambiguous, and cancelled ones.
+    lost: u32,
+    /// Calls answered with an error or with a malformed answer.
+    error: u32,
+    /// Calls whose connection could not be opened.
+    unconnected: u32,
+    /// Sum of the remaining shares of the rate limit that answers reported.
+    left_sum: f64,
+    /// Number of the reports in `left_sum`.
+    left_count: u32,
+}
+
+/// Counters of all destinations since the last log lines, for at most [`MAX_DESTINATIONS`] destinations.
+#[derive(Default)]
+pub struct DestinationMetrics {
+    counters: BTreeMap<DestinationId, Counters>,
+    /// Events and waiting destinations that are not logged one by one.
+    beyond: u32,
+}
+
+impl DestinationMetrics {
+    fn counters_mut(&mut self, destination: DestinationId) -> Option<&mut Counters> {
+        if !enabled!(target: DESTINATION_METRICS_TARGET, Level::DEBUG) {
+            return None;
+        }
+        if self.counters.len() >= MAX_DESTINATIONS && !self.counters.contains_key(&destination) {
+            self.beyond += 1;
+            return None;
+        }
+        Some(self.counters.entry(destination).or_default())
+    }
+
+    /// Counts a message that was accepted.
+    pub fn message_accepted(&mut self, destination: DestinationId) {
+        if let Some(counters) = self.counters_mut(destination) {
+            counters.accepted += 1;
+        }
+    }
+
+    /// Counts a call that ended. `allowance` is the rate limit that the answer reported.
+    pub fn call_ended(
+        &mut self,
+        destination: DestinationId,
+        outcome: Outcome,
+        allowance: Option<LimitReport>,
+    ) {
+        let Some(counters) = self.counters_mut(destination) else { return };
+        if let Some(allowance) = allowance.filter(|allowance| allowance.limit > 0.0) {
+            counters.left_sum += allowance.remaining_share;
+            counters.left_count += 1;
+        }
+        match outcome {
+            Outcome::Ok => counters.ok += 1,
+            Outcome::Rejected(retry_after) => {
+                counters.rejected += 1;
+                counters.with_retry_after += u32::from(retry_after.is_some());
+            }
+            Outcome::ConnectFailed => counters.unconnected += 1,
+            Outcome::Error | Outcome::Malformed => counters.error += 1,
+            Outcome::Timeout | Outcome::Reset | Outcome::Cancelled => counters.lost += 1,
+            Outcome::NotSent | Outcome::AttemptsExhausted => {}
+        }
+    }
+
+    /// Logs and resets the counters, together with the destinations for which messages wait or calls are in flight.
+    pub fn log(&mut self, standings: impl Iterator<Item = DestinationStatus>) {
+        if !enabled!(target: DESTINATION_METRICS_TARGET, Level::DEBUG) {
+            return;
+        }
+        let mut counters = std::mem::take(&mut self.counters);
+        let mut logged = 0;
+        for standing in standings {
+            // Destinations with counters take precedence: a line is reserved for each of them.
+            let Some(destination_counters) = counters.remove(&standing.destination) else {
+                if logged + counters.len() >= MAX_DESTINATIONS {
+                    self.beyond += 1;
+                } else {
+                    logged += 1;
+                    log_destination(standing.destination, &Counters::default(), Some(standing));
+                }
+                continue;
+            };
+            logged += 1;
+            log_destination(standing.destination, &destination_counters, Some(standing));
+        }
+        for (destination, destination_counters) in counters {
+            log_destination(destination, &destination_counters, None);
+        }
+        let beyond = std::mem::take(&mut self.beyond);
+        if beyond > 0 {
+            debug!(
+                target: DESTINATION_METRICS_TARGET, beyond,
+                "events and waiting destinations not listed, as the limit of destinations was reached"
+            );
+        }
+    }
+}
+
+fn log_destination(destination: DestinationId, counters: &Counters, standing: Option<DestinationStatus>) {
+    let Counters { accepted, ok, rejected, with_retry_after, lost, error, unconnected, .. } = counters;
+    let left = (counters.left_count > 0).then(|| counters.left_sum / f64::from(counters.left_count));
+    let (waiting, out) = standing.map_or((0, 0), |s| (s.waiting, s.calls_in_flight));
+    let hold = standing.filter(|s| s.waiting > 0).map(|s| s.wait_reason);
+    let (pace, limit) = standing.map_or((0.0, 0.0), |s| (s.rate, s.limit));
+    debug!(
+        target: DESTINATION_METRICS_TARGET, destination = destination.0, taken = accepted, ok, full = rejected,
+        told = with_retry_after, lost, error, unconnected, waiting, out, ?hold, pace, limit, left, "tally"
+    );
+}
--- a/crates/gullcart-engine/src/engine.rs
+++ b/crates/gullcart-engine/src/engine.rs
@@ -1,6 +1,8 @@
-//! The courier between its sockets, its journal and its decisions: what is known, out and owed. Inputs come with the time,
-//! effects are handed out once a turn is over and all that they promise is in the journal. No socket, no clock: the loop
-//! round it moves bytes.
+//! The courier's state machine: which messages it holds, which calls are in flight and which notices are pending. It connects
+//! the I/O around it, the journal, and the decisions of [`cloverstile`].
+//!
+//! Inputs come with the current time. Effects are returned at the end of a turn, when the journal holds everything that they
+//! promise.
 
 use cloverstile::*;
 use gullcart_journal::{Journal, JournalError, JournalStats, PendingMessage, PersistedOutage, Store};
@@ -10,58 +12,68 @@
 use tracing::{error, info, warn};
 
 #[cfg(feature = "broken")]
-use crate::broken::{Broken, Fault, DEAF_FOR};
-use crate::carried::{self, Carried, CarriedError, CarriedOut as Out, Label, FORMAT};
+use crate::broken::{Fault, FaultInjector, LIST_UPDATE_DELAY};
 use crate::clock::Clock;
+use crate::destination_metrics::DestinationMetrics;
 use crate::directory::Directory;
-use crate::figures::{Counts, Ends, Reading};
-use crate::seldom::Seldom;
-use crate::tally::Tally;
-use crate::trail;
-use crate::trials::{DutyView, TrialDuties, TrialWish};
-use crate::vocabulary::{
-    Answer, Call, Denied, Effect as Doing, Ended, Enqueue, Input, Notice, Order, Stop, Ticket,
+use crate::engine_snapshot::{
+    self, EngineSnapshot, InFlightCall, ResumeError, SnapshotHeader, SNAPSHOT_FORMAT,
 };
+use crate::message_trace;
+use crate::metrics::{ClassCounts, EngineMetrics, MessageCounts};
+use crate::rate_limited_log::RateLimitedLog;
+use crate::trial_duties::{DutyView, TrialDuties, TrialRequest};
+use crate::types::{
+    Answer, Call, CallResult, CommandError, Effect, Enqueue, Input, Notice, OperatorCommand, StopReason,
+};
+
+/// Longest time from SIGTERM until the process exits. SIGKILL follows after 3.7 s.
+const MAX_SHUTDOWN: Duration = Duration::from_millis(3200);
+/// Shortest time from SIGTERM until the process exits. New connections keep arriving for 0.4 s.
+const MIN_SHUTDOWN: Duration = Duration::from_millis(600);
 
-/// From SIGTERM until the process ends at the latest: SIGKILL comes after 3.7 s.
-const CLOSING: Duration = Duration::from_millis(3200);
-/// From SIGTERM until it ends at the earliest: new connections go on coming for 0.4 s.
-const CLOSING_LEAST: Duration = Duration::from_millis(600);
+/// Longest time for which the process may stall between reading its clock and a write.
+const MAX_PAUSE: Duration = Duration::from_millis(150);
 
-/// How long a courier may be held up between reading its clock and writing.
-const HELD_UP: Duration = Duration::from_millis(150);
+/// Result of an attempt whose call was not started.
+const NOT_SENT: CallResult =
+    CallResult { outcome: Outcome::NotSent, latency: Duration::ZERO, is_final: false, allowance: None };
 
 /// A message that is held.
-struct Known {
+struct HeldMessage {
     number: u32,
-    /// A hand-in after the first one was told that it is held: the first can withdraw it no more.
-    shared: bool,
+    /// A later enqueue request was answered that the message is already held, so the first client may not drop it any more.
+    is_shared: bool,
 }
 
-/// An attempt that was not made.
-const NOT_MADE: Ended =
-    Ended { outcome: Outcome::NotSent, latency: Duration::ZERO, complete: false, allowance: None };
+/// When the process exits after it was asked to shut down.
+struct Shutdown {
+    /// Not before this moment, even if nothing is held.
+    earliest_exit: Time,
+    /// Not after this moment, whatever is held.
+    latest_exit: Time,
+}
 
-/// How an engine is begun.
-pub struct Start {
+/// What an engine is created from.
+pub struct EngineConfig {
     /// The settings.
-    pub parsed: ParsedSettings,
-    /// For random numbers.
+    pub parsed_settings: ParsedSettings,
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// The list as the configuration has it; it may be old.
-    pub known: ListingUpdate,
-    /// The module's time now.
+    /// The list of endpoints from the configuration, which may be out of date.
+    pub initial_list: ListingUpdate,
+    /// The current time.
     pub now: Time,
-    /// Unix milliseconds of [`crate::EPOCH`].
+    /// Unix time of [`crate::EPOCH`] in milliseconds.
     pub epoch_ms: u64,
-    /// Sum over the settings: who carries books over must have the same.
-    pub fingerprint: u32,
-    /// What is broken.
+    /// Checksum of the settings. A snapshot can be resumed only under the same settings.
+    pub settings_checksum: u32,
+    /// Injects a fault for tests.
     #[cfg(feature = "broken")]
-    pub broken: Broken,
+    pub fault_injector: FaultInjector,
 }
 
-/// A courier.
+/// A courier, without its I/O.
 pub struct Engine<S: Store> {
     courier: Courier,
     clock: Clock,
@@ -70,259 +82,275 @@
     class_names: Vec<String>,
     classes: Vec<Class>,
     settings: Settings,
-    fingerprint: u32,
-    most_held: usize,
-    /// The messages held, by their ids.
-    known: HashMap<String, Known>,
-    /// In order, so that the same happens wherever it is played.
-    out: BTreeMap<MessageId, Out>,
-    /// Attempts that could not be made, of which the module hears in the next turn.
-    not_made: Vec<(MessageId, EndpointId)>,
-    effects: Vec<Doing>,
-    ends: Option<(Time, Time)>,
-    wake: Option<(Time, u64)>,
+    settings_checksum: u32,
+    /// Maximum number of messages held.
+    max_held: usize,
+    /// The messages that are held, by the client's id.
+    held_by_id: HashMap<String, HeldMessage>,
+    /// Calls in flight. The map is ordered, so that a run can be reproduced.
+    in_flight: BTreeMap<MessageId, InFlightCall>,
+    /// Attempts whose calls could not be started. Their results go to the courier at the start of the next turn.
+    unsent: Vec<(MessageId, EndpointId)>,
+    /// Effects of the current turn.
+    effects: Vec<Effect>,
+    shutdown: Option<Shutdown>,
+    /// When the courier's timer is due, and the timer's token.
+    wake_up: Option<(Time, u64)>,
+    /// Buffer for the courier's decisions, reused between turns.
     actions: Vec<Action>,
-    counts: Counts,
-    /// What of it the log has told.
-    logged: Counts,
-    tally: Tally,
-    journal_errors: Seldom,
-    outage_lines: Seldom,
-    /// What is remembered of outages was compared with the journal as a whole once.
-    has_noted_outages: bool,
-    wait_lines: Seldom,
+    counts: MessageCounts,
+    /// The counters at the time of the last call to [`Engine::log_activity`].
+    logged_counts: MessageCounts,
+    destination_metrics: DestinationMetrics,
+    journal_error_log: RateLimitedLog,
+    outage_log: RateLimitedLog,
+    /// The journal was compared once with all outages; since then only changes are recorded.
+    outages_synchronized: bool,
+    retry_after_log: RateLimitedLog,
     #[cfg(feature = "broken")]
-    broken: Broken,
+    fault_injector: FaultInjector,
 }
 
 impl<S: Store> Engine<S> {
-    /// A courier that has taken up again all that the journal holds.
-    pub fn new(start: Start, journal: Journal<S>) -> Self {
-        let (now, known) = (start.now, start.known.clone());
-        let mut engine = Engine::empty(start, journal);
-        engine.restore(now, known);
+    /// Creates an engine with the messages, endpoints and outages that the journal holds.
+    pub fn new(config: EngineConfig, journal: Journal<S>) -> Self {
+        let now = config.now;
+        let initial_list = config.initial_list.clone();
+        let mut engine = Engine::without_messages(config, journal);
+        engine.restore(now, initial_list);
         engine
     }
 
-    /// The courier of the process before, as it stopped ([`Engine::freeze`]), with the journal that this one left. Its calls
-    /// out are still out here. Where the block cannot be taken up, the courier starts from the journal alone, and nothing
-    /// is out; the reason is told.
-    pub fn resume(start: Start, journal: Journal<S>, block: &[u8]) -> (Self, Result<(), CarriedError>) {
-        let (now, known, seed) = (start.now, start.known.clone(), start.seed);
-        let mut engine = Engine::empty(start, journal);
-        let carried = carried::read(block, engine.fingerprint);
-        let same = |carried: &Carried| {
+    /// Creates an engine from the snapshot of another process ([`Engine::freeze`]) and the journal that this process left.
+    /// Calls that were in flight there are in flight here. If the snapshot cannot be used, the engine starts from the journal
+    /// alone without any call in flight, and the reason is returned with it.
+    pub fn resume(
+        config: EngineConfig,
+        journal: Journal<S>,
+        snapshot: &[u8],
+    ) -> (Self, Result<(), ResumeError>) {
+        let now = config.now;
+        let initial_list = config.initial_list.clone();
+        let seed = config.seed;
+        let mut engine = Engine::without_messages(config, journal);
+        let snapshot = engine_snapshot::read(snapshot, engine.settings_checksum);
+        let matches_journal = |snapshot: &EngineSnapshot| {
             let held = &engine.journal.state().pending;
             held.iter()
-                .all(|(number, held)| held.verdict.is_some() || carried.courier.holds(MessageId(*number)))
-                && carried.out.keys().all(|message| held.contains_key(&message.0))
+                .all(|(number, held)| held.verdict.is_some() || snapshot.courier.holds(MessageId(*number)))
+                && snapshot.in_flight.keys().all(|message| held.contains_key(&message.0))
         };
-        let done = match carried {
-            Ok(carried) if same(&carried) => {
-                engine.take_up(now, seed, carried);
+        let result = match snapshot {
+            Ok(snapshot) if matches_journal(&snapshot) => {
+                engine.restore_from_snapshot(now, seed, snapshot);
                 Ok(())
             }
             other => {
-                engine.restore(now, known);
-                Err(other.err().unwrap_or(CarriedError::Journal))
+                engine.restore(now, initial_list);
+                Err(other.err().unwrap_or(ResumeError::JournalMismatch))
             }
         };
-        (engine, done)
+        (engine, result)
     }
 
-    fn take_up(&mut self, now: Time, seed: u64, carried: Carried) {
-        let Carried { courier, directory, out, shared, wake } = carried;
+    fn restore_from_snapshot(&mut self, now: Time, seed: u64, snapshot: EngineSnapshot) {
+        let EngineSnapshot { courier, directory, in_flight, shared_messages, wake_up } = snapshot;
         self.courier = courier.resumed(self.settings.clone(), seed);
-        (self.directory, self.out, self.wake) = (directory.resumed(), out, wake);
+        self.directory = directory.resumed();
+        self.in_flight = in_flight;
+        self.wake_up = wake_up;
         for (number, held) in &self.journal.state().pending {
-            let known = Known { number: *number, shared: shared.contains(&MessageId(*number)) };
-            self.known.insert(held.message.id.clone(), known);
-            self.counts.found += u64::from(held.verdict.is_none());
-            // The platform may not have answered yet; a notice that comes twice does no harm.
+            let is_shared = shared_messages.contains(&MessageId(*number));
+            self.held_by_id.insert(held.message.id.clone(), HeldMessage { number: *number, is_shared });
+            self.counts.recovered += u64::from(held.verdict.is_none());
+            // The platform may not have acknowledged the notice yet. Receiving it twice is harmless.
             if let Some(verdict) = held.verdict {
                 let (message, id) = (MessageId(*number), held.message.id.clone());
-                self.effects.push(Doing::Tell(Notice { message, id, verdict }));
+                self.effects.push(Effect::SendNotice(Notice { message, id, verdict }));
             }
         }
         self.suspend_listed(now);
         let (held, out) = self.load();
-        info!(held, out, rev = self.rev(), "the courier goes on in this process");
+        info!(held, out, rev = self.list_revision(), "resumed from the snapshot of another process");
     }
 
-    /// Stops between two turns: what happened so far is in the journal, and what it brought about is handed out, but no
-    /// call is begun any more. The block is the courier for [`Engine::resume`], in another process or in this one; none
-    /// where it cannot be written. Whatever is handled after this is lost with this engine.
-    pub fn freeze(&mut self, now: Time) -> Result<(Vec<Doing>, Option<Vec<u8>>), JournalError> {
-        for (message, endpoint) in std::mem::take(&mut self.not_made) {
-            self.ended(now, message, endpoint, NOT_MADE, false);
+    /// Stops the engine between two turns. Commits the journal and returns the remaining effects, among which no call is
+    /// started, and a snapshot for [`Engine::resume`] in this or another process; no snapshot if it cannot be serialized.
+    /// Inputs that this engine handles afterwards are lost.
+    pub fn freeze(&mut self, now: Time) -> Result<(Vec<Effect>, Option<Vec<u8>>), JournalError> {
+        for (message, endpoint) in std::mem::take(&mut self.unsent) {
+            self.call_ended(now, message, endpoint, NOT_SENT, false);
         }
-        self.note_outages(now);
+        self.record_outages(now);
         self.journal.commit()?;
         let effects = std::mem::take(&mut self.effects);
-        let label = Label { format: FORMAT, settings: self.fingerprint };
-        let shared = self.known.values().filter(|known| known.shared).map(|known| MessageId(known.number));
-        let carried = Carried {
-            shared: shared.collect(),
+        let header = SnapshotHeader { format: SNAPSHOT_FORMAT, settings: self.settings_checksum };
+        let shared = self.held_by_id.values().filter(|held| held.is_shared);
+        let snapshot = EngineSnapshot {
+            shared_messages: shared.map(|held| MessageId(held.number)).collect(),
             courier: std::mem::take(&mut self.courier),
             directory: std::mem::take(&mut self.directory),
-            out: std::mem::take(&mut self.out),
-            wake: self.wake,
+            in_flight: std::mem::take(&mut self.in_flight),
+            wake_up: self.wake_up,
         };
-        Ok((effects, carried::write(&label, &carried).ok()))
+        Ok((effects, engine_snapshot::write(&header, &snapshot).ok()))
     }
 
-    /// The courier ends soon, by its own doing.
-    pub fn is_ending(&self) -> bool {
-        self.ends.is_some()
+    /// Whether the process was asked to shut down.
+    pub fn is_shutting_down(&self) -> bool {
+        self.shutdown.is_some()
     }
 
-    /// A call that is out, as it was begun; none if it is not.
-    pub fn call(&self, message: MessageId, try_for: Duration) -> Option<Call> {
-        let out = self.out.get(&message)?;
+    /// The call in flight for a message, for an engine that was resumed. `try_for` is the call's timeout.
+    pub fn in_flight_call(&self, message: MessageId, try_for: Duration) -> Option<Call> {
+        let in_flight = self.in_flight.get(&message)?;
         let held = self.journal.state().pending.get(&message.0)?;
-        let address = self.directory.address(out.endpoint)?;
+        let address = self.directory.address(in_flight.endpoint)?;
         let AcceptedMessage { id, idempotency_key, body, .. } = held.message.clone();
         Some(Call {
             message,
-            endpoint: out.endpoint,
+            endpoint: in_flight.endpoint,
             address,
             id,
             idempotency_key,
             body,
             try_for,
-            // All of it is sent already.
+            // All bytes of the call have been sent.
             send_by: None,
             may_have_run: held.may_have_run.is_some(),
         })
     }
 
-    /// Calls that are out.
-    pub fn calls_out(&self) -> impl Iterator<Item = (MessageId, EndpointId)> + '_ {
-        self.out.iter().map(|(message, out)| (*message, out.endpoint))
+    /// The messages and endpoints of all calls in flight.
+    pub fn calls_in_flight(&self) -> impl Iterator<Item = (MessageId, EndpointId)> + '_ {
+        self.in_flight.iter().map(|(message, call)| (*message, call.endpoint))
     }
 
-    fn empty(start: Start, journal: Journal<S>) -> Self {
-        let Start { mut parsed, seed, epoch_ms, fingerprint, .. } = start;
+    fn without_messages(config: EngineConfig, journal: Journal<S>) -> Self {
+        let EngineConfig { parsed_settings: mut parsed, seed, epoch_ms, settings_checksum, .. } = config;
         parsed.settings.acknowledged_answers = true;
-        parsed.settings.max_pause = HELD_UP;
+        parsed.settings.max_pause = MAX_PAUSE;
         let directory = Directory::new(&parsed);
         let settings = parsed.settings;
         let mut engine = Engine {
             class_names: parsed.class_names,
             classes: settings.classes.clone(),
-            most_held: settings.max_held,
+            max_held: settings.max_held,
             settings: settings.clone(),
-            fingerprint,
+            settings_checksum,
             courier: Courier::new(settings, seed),
             clock: Clock::new(epoch_ms),
             journal,
             directory,
-            known: HashMap::new(),
-            out: BTreeMap::new(),
-            not_made: Vec::new(),
+            held_by_id: HashMap::new(),
+            in_flight: BTreeMap::new(),
+            unsent: Vec::new(),
             effects: Vec::new(),
-            ends: None,
-            wake: None,
+            shutdown: None,
+            wake_up: None,
             actions: Vec::new(),
-            counts: Counts::default(),
-            logged: Counts::default(),
-            tally: Tally::default(),
-            journal_errors: Seldom::default(),
-            outage_lines: Seldom::default(),
-            has_noted_outages: false,
-            wait_lines: Seldom::default(),
+            counts: MessageCounts::default(),
+            logged_counts: MessageCounts::default(),
+            destination_metrics: DestinationMetrics::default(),
+            journal_error_log: RateLimitedLog::default(),
+            outage_log: RateLimitedLog::default(),
+            outages_synchronized: false,
+            retry_after_log: RateLimitedLog::default(),
             #[cfg(feature = "broken")]
-            broken: start.broken,
+            fault_injector: config.fault_injector,
         };
-        engine.counts = Counts::new(engine.classes.len());
-        engine.logged = engine.counts.clone();
+        engine.counts = MessageCounts::new(engine.classes.len());
+        engine.logged_counts = engine.counts.clone();
         engine
     }
 
-    /// The version of the list that the courier has.
-    pub fn rev(&self) -> u64 {
+    /// Revision of the list of endpoints that the courier knows.
+    pub fn list_revision(&self) -> u64 {
         self.journal.state().listing_rev
     }
 
-    /// Messages held, and calls out.
+    /// The number of messages held and the number of calls in flight.
     pub fn load(&self) -> (usize, usize) {
-        (self.journal.state().pending.len(), self.out.len())
+        (self.journal.state().pending.len(), self.in_flight.len())
     }
 
-    /// What is in the journal.
+    /// The journal.
     pub fn journal(&self) -> &Journal<S> {
         &self.journal
     }
 
-    /// Whether an endpoint may be given new work.
+    /// Whether an endpoint may get new work.
     pub fn is_open(&self, endpoint: EndpointId) -> bool {
         self.directory.is_open(endpoint)
     }
 
-    /// When the next turn is due at the latest, if nothing happens before.
+    /// When the next turn is due if no input arrives before.
     pub fn next_wake(&self) -> Option<Time> {
-        if !self.not_made.is_empty() {
+        if !self.unsent.is_empty() {
             return Some(Time::ZERO);
         }
-        let ends = self.ends.map(|(_, last)| last);
-        self.wake.map(|(at, _)| at).into_iter().chain(ends).min()
+        let latest_exit = self.shutdown.as_ref().map(|shutdown| shutdown.latest_exit);
+        self.wake_up.map(|(at, _)| at).into_iter().chain(latest_exit).min()
     }
 
-    /// Ends a turn: timers that are due, decisions, and what they bring about. Nothing of what happened since the turn
-    /// before has left until its effects are taken. An error is final: nobody can know what of the journal will last.
-    pub fn turn(&mut self, now: Time) -> Result<Vec<Doing>, JournalError> {
-        for (message, endpoint) in std::mem::take(&mut self.not_made) {
-            self.ended(now, message, endpoint, NOT_MADE, false);
+    /// Ends a turn: runs due timers, makes decisions, commits the journal and returns the effects of everything since the
+    /// previous turn. No effect leaves the engine in any other way. After an error the engine must not be used any more, since
+    /// it is unknown which records of the journal are durable.
+    pub fn turn(&mut self, now: Time) -> Result<Vec<Effect>, JournalError> {
+        for (message, endpoint) in std::mem::take(&mut self.unsent) {
+            self.call_ended(now, message, endpoint, NOT_SENT, false);
         }
-        if let Some((_, token)) = self.wake.filter(|(at, _)| *at <= now) {
-            self.wake = None;
+        if let Some((_, token)) = self.wake_up.filter(|(at, _)| *at <= now) {
+            self.wake_up = None;
             self.courier.handle(now, Event::TimerExpired(token));
         }
-        self.decide(now);
+        self.apply_decisions(now);
         if let Some(error) = self.journal.take_maintenance_error() {
-            self.note(now, Err(error));
+            self.log_journal_error(now, Err(error));
         }
         self.journal.commit()?;
         Ok(std::mem::take(&mut self.effects))
     }
 
-    /// Looks at the duties that couriers agree on, before a turn: what is to be asked of the group. `asked` are those that it
-    /// has been asked for, `view` is how each stands.
-    pub fn look_at_duties(
+    /// Updates the trial duties that the courier shares with its group, before a turn. `registered` are the duties that the
+    /// group has this courier registered for, `view` is their state. Returns the requests to the group.
+    pub fn update_trial_duties(
         &mut self,
         now: Time,
         duties: &mut TrialDuties,
-        asked: impl IntoIterator<Item = DestinationId>,
+        registered: impl IntoIterator<Item = DestinationId>,
         view: impl Fn(DestinationId) -> Option<DutyView>,
-    ) -> Vec<TrialWish> {
-        let (events, wishes) = duties.look(now, &self.courier, asked, view);
+    ) -> Vec<TrialRequest> {
+        let (events, requests) = duties.update(now, &self.courier, registered, view);
         events.into_iter().for_each(|event| self.courier.handle(now, event));
-        wishes
+        requests
     }
 
-    /// Whether the process may end now.
-    pub fn may_end(&self, now: Time) -> bool {
-        let Some((least, last)) = self.ends else { return false };
+    /// Whether the process may exit now.
+    pub fn may_exit(&self, now: Time) -> bool {
+        let Some(Shutdown { earliest_exit, latest_exit }) = self.shutdown else { return false };
         let (held, out) = self.load();
-        now >= last || (now >= least && held == 0 && out == 0)
+        now >= latest_exit || (now >= earliest_exit && held == 0 && out == 0)
     }
 
-    /// The process is about to end: what is taken on from now on is called by the next one.
-    pub fn call_no_more(&mut self, now: Time) {
+    /// Starts no more calls, as this process is about to exit. The next process calls for messages accepted from now on.
+    pub fn stop_calling(&mut self, now: Time) {
         self.courier.handle(now, Event::ShutdownAt(now));
     }
 
-    fn restore(&mut self, now: Time, known: ListingUpdate) {
-        let written = self.journal.add_destinations(known.targets.iter().map(|target| target.pod_group));
-        self.note(now, written);
+    /// Restores the state from the journal. `initial_list` is the list of endpoints from the configuration.
+    fn restore(&mut self, now: Time, initial_list: ListingUpdate) {
+        let written =
+            self.journal.add_destinations(initial_list.targets.iter().map(|target| target.pod_group));
+        self.log_journal_error(now, written);
         let image = self.journal.state();
-        // What was told before the restart counts as told: the list that comes with the start may be older.
-        if image.listing_rev == 0 || image.listing_rev < known.rev {
-            let update = ListingUpdate { all: true, ..known };
+        // The list in the journal binds unless it is older: discovery counts it as known to this courier.
+        if image.listing_rev == 0 || image.listing_rev < initial_list.rev {
+            let update = ListingUpdate { all: true, ..initial_list };
             let listing = self.directory.apply(&update);
             self.courier.handle(now, Event::Listed(listing));
             let written = self.journal.update_listing(&update);
-            self.note(now, written);
+            self.log_journal_error(now, written);
         } else {
             let targets = image.targets.values().cloned().collect();
             let listing = self.directory.apply(&ListingUpdate { rev: image.listing_rev, all: true, targets });
@@ -331,17 +359,17 @@
         self.suspend_listed(now);
         let notes: Vec<PersistedOutage> = self.journal.state().outages().cloned().collect();
         for note in notes {
-            let endpoint = note.uid.as_ref().and_then(|uid| self.directory.number(uid));
+            let endpoint = note.uid.as_ref().and_then(|uid| self.directory.endpoint_id(uid));
             if note.uid.is_some() && endpoint.is_none() {
                 continue;
             }
             let outage = OutageRecord {
                 destination: DestinationId(note.destination),
                 endpoint,
-                since: self.clock.of_wall(note.since_ms),
+                since: self.clock.from_unix_ms(note.since_ms),
                 evidence: note.failure_weight,
                 calls_lost: note.calls_were_lost,
-                slow_start_since: note.slow_start_since_ms.map(|ms| self.clock.of_wall(ms)),
+                slow_start_since: note.slow_start_since_ms.map(|ms| self.clock.from_unix_ms(ms)),
                 served_rate: note.served_per_second,
             };
             self.courier.handle(now, Event::OutageRestored(outage));
@@ -349,139 +377,145 @@
         let held: Vec<(u32, PendingMessage)> =
             self.journal.state().pending.iter().map(|(n, h)| (*n, h.clone())).collect();
         #[cfg(feature = "broken")]
-        let held: Vec<(u32, Held)> = match () {
-            () if self.broken.is(Fault::ForgetsAtRestart) => Vec::new(),
-            () if self.broken.is(Fault::ReordersAtRestart) => held.into_iter().rev().collect(),
+        let held: Vec<(u32, PendingMessage)> = match () {
+            () if self.fault_injector.is_active(Fault::ForgetsAtRestart) => Vec::new(),
+            () if self.fault_injector.is_active(Fault::ReordersAtRestart) => held.into_iter().rev().collect(),
             () => held,
         };
         for (number, held) in &held {
-            self.counts.found += u64::from(held.verdict.is_none());
+            self.counts.recovered += u64::from(held.verdict.is_none());
             self.restore_message(now, *number, held);
         }
-        info!(held = held.len(), rev = self.rev(), "the journal was replayed");
+        info!(held = held.len(), rev = self.list_revision(), "the journal was replayed");
     }
 
     fn restore_message(&mut self, now: Time, number: u32, held: &PendingMessage) {
-        self.known.insert(held.message.id.clone(), Known { number, shared: false });
+        self.held_by_id.insert(held.message.id.clone(), HeldMessage { number, is_shared: false });
         let message = MessageId(number);
-        let Some(taken) = self.accepted(number, &held.message) else {
-            warn!(class = held.message.class, "a message of a class that is not known any more is given up");
-            self.owe(now, message, Verdict::Failed);
+        let Some(taken) = self.to_accepted(number, &held.message) else {
+            warn!(
+                class = held.message.class,
+                "the class of a held message is not in the settings; the message fails"
+            );
+            self.decide_end(now, message, Verdict::Failed);
             return;
         };
-        // An attempt without an outcome may have run, also if its process died before the first byte.
+        // An attempt without a recorded outcome counts as one that may have run, even if its process died before the first byte.
         if held.in_flight.is_some() {
             let written = self.journal.finish_attempt(number, true);
-            self.note(now, written);
+            self.log_journal_error(now, written);
         }
-        trail::found(number, held);
+        message_trace::recovered(number, held);
         let maybe_ran = held.may_have_run.or(held.in_flight).map(|(ms, zone)| {
-            // Sent after now: the wall clock was put back, and how long ago it was cannot be told.
-            let sent = Some(self.clock.of_wall(ms)).filter(|sent| *sent <= now).unwrap_or(Time::ZERO);
-            (sent, self.directory.lasting_zone(zone))
+            // A moment in the future means that the wall clock was set back, and that the age of the attempt is unknown.
+            let sent = Some(self.clock.from_unix_ms(ms)).filter(|sent| *sent <= now).unwrap_or(Time::ZERO);
+            (sent, self.directory.configured_zone(zone))
         });
         let answered = held.verdict.is_some();
         let restored =
             Restored { accepted: taken, attempts: held.attempts, may_have_run: maybe_ran, answered };
         self.courier.handle(now, Event::Restored(restored));
         if let Some(verdict) = held.verdict {
-            self.effects.push(Doing::Tell(Notice { message, id: held.message.id.clone(), verdict }));
+            self.effects.push(Effect::SendNotice(Notice { message, id: held.message.id.clone(), verdict }));
         }
     }
 
-    fn accepted(&self, number: u32, taken: &AcceptedMessage) -> Option<Accepted> {
-        let class = self.class(&taken.class)?;
+    /// A message as the courier's decisions need it; `None` if its class is not in the settings.
+    fn to_accepted(&self, number: u32, taken: &AcceptedMessage) -> Option<Accepted> {
+        let class = self.class_id(&taken.class)?;
         Some(Accepted {
             id: MessageId(number),
             class,
             destination: DestinationId(taken.destination),
             key: (taken.order_key != 0).then_some(OrderKey(taken.order_key)),
-            deadline: self.clock.of_wall(taken.deadline_ms),
+            deadline: self.clock.from_unix_ms(taken.deadline_ms),
             from_dead_courier: taken.from_failed_courier,
             tenant: TenantId(0),
         })
     }
 
-    fn class(&self, name: &str) -> Option<ClassId> {
-        self.class_names.iter().position(|known| known == name).map(|at| ClassId(at as u8))
+    /// The index of a class in the settings.
+    fn class_id(&self, name: &str) -> Option<ClassId> {
+        self.class_names.iter().position(|class| class == name).map(|index| ClassId(index as u8))
     }
 
-    /// Something has happened. Its effects come with the end of the turn.
+    /// Handles an input. Its effects are returned at the end of the turn.
     pub fn handle(&mut self, now: Time, input: Input) {
         match input {
             Input::Enqueue(ticket, enqueue) => {
-                let class = self.class(&enqueue.class);
-                let answer = self.hand_in(now, enqueue);
-                let ends = self.counts.of(class.map(|class| usize::from(class.0)));
+                let class = self.class_id(&enqueue.class);
+                let answer = self.enqueue(now, enqueue);
+                let counts = self.counts.class_mut(class.map(|class| usize::from(class.0)));
                 match &answer {
-                    Answer::Busy(_) => ends.turned_away += 1,
-                    Answer::Error(_) => ends.unfit += 1,
+                    Answer::Busy(_) => counts.rejected += 1,
+                    Answer::Error(_) => counts.invalid += 1,
                     Answer::Taken(_) | Answer::Held => {}
                 }
-                self.answer(ticket, answer);
+                self.effects.push(Effect::Answer(ticket, answer));
             }
-            Input::Unheard(message) => self.unheard(now, message),
-            Input::Order(ticket, order) => {
-                let done = self.order(now, order);
-                self.effects.push(Doing::Ordered(ticket, done));
+            Input::AnswerUnacknowledged(message) => self.answer_unacknowledged(now, message),
+            Input::Command(ticket, command) => {
+                let result = self.execute(now, command);
+                self.effects.push(Effect::CommandResult(ticket, result));
             }
-            Input::Written(message) => {
-                self.counts.attempts += u64::from(self.out.contains_key(&message));
+            Input::CallWritten(message) => {
+                self.counts.calls_written += u64::from(self.in_flight.contains_key(&message));
             }
             #[cfg(feature = "broken")]
-            Input::Listed(update) if self.broken.is(Fault::LateToDrains) && !update.all => {
-                // A whole list is not held up.
-                self.effects.push(Doing::HearLater(update, DEAF_FOR));
+            Input::ListUpdate(update)
+                if self.fault_injector.is_active(Fault::LateToDrains) && !update.all =>
+            {
+                // A complete list is not delayed.
+                self.effects.push(Effect::DelayListUpdate(update, LIST_UPDATE_DELAY));
             }
             #[cfg(feature = "broken")]
-            Input::HeardAtLast(update) => self.listed(now, update),
-            Input::Listed(update) => self.listed(now, update),
-            Input::Ended(message, endpoint, ended) => self.ended(now, message, endpoint, ended, true),
-            Input::Heard(messages) => {
+            Input::DelayedListUpdate(update) => self.apply_list_update(now, update),
+            Input::ListUpdate(update) => self.apply_list_update(now, update),
+            Input::CallEnded(message, endpoint, result) => {
+                self.call_ended(now, message, endpoint, result, true)
+            }
+            Input::NoticesAcknowledged(messages) => {
                 for message in messages {
                     if let Some(held) = self.journal.state().pending.get(&message.0) {
-                        trail::heard(&held.message.id);
+                        message_trace::notice_acknowledged(&held.message.id);
                     }
-                    self.over(now, message);
+                    self.complete(now, message);
                     self.courier.handle(now, Event::AnswerAcknowledged(message));
                 }
             }
-            Input::Terminate if self.ends.is_some() => {}
+            Input::Terminate if self.shutdown.is_some() => {}
             Input::Terminate => {
                 let (held, out) = self.load();
                 info!(held, out, "told to end");
-                self.ends = Some((now + CLOSING_LEAST, now + CLOSING));
-                self.courier.handle(now, Event::ShutdownAt(now + CLOSING));
-                self.effects.push(Doing::Closing);
+                let latest_exit = now + MAX_SHUTDOWN;
+                self.shutdown = Some(Shutdown { earliest_exit: now + MIN_SHUTDOWN, latest_exit });
+                self.courier.handle(now, Event::ShutdownAt(latest_exit));
+                self.effects.push(Effect::AnnounceShutdown);
             }
         }
     }
 
-    fn answer(&mut self, ticket: Ticket, answer: Answer) {
-        self.effects.push(Doing::Answer(ticket, answer));
-    }
-
-    fn hand_in(&mut self, now: Time, enqueue: Enqueue) -> Answer {
-        let most = match self.admit(now, &enqueue) {
-            Ok(most) => most,
+    fn enqueue(&mut self, now: Time, enqueue: Enqueue) -> Answer {
+        let max_time_left = match self.check_admission(now, &enqueue) {
+            Ok(max_time_left) => max_time_left,
             Err(answer) => {
-                trail::not_taken(&enqueue, &answer, self.journal.state().pending.len());
+                message_trace::not_accepted(&enqueue, &answer, self.journal.state().pending.len());
                 return answer;
             }
         };
-        self.take_on(now, enqueue, most)
+        self.accept(now, enqueue, max_time_left)
     }
 
-    /// Whether a message may be taken on, and then the longest time that its class may have; the answer of one that may not.
-    fn admit(&mut self, now: Time, enqueue: &Enqueue) -> Result<Duration, Answer> {
-        let Some(class) = self.class(&enqueue.class) else { return Err(Answer::Error("unknown class")) };
-        if let Some(known) = self.known.get_mut(&enqueue.id) {
-            // Sent once more on a new connection; or by somebody else, to whom the id does not belong.
-            let held = self.journal.state().pending.get(&known.number);
+    /// Whether a message may be accepted. Returns the longest deadline that its class allows, or the answer to the client.
+    fn check_admission(&mut self, now: Time, enqueue: &Enqueue) -> Result<Duration, Answer> {
+        let Some(class) = self.class_id(&enqueue.class) else { return Err(Answer::Error("unknown class")) };
+        if let Some(same_id) = self.held_by_id.get_mut(&enqueue.id) {
+            // Either the client repeats its request on a new connection, or the id is used for a second message.
+            let held = self.journal.state().pending.get(&same_id.number);
             if !held.is_some_and(|held| enqueue.is_same(&held.message)) {
                 return Err(Answer::Error("the id is in use for another message"));
             }
-            known.shared = true;
+            same_id.is_shared = true;
             return Err(Answer::Held);
         }
         let destination = DestinationId(enqueue.destination);
@@ -490,71 +524,72 @@
         }
         let admitted = self.courier.admits(class);
         let class = &self.classes[usize::from(class.0)];
-        if class.effect == Effect::Keyed && enqueue.idempotency_key.is_none() {
+        if class.effect == cloverstile::Effect::Keyed && enqueue.idempotency_key.is_none() {
             return Err(Answer::Error("k is missing"));
         }
-        let most = class.deadline;
-        if !admitted || self.journal.state().pending.len() >= self.most_held {
+        let max_time_left = class.deadline;
+        if !admitted || self.journal.state().pending.len() >= self.max_held {
             return Err(Answer::Busy(Some(self.courier.retry_after(now, destination))));
         }
-        Ok(most)
+        Ok(max_time_left)
     }
 
-    fn take_on(&mut self, now: Time, enqueue: Enqueue, most: Duration) -> Answer {
+    /// Records a message in the journal and accepts it. Its deadline is at most `max_time_left` away.
+    fn accept(&mut self, now: Time, enqueue: Enqueue, max_time_left: Duration) -> Answer {
         let destination = DestinationId(enqueue.destination);
         let taken = AcceptedMessage {
             id: enqueue.id,
-            order_key: enqueue.key,
+            order_key: enqueue.order_key,
             class: enqueue.class,
             destination: enqueue.destination,
             idempotency_key: enqueue.idempotency_key,
-            deadline_ms: self.clock.to_wall(now + enqueue.left.min(most)),
-            from_failed_courier: enqueue.again,
+            deadline_ms: self.clock.to_unix_ms(now + enqueue.time_left.min(max_time_left)),
+            from_failed_courier: enqueue.from_dead_courier,
             body: enqueue.body,
         };
         let id = taken.id.clone();
         match self.journal.accept(taken) {
             Ok(number) => {
-                self.counts.taken += 1;
-                self.tally.taken(destination);
-                self.known.insert(id, Known { number, shared: false });
+                self.counts.accepted += 1;
+                self.destination_metrics.message_accepted(destination);
+                self.held_by_id.insert(id, HeldMessage { number, is_shared: false });
                 let taken = self.journal.state().pending.get(&number).map(|held| &held.message);
-                taken.into_iter().for_each(|taken| trail::taken(number, taken));
+                taken.into_iter().for_each(|taken| message_trace::accepted(number, taken));
                 #[cfg(feature = "broken")]
-                let taken = taken.filter(|_| !self.broken.is_seldom(Fault::Swallows));
-                if let Some(accepted) = taken.and_then(|taken| self.accepted(number, taken)) {
+                let taken = taken.filter(|_| !self.fault_injector.fires(Fault::Swallows));
+                if let Some(accepted) = taken.and_then(|taken| self.to_accepted(number, taken)) {
                     self.courier.handle(now, Event::Accept(accepted));
                 }
                 Answer::Taken(MessageId(number))
             }
             Err(error) => {
-                self.note(now, Err(error));
+                self.log_journal_error(now, Err(error));
                 let answer = Answer::Busy(Some(self.courier.retry_after(now, destination)));
-                trail::not_written(&id, &answer);
+                message_trace::not_recorded(&id, &answer);
                 answer
             }
         }
     }
 
-    /// A message of which its client never heard that it was taken on: nobody waits for its end, unless another
-    /// hand-in of it was answered meanwhile.
-    fn unheard(&mut self, now: Time, message: MessageId) {
+    /// The client did not receive the answer that its message was accepted. No client waits for the message then, and it is
+    /// dropped, unless another enqueue request for it was answered since.
+    fn answer_unacknowledged(&mut self, now: Time, message: MessageId) {
         let id = self.journal.state().pending.get(&message.0).map(|held| &held.message.id);
-        let known = id.and_then(|id| self.known.get(id));
-        if let (Some(id), Some(known)) = (id, known) {
-            trail::unheard(id, known.shared);
+        let held = id.and_then(|id| self.held_by_id.get(id));
+        if let (Some(id), Some(held)) = (id, held) {
+            message_trace::answer_unacknowledged(id, held.is_shared);
         }
-        if known.is_some_and(|known| !known.shared) {
-            self.counts.abandoned += u64::from(self.has_no_end(message));
-            self.over(now, message);
+        if held.is_some_and(|held| !held.is_shared) {
+            self.counts.abandoned += u64::from(self.is_undecided(message));
+            self.complete(now, message);
             self.courier.handle(now, Event::ClientGone(message));
         }
     }
 
-    fn listed(&mut self, now: Time, update: ListingUpdate) {
+    fn apply_list_update(&mut self, now: Time, update: ListingUpdate) {
         #[cfg(feature = "broken")]
-        let update = self.broken.listed(update);
-        // A watch that begins anew often has nothing new to tell.
+        let update = self.fault_injector.alter_list_update(update);
+        // A watch that is reopened often starts with an empty update.
         if update.targets.is_empty() && !update.all {
             return;
         }
@@ -563,176 +598,188 @@
         self.suspend_listed(now);
         let (rev, changed) = (update.rev, update.targets.len());
         let written = self.journal.update_listing(&update);
-        self.note(now, written);
+        self.log_journal_error(now, written);
         info!(rev, changed, "the list has changed");
-        self.effects.push(Doing::CloseShut);
-        self.withdraw(|endpoint, directory| !directory.is_open(endpoint));
-        self.forget_gone();
+        self.effects.push(Effect::CloseIdleUnavailable);
+        self.withdraw_unsent_calls(|endpoint, directory| !directory.is_open(endpoint));
+        self.remove_gone_endpoints();
     }
 
-    /// What operators took out stays out, whatever the list says of it.
+    /// Applies the operators' suspensions, which hold whatever state the list gives to an endpoint.
     fn suspend_listed(&mut self, now: Time) {
-        for id in self.directory.suspend(&self.journal.state().suspended_uids) {
+        for id in self.directory.set_suspended(&self.journal.state().suspended_uids) {
             self.courier.handle(now, Event::Suspended(id));
         }
     }
 
-    /// Carries out what an operator wants. It is in the journal before the answer, and nothing has changed without one.
-    fn order(&mut self, now: Time, order: Order) -> Result<(), Denied> {
-        let (uid, is_out) = match &order {
-            Order::Suspend(uid) => (uid, true),
-            Order::Restore(uid) => (uid, false),
+    /// Executes an operator's command. The journal records it before it is answered; if it cannot, nothing changes.
+    fn execute(&mut self, now: Time, command: OperatorCommand) -> Result<(), CommandError> {
+        let (uid, suspend) = match &command {
+            OperatorCommand::Suspend(uid) => (uid, true),
+            OperatorCommand::Restore(uid) => (uid, false),
         };
         if !self.journal.state().was_listed(uid) {
-            return Err(Denied::Unknown);
+            return Err(CommandError::UnknownEndpoint);
         }
-        let is_new = self.journal.state().suspended_uids.contains(uid) != is_out;
-        if let Err(error) = self.journal.set_suspended(uid, is_out) {
-            self.note(now, Err(error));
-            return Err(Denied::Unwritten);
+        let is_new = self.journal.state().suspended_uids.contains(uid) != suspend;
+        if let Err(error) = self.journal.set_suspended(uid, suspend) {
+            self.log_journal_error(now, Err(error));
+            return Err(CommandError::NotRecorded);
         }
         if is_new {
-            info!(uid, is_out, "an operator's word on an endpoint");
+            info!(uid, is_out = suspend, "an operator suspended or restored an endpoint");
         }
         self.suspend_listed(now);
-        let id = self.directory.number(uid);
-        if is_out {
-            self.effects.extend(id.map(Doing::CloseIdle));
-            self.withdraw(|endpoint, directory| !directory.is_open(endpoint));
+        let id = self.directory.endpoint_id(uid);
+        if suspend {
+            self.effects.extend(id.map(Effect::CloseIdle));
+            self.withdraw_unsent_calls(|endpoint, directory| !directory.is_open(endpoint));
         } else if let Some(id) = id {
             self.courier.handle(now, Event::Reinstated(id));
         }
         Ok(())
     }
 
-    /// Forgets the endpoints that are gone, once none of their calls is out.
-    fn forget_gone(&mut self) {
-        let out = &self.out;
-        self.directory.forget_gone(|endpoint| out.values().any(|out| out.endpoint == endpoint));
+    /// Removes endpoints that are no longer listed and have no call in flight.
+    fn remove_gone_endpoints(&mut self) {
+        let in_flight = &self.in_flight;
+        self.directory.remove_gone(|endpoint| in_flight.values().any(|call| call.endpoint == endpoint));
     }
 
-    /// Takes back the calls to some endpoints that are still connecting: by the time their connections are up
-    /// they would be new work for an endpoint that drains, or calls inside a told wait.
-    fn withdraw(&mut self, which: impl Fn(EndpointId, &Directory) -> bool) {
-        for (message, out) in &self.out {
-            if !out.is_stopped && which(out.endpoint, &self.directory) {
-                self.effects.push(Doing::Stop(*message, Stop::Withdrawn));
+    /// Stops those calls to the selected endpoints of which no byte was sent. Once their connections are established, they
+    /// would be new work for a draining endpoint, or calls before the end of a retry-after time.
+    fn withdraw_unsent_calls(&mut self, is_selected: impl Fn(EndpointId, &Directory) -> bool) {
+        for (message, call) in &self.in_flight {
+            if !call.is_cancel_requested && is_selected(call.endpoint, &self.directory) {
+                self.effects.push(Effect::StopCall(*message, StopReason::Withdrawn));
             }
         }
     }
 
-    /// An attempt is over, of which the journal has the beginning, or not.
-    fn ended(&mut self, now: Time, message: MessageId, endpoint: EndpointId, ended: Ended, is_written: bool) {
+    /// Handles the end of a call. `is_start_recorded` tells whether the journal has recorded the attempt's start.
+    fn call_ended(
+        &mut self,
+        now: Time,
+        message: MessageId,
+        endpoint: EndpointId,
+        result: CallResult,
+        is_start_recorded: bool,
+    ) {
         #[cfg(feature = "broken")]
-        let ended = self.broken.ended(ended);
-        let Some(out) = self.out.remove(&message) else { return };
-        let never = matches!(
-            ended.outcome,
+        let result = self.fault_injector.alter_call_result(result);
+        let Some(call) = self.in_flight.remove(&message) else { return };
+        let may_have_run = !matches!(
+            result.outcome,
             Outcome::Rejected(_) | Outcome::ConnectFailed | Outcome::NotSent | Outcome::AttemptsExhausted
         );
         if let Some(held) = self.journal.state().pending.get(&message.0) {
-            trail::ended(&held.message.id, out.attempt, ended.outcome, ended.latency, !never);
+            let id = &held.message.id;
+            message_trace::attempt_ended(id, call.attempt, result.outcome, result.latency, may_have_run);
         }
         if let Some(destination) = self.directory.destination(endpoint) {
-            self.tally.ended(destination, ended.outcome, ended.allowance);
+            self.destination_metrics.call_ended(destination, result.outcome, result.allowance);
         }
-        if let Outcome::Rejected(Some(wait)) = ended.outcome {
+        if let Outcome::Rejected(Some(wait)) = result.outcome {
             let destination = self.directory.destination(endpoint);
-            if let Some(more) = self.wait_lines.due(now) {
+            if let Some(more) = self.retry_after_log.due(now) {
                 info!(?destination, ?wait, more, "told to wait");
             }
-            self.withdraw(|other, directory| directory.destination(other) == destination);
+            self.withdraw_unsent_calls(|other, directory| directory.destination(other) == destination);
         }
-        if ended.complete {
-            if self.has_no_end(message) {
-                match ended.outcome {
-                    Outcome::Ok => self.ends_of(message).served += 1,
+        if result.is_final {
+            if self.is_undecided(message) {
+                match result.outcome {
+                    Outcome::Ok => self.class_counts(message).served += 1,
                     _ => self.counts.abandoned += 1,
                 }
             }
-            if ended.outcome == Outcome::Ok && !self.courier.is_certainly_in_time(now, message) {
+            // A delivery that may have come after the deadline, because this process was paused, still gets a failure notice.
+            if result.outcome == Outcome::Ok && !self.courier.is_certainly_in_time(now, message) {
                 let written = self.journal.set_verdict(message.0, Verdict::Failed);
-                self.note(now, written);
-                self.tell(message, Verdict::Failed);
+                self.log_journal_error(now, written);
+                self.send_notice(message, Verdict::Failed);
             } else {
-                self.over(now, message);
+                self.complete(now, message);
             }
-        } else if is_written {
-            // One that is not written has no outcome there either: it would be taken for that of the attempt before, which may
-            // have run, where its own could not be written.
-            let written = self.journal.finish_attempt(message.0, !never);
-            self.note(now, written);
+        } else if is_start_recorded {
+            // Without a recorded start the journal would apply the outcome to the previous attempt, which may have run and
+            // whose own outcome may be missing.
+            let written = self.journal.finish_attempt(message.0, may_have_run);
+            self.log_journal_error(now, written);
         }
         self.courier.handle(
             now,
             Event::Finished(Finished {
                 message,
                 endpoint,
-                attempt: out.attempt,
-                outcome: ended.outcome,
-                latency: ended.latency,
-                complete: ended.complete,
-                limit_report: ended.allowance,
+                attempt: call.attempt,
+                outcome: result.outcome,
+                latency: result.latency,
+                complete: result.is_final,
+                limit_report: result.allowance,
             }),
         );
         if self.directory.is_gone(endpoint) {
-            self.forget_gone();
+            self.remove_gone_endpoints();
         }
     }
 
-    /// A message is held, and its end is not decided.
-    fn has_no_end(&self, message: MessageId) -> bool {
+    /// Whether a message is held and has no verdict.
+    fn is_undecided(&self, message: MessageId) -> bool {
         self.journal.state().pending.get(&message.0).is_some_and(|held| held.verdict.is_none())
     }
 
-    fn ends_of(&mut self, message: MessageId) -> &mut Ends {
+    /// The counters of a message's class.
+    fn class_counts(&mut self, message: MessageId) -> &mut ClassCounts {
         let held = self.journal.state().pending.get(&message.0);
-        let class = held.and_then(|held| self.class(&held.message.class));
-        self.counts.of(class.map(|class| usize::from(class.0)))
+        let class = held.and_then(|held| self.class_id(&held.message.class));
+        self.counts.class_mut(class.map(|class| usize::from(class.0)))
     }
 
-    /// Nothing more is owed for a message.
-    fn over(&mut self, now: Time, message: MessageId) {
+    /// Stops holding a message: it was delivered, its notice was acknowledged, or no client waits for it.
+    fn complete(&mut self, now: Time, message: MessageId) {
         if let Some(held) = self.journal.state().pending.get(&message.0) {
-            trail::over(&held.message.id);
-            self.known.remove(&held.message.id);
+            message_trace::completed(&held.message.id);
+            self.held_by_id.remove(&held.message.id);
             let written = self.journal.complete(message.0);
-            self.note(now, written);
+            self.log_journal_error(now, written);
         }
     }
 
-    fn decide(&mut self, now: Time) {
+    /// Carries out the courier's decisions and records the outages that changed.
+    fn apply_decisions(&mut self, now: Time) {
         let mut actions = std::mem::take(&mut self.actions);
         self.courier.decide(now, &mut actions);
         for action in actions.drain(..) {
-            self.act(now, action);
+            self.apply_action(now, action);
         }
         self.actions = actions;
-        self.note_outages(now);
+        self.record_outages(now);
     }
 
-    fn act(&mut self, now: Time, action: Action) {
+    fn apply_action(&mut self, now: Time, action: Action) {
         match action {
             Action::Route { message, endpoint, timeout: try_for, send_by } => {
-                self.route(now, message, endpoint, try_for, send_by);
+                self.start_call(now, message, endpoint, try_for, send_by);
             }
             Action::CancelAttempt { message, .. } => {
-                // A message has one attempt out at most.
-                if let Some(out) = self.out.get_mut(&message).filter(|out| !out.is_stopped) {
-                    out.is_stopped = true;
-                    self.effects.push(Doing::Stop(message, Stop::CalledOff));
+                // A message has at most one call in flight.
+                let call = self.in_flight.get_mut(&message);
+                if let Some(call) = call.filter(|call| !call.is_cancel_requested) {
+                    call.is_cancel_requested = true;
+                    self.effects.push(Effect::StopCall(message, StopReason::Cancelled));
                 }
             }
             Action::Return { message, retry_after: after } => {
-                self.owe(now, message, Verdict::Returned { after_ms: after.as_millis() as u64 });
+                self.decide_end(now, message, Verdict::Returned { after_ms: after.as_millis() as u64 });
             }
             Action::ReportFailure { message } => {
-                self.owe(now, message, Verdict::Failed);
+                self.decide_end(now, message, Verdict::Failed);
             }
-            Action::SetTimer { after, token } => self.wake = Some((now + after, token)),
-            Action::CloseIdle { endpoint } => self.effects.push(Doing::CloseIdle(endpoint)),
+            Action::SetTimer { after, token } => self.wake_up = Some((now + after, token)),
+            Action::CloseIdle { endpoint } => self.effects.push(Effect::CloseIdle(endpoint)),
             Action::Log { text } => info!("{text}"),
-            // The watch is always on, and the deployment permits neither probes nor notes.
+            // The watch of the list is always open, and the deployment permits neither probes nor messages between couriers.
             Action::SubscribeListing { .. }
             | Action::RefreshListing
             | Action::Probe { .. }
@@ -740,7 +787,8 @@
         }
     }
 
-    fn route(
+    /// Records the start of an attempt in the journal and starts its call.
+    fn start_call(
         &mut self,
         now: Time,
         message: MessageId,
@@ -752,193 +800,203 @@
         let attempt = held.map_or(0, |held| held.attempts as u16);
         let taken = held.map(|held| held.message.clone());
         let may_have_run = held.is_some_and(|held| held.may_have_run.or(held.in_flight).is_some());
-        self.out.insert(message, Out { endpoint, attempt, is_stopped: false });
-        // An attempt that the next process would not know of is not made.
-        let start = (self.clock.to_wall(now), self.directory.zone(endpoint).0);
+        self.in_flight.insert(message, InFlightCall { endpoint, attempt, is_cancel_requested: false });
+        // An attempt whose start the journal cannot record is not made: a restarted process would not know of it.
+        let start = (self.clock.to_unix_ms(now), self.directory.zone(endpoint).0);
         let written = self.journal.start_attempt(message.0, start);
-        let known = taken.zip(self.directory.address(endpoint)).filter(|_| written.is_ok());
-        self.note(now, written);
-        let Some((taken, address)) = known else {
-            self.not_made.push((message, endpoint));
+        let call_data = taken.zip(self.directory.address(endpoint)).filter(|_| written.is_ok());
+        self.log_journal_error(now, written);
+        let Some((taken, address)) = call_data else {
+            self.unsent.push((message, endpoint));
             return;
         };
-        self.counts.calls += 1;
+        self.counts.calls_started += 1;
         #[cfg(feature = "broken")]
-        let address = match self.broken.is_seldom(Fault::GoesAstray) {
-            true => self.directory.elsewhere(endpoint).unwrap_or(address),
+        let address = match self.fault_injector.fires(Fault::GoesAstray) {
+            true => self.directory.address_of_other_destination(endpoint).unwrap_or(address),
             false => address,
         };
         let AcceptedMessage { id, idempotency_key, body, .. } = taken;
         #[cfg(feature = "broken")]
-        let idempotency_key = idempotency_key.map(|key| match attempt > 0 && self.broken.is(Fault::NewKey) {
-            true => format!("{key}{attempt}"),
-            false => key,
-        });
+        let idempotency_key =
+            idempotency_key.map(|key| match attempt > 0 && self.fault_injector.is_active(Fault::NewKey) {
+                true => format!("{key}{attempt}"),
+                false => key,
+            });
         #[cfg(feature = "broken")]
-        let send_by = send_by.filter(|_| !self.broken.is(Fault::LateRepeats));
+        let send_by = send_by.filter(|_| !self.fault_injector.is_active(Fault::LateRepeats));
         let call =
             Call { message, endpoint, address, id, idempotency_key, body, try_for, send_by, may_have_run };
-        trail::begins(&call, attempt);
+        message_trace::attempt_started(&call, attempt);
         #[cfg(feature = "broken")]
-        if self.broken.is(Fault::SideBySide) {
-            self.effects.push(Doing::BeginUnknown(call.clone()));
+        if self.fault_injector.is_active(Fault::SideBySide) {
+            self.effects.push(Effect::StartUntrackedCall(call.clone()));
         }
-        self.effects.push(Doing::Begin(call));
+        self.effects.push(Effect::StartCall(call));
     }
 
-    /// Gives a message its end. It is in the journal before it is told: who was told that a message came back
-    /// may hand it in again, and it must not be sent after that.
-    fn owe(&mut self, now: Time, message: MessageId, verdict: Verdict) {
+    /// Ends an undelivered message with a verdict. The journal records it before the notice is sent: a client whose message was
+    /// returned may enqueue it again, and this courier must not send it after that, not even after a restart.
+    fn decide_end(&mut self, now: Time, message: MessageId, verdict: Verdict) {
         #[cfg(feature = "broken")]
-        let verdict = self.broken.verdict(verdict);
-        let is_new = self.has_no_end(message);
-        let (mut verdict, mut written) = (verdict, self.journal.set_verdict(message.0, verdict));
+        let verdict = self.fault_injector.alter_verdict(verdict);
+        let was_undecided = self.is_undecided(message);
+        let mut verdict = verdict;
+        let mut written = self.journal.set_verdict(message.0, verdict);
         if written.is_err() && verdict != Verdict::Failed {
-            // The next process would not know that it was handed back, and might send it beside what its client hands in anew.
-            // Who is told of a failure does not come again.
+            // A restarted process would not know that the message was returned, and could send it in addition to the one that
+            // its client enqueues again. A client does not enqueue a failed message again.
             verdict = Verdict::Failed;
             written = self.journal.set_verdict(message.0, verdict);
         }
-        if is_new {
-            let ends = self.ends_of(message);
+        if was_undecided {
+            let counts = self.class_counts(message);
             match verdict {
-                Verdict::Failed => ends.failed += 1,
-                Verdict::Returned { .. } => ends.handed_back += 1,
+                Verdict::Failed => counts.failed += 1,
+                Verdict::Returned { .. } => counts.returned += 1,
             }
         }
-        self.note(now, written);
-        self.tell(message, verdict);
+        self.log_journal_error(now, written);
+        self.send_notice(message, verdict);
     }
 
-    /// Tells the end of a message, which is in the journal.
-    fn tell(&mut self, message: MessageId, verdict: Verdict) {
+    /// Sends the notice for a verdict that the journal was given.
+    fn send_notice(&mut self, message: MessageId, verdict: Verdict) {
         if let Some(held) = self.journal.state().pending.get(&message.0) {
-            trail::owed(&held.message.id, verdict);
+            message_trace::notice_pending(&held.message.id, verdict);
             #[cfg(feature = "broken")]
-            if let Some(instead) = self.tells_badly(message, held, verdict) {
-                return self.effects.extend(instead);
+            if let Some(effects) = self.faulty_notices(message, held, verdict) {
+                return self.effects.extend(effects);
             }
             let notice = Notice { message, id: held.message.id.clone(), verdict };
-            self.effects.push(Doing::Tell(notice));
+            self.effects.push(Effect::SendNotice(notice));
         }
     }
 
-    /// What is done in place of telling an end, where that is broken.
+    /// The effects that replace a notice under an injected fault; `None` if the notice is to be sent as it is.
     #[cfg(feature = "broken")]
-    fn tells_badly(&self, message: MessageId, held: &Held, verdict: Verdict) -> Option<Vec<Doing>> {
-        let notice = |verdict| Notice { message, id: held.taken.id.clone(), verdict };
-        if self.broken.is(Fault::EndsTwice) {
+    fn faulty_notices(
+        &self,
+        message: MessageId,
+        held: &PendingMessage,
+        verdict: Verdict,
+    ) -> Option<Vec<Effect>> {
+        let notice = |verdict| Notice { message, id: held.message.id.clone(), verdict };
+        if self.fault_injector.is_active(Fault::EndsTwice) {
             let other = match verdict {
                 Verdict::Failed => Verdict::Returned { after_ms: 100 },
                 Verdict::Returned { .. } => Verdict::Failed,
             };
-            return Some(vec![Doing::Tell(notice(other)), Doing::Tell(notice(verdict))]);
+            return Some(vec![Effect::SendNotice(notice(other)), Effect::SendNotice(notice(verdict))]);
         }
-        if self.broken.is(Fault::KeepsBack) && verdict == Verdict::Failed {
-            let due = self.clock.of_wall(held.taken.deadline_ms) - Duration::from_millis(100);
-            return Some(vec![Doing::TellLater(notice(verdict), due)]);
+        if self.fault_injector.is_active(Fault::KeepsBack) && verdict == Verdict::Failed {
+            let due = self.clock.from_unix_ms(held.message.deadline_ms) - Duration::from_millis(100);
+            return Some(vec![Effect::DelayNotice(notice(verdict), due)]);
         }
-        (self.broken.is(Fault::NeverTells) && verdict == Verdict::Failed).then(Vec::new)
+        (self.fault_injector.is_active(Fault::NeverTells) && verdict == Verdict::Failed).then(Vec::new)
     }
 
-    /// Writes down what is to be remembered of outages, when it has changed. A turn goes over the destinations that may have
-    /// changed; all of them are gone over where the journal does not hold what it was told before.
-    fn note_outages(&mut self, now: Time) {
+    /// Records changed outages in the journal. Usually only the destinations that may have changed are compared; all of them
+    /// are the first time, and while the journal could not write what it was given before.
+    fn record_outages(&mut self, now: Time) {
         let changed = self.courier.take_changed_outages();
-        if !self.has_noted_outages || self.journal.is_behind() {
-            let notes = self.outage_notes(self.courier.outages());
+        if !self.outages_synchronized || self.journal.is_behind() {
+            let notes = self.outages_for_journal(self.courier.outages());
             let is_lost = |note: &&PersistedOutage| note.calls_were_lost.is_some();
             let before = self.journal.state().outages().filter(is_lost).count();
-            self.tell_outages(now, before, notes.iter().filter(is_lost).count());
+            self.log_outage_count(now, before, notes.iter().filter(is_lost).count());
             let written = self.journal.set_outages(&notes);
-            self.has_noted_outages = true;
-            return self.note(now, written);
+            self.outages_synchronized = true;
+            return self.log_journal_error(now, written);
         }
-        let notes = self.outage_notes(changed.iter().flat_map(|to| self.courier.outages_of(*to)));
+        let notes = self.outages_for_journal(changed.iter().flat_map(|to| self.courier.outages_of(*to)));
         let destinations: Vec<u32> = changed.iter().map(|to| to.0).collect();
         let lost_before = self.journal.state().count_confirmed_outages(&destinations);
         let lost_now = notes.iter().filter(|note| note.calls_were_lost.is_some()).count();
         if lost_before != lost_now {
             let before = self.journal.state().outages().filter(|note| note.calls_were_lost.is_some()).count();
-            self.tell_outages(now, before, before - lost_before + lost_now);
+            self.log_outage_count(now, before, before - lost_before + lost_now);
         }
         let written = self.journal.set_outages_of(&destinations, &notes);
-        self.note(now, written);
-        debug_assert!(self.holds_all_outages(), "an outage changed at a destination that was not named");
+        self.log_journal_error(now, written);
+        debug_assert!(
+            self.journal_has_all_outages(),
+            "an outage changed at a destination that the courier did not report as changed"
+        );
     }
 
-    /// Whether the journal holds what there is to be remembered of outages, unless it could not be written.
-    fn holds_all_outages(&self) -> bool {
-        let notes = self.outage_notes(self.courier.outages());
+    /// Whether the journal holds the current outages, or could not write them.
+    fn journal_has_all_outages(&self) -> bool {
+        let notes = self.outages_for_journal(self.courier.outages());
         self.journal.is_behind() || self.journal.state().outages_match(&notes)
     }
 
-    /// Outages as the journal keeps them.
-    fn outage_notes(&self, outages: impl Iterator<Item = OutageRecord>) -> Vec<PersistedOutage> {
+    /// Converts outages to the journal's format.
+    fn outages_for_journal(&self, outages: impl Iterator<Item = OutageRecord>) -> Vec<PersistedOutage> {
         let note = |outage: OutageRecord| PersistedOutage {
             destination: outage.destination.0,
             uid: outage.endpoint.and_then(|id| self.directory.uid(id)).map(str::to_owned),
-            since_ms: self.clock.to_wall(outage.since),
+            since_ms: self.clock.to_unix_ms(outage.since),
             failure_weight: outage.evidence,
             calls_were_lost: outage.calls_lost,
-            slow_start_since_ms: outage.slow_start_since.map(|at| self.clock.to_wall(at)),
+            slow_start_since_ms: outage.slow_start_since.map(|at| self.clock.to_unix_ms(at)),
             served_per_second: outage.served_rate,
         };
         outages.map(note).collect()
     }
 
-    /// Says in the log how many destinations are held to be out, where that has changed.
-    fn tell_outages(&mut self, now: Time, before: usize, after: usize) {
+    /// Logs the number of destinations in an outage if it changed.
+    fn log_outage_count(&mut self, now: Time, before: usize, after: usize) {
         if before != after {
-            if let Some(more) = self.outage_lines.due(now) {
-                info!(before, after, more, "destinations held to be out");
+            if let Some(more) = self.outage_log.due(now) {
+                info!(before, after, more, "the number of destinations in an outage changed");
             }
         }
     }
 
-    fn note(&mut self, now: Time, written: Result<(), JournalError>) {
+    fn log_journal_error(&mut self, now: Time, written: Result<(), JournalError>) {
         if let Err(error) = written {
-            if let Some(more) = self.journal_errors.due(now) {
+            if let Some(more) = self.journal_error_log.due(now) {
                 error!(%error, more, "the journal cannot be written");
             }
         }
     }
 
-    /// What is counted, since this process began.
-    pub fn counts(&self) -> &Counts {
+    /// The counters since the process started.
+    pub fn counts(&self) -> &MessageCounts {
         &self.counts
     }
 
-    /// What an operator is told.
-    pub fn reading(&self, now: Time) -> Reading {
+    /// The metrics for the console.
+    pub fn metrics(&self, now: Time) -> EngineMetrics {
         let classes = self.class_names.iter().zip(&self.counts.classes);
-        Reading {
-            classes: classes.map(|(name, ends)| (name.clone(), *ends)).collect(),
-            attempts: self.counts.attempts,
+        EngineMetrics {
+            classes: classes.map(|(name, counts)| (name.clone(), *counts)).collect(),
+            attempts: self.counts.calls_written,
             in_flight: self.journal.state().pending.values().filter(|held| held.verdict.is_none()).count(),
-            endpoints_known: self.directory.listed(),
+            endpoints_known: self.directory.listed_count(),
             endpoints_excluded: self.courier.excluded_endpoints(now),
         }
     }
 
-    /// Says in the log what each destination was given and what waits for it, where [`crate::TALLY`] is switched on. To be
-    /// called once a second.
-    pub fn tell_tally(&mut self, now: Time) {
-        self.tally.tell(self.courier.destination_statuses(now));
+    /// Logs the counters and the waiting messages of each destination, if [`crate::DESTINATION_METRICS_TARGET`] is enabled. To
+    /// be called once a second.
+    pub fn log_destination_metrics(&mut self, now: Time) {
+        self.destination_metrics.log(self.courier.destination_statuses(now));
     }
 
-    /// Says in the log what has happened since the last time, and how late the loop was at the most.
-    pub fn report(&mut self, latest: Duration) {
-        let (sum, before) = (self.counts.sum(), self.logged.sum());
-        let taken = self.counts.taken - self.logged.taken;
-        let busy = sum.turned_away - before.turned_away;
-        let delivered = sum.served - before.served;
-        let failed = sum.failed - before.failed;
-        let returned = sum.handed_back - before.handed_back;
-        let calls = self.counts.calls - self.logged.calls;
-        self.logged = self.counts.clone();
+    /// Logs what the counters gained since the last call. `max_delay` is the longest delay of the caller's loop since then.
+    pub fn log_activity(&mut self, max_delay: Duration) {
+        let (total, logged) = (self.counts.total(), self.logged_counts.total());
+        let taken = self.counts.accepted - self.logged_counts.accepted;
+        let busy = total.rejected - logged.rejected;
+        let delivered = total.served - logged.served;
+        let failed = total.failed - logged.failed;
+        let returned = total.returned - logged.returned;
+        let calls = self.counts.calls_started - self.logged_counts.calls_started;
+        self.logged_counts = self.counts.clone();
         let (held, out) = self.load();
-        info!(taken, busy, delivered, failed, returned, calls, held, out, ?latest, "load");
+        info!(taken, busy, delivered, failed, returned, calls, held, out, latest = ?max_delay, "load");
         let JournalStats {
             appended_bytes: appended,
             rewritten_bytes: rewritten,
--- /dev/null
+++ b/crates/gullcart-engine/src/engine_snapshot.rs
@@ -0,0 +1,79 @@
+//! The engine's state in serialized form, which lets another process resume the engine. It holds what the journal does not.
+
+use cloverstile::{Courier, EndpointId, MessageId, Time};
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+use thiserror::Error;
+
+use crate::directory::Directory;
+
+/// Version of the snapshot's format. Raise it with every change of a type that the snapshot contains.
+pub(crate) const SNAPSHOT_FORMAT: u32 = 4;
+
+/// A call that is in flight.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct InFlightCall {
+    /// The endpoint that is called.
+    pub endpoint: EndpointId,
+    /// Index of the attempt among the message's attempts, from 0.
+    pub attempt: u16,
+    /// The call was asked to stop.
+    pub is_cancel_requested: bool,
+}
+
+/// Why a snapshot cannot be resumed. The engine then starts from the journal alone.
+#[derive(Debug, Error, PartialEq, Eq)]
+pub enum ResumeError {
+    /// The snapshot was written by a release with another format.
+    #[error("the snapshot has format {0}, but this release reads format {SNAPSHOT_FORMAT}")]
+    UnsupportedFormat(u32),
+    /// The snapshot was written under other settings.
+    #[error("the snapshot was written under other settings")]
+    SettingsMismatch,
+    /// The snapshot is truncated, has trailing bytes or does not decode.
+    #[error("the snapshot is corrupt")]
+    Corrupt,
+    /// The journal and the snapshot do not hold the same messages.
+    #[error("the snapshot and the journal hold different messages")]
+    JournalMismatch,
+}
+
+/// Precedes the snapshot. Its own format never changes, so that every release can read it.
+#[derive(Serialize, Deserialize)]
+pub(crate) struct SnapshotHeader {
+    pub format: u32,
+    /// Checksum of the settings. Class, zone and kind numbers in the snapshot are valid only under the same settings.
+    pub settings: u32,
+}
+
+#[derive(Serialize, Deserialize)]
+pub(crate) struct EngineSnapshot {
+    pub courier: Courier,
+    pub directory: Directory,
+    pub in_flight: BTreeMap<MessageId, InFlightCall>,
+    /// Messages for which more than one enqueue request was answered.
+    pub shared_messages: Vec<MessageId>,
+    /// When the courier's timer is due, and the timer's token.
+    pub wake_up: Option<(Time, u64)>,
+}
+
+pub(crate) fn write(header: &SnapshotHeader, snapshot: &EngineSnapshot) -> Result<Vec<u8>, postcard::Error> {
+    let bytes = postcard::to_extend(header, Vec::new())?;
+    postcard::to_extend(snapshot, bytes)
+}
+
+/// Reads a snapshot that was written under settings with the given checksum.
+pub(crate) fn read(bytes: &[u8], settings: u32) -> Result<EngineSnapshot, ResumeError> {
+    let (header, rest): (SnapshotHeader, _) =
+        postcard::take_from_bytes(bytes).map_err(|_| ResumeError::Corrupt)?;
+    if header.format != SNAPSHOT_FORMAT {
+        return Err(ResumeError::UnsupportedFormat(header.format));
+    }
+    if header.settings != settings {
+        return Err(ResumeError::SettingsMismatch);
+    }
+    match postcard::take_from_bytes(rest) {
+        Ok((snapshot, [])) => Ok(snapshot),
+        _ => Err(ResumeError::Corrupt),
+    }
+}
--- /dev/null
+++ b/crates/gullcart-engine/src/trial_duties.rs
@@ -0,0 +1,280 @@
+//! Shares the trials of destinations in an outage among the couriers of a group.
+//!
+//! Each destination in an outage is a duty, which the group assigns to at most one courier. The holder makes the trials,
+//! reports the outcome to all couriers that registered for the duty, and passes the duty on if its trials get nowhere. While
+//! no courier is known to hold a duty, or nothing is heard of the holder, each courier makes trials of its own.
+
+use cloverstile::{Courier, DestinationId, Event, OutageView, PeerReport, Time, TrialOwner};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Maximum duties a courier registers for. It makes its own trials of all other destinations.
+const MAX_DUTIES: usize = 1024;
+/// A holder without success passes the duty on after this many collapse windows: only its own network path may be broken.
+const MAX_HOLD_COLLAPSE_WINDOWS: u32 = 2;
+/// Interval between searches for outages while this courier is registered for no duty.
+const SEARCH_INTERVAL: Duration = Duration::from_millis(5);
+/// Interval between registrations for a duty that the group does not know about.
+const REGISTER_RETRY_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Which courier holds a duty.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DutyHolder {
+    /// No courier, as far as is known.
+    Nobody,
+    /// This courier.
+    ThisCourier {
+        /// Epoch in which it holds the duty.
+        epoch: u64,
+        /// Until when it may act without further news from the group.
+        until: Time,
+    },
+    /// Another courier.
+    OtherCourier {
+        /// Until when it counts as the holder without further news from the group.
+        until: Time,
+    },
+}
+
+/// The latest report of a duty's holder.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct DutyReport {
+    /// Epoch in which the reporting courier held the duty.
+    pub epoch: u64,
+    /// The report, which the group does not interpret.
+    pub payload: Vec<u8>,
+    /// Latest moment at which the group may have agreed on the report.
+    pub agreed_at: Time,
+}
+
+/// State of a duty as the group last reported it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct DutyView {
+    /// Which courier holds it.
+    pub holder: DutyHolder,
+    /// What its holder reported last.
+    pub report: Option<DutyReport>,
+}
+
+/// A request to the group.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum TrialRequest {
+    /// Registers this courier for the duty of a destination: as a possible holder and for the holder's reports.
+    Register(DestinationId),
+    /// Ends the registration: the destination serves again, or no message waits for it.
+    Unregister(DestinationId),
+    /// Assigns the duty to another courier, and does not assign it to this one for the given time.
+    PassOn(DestinationId, Duration),
+    /// Sends a report to all couriers that are registered for the duty.
+    Report(DestinationId, Vec<u8>),
+}
+
+/// What a holder found out, as its report says.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum TrialOutcome {
+    /// The destination served a call this long before the report.
+    Served(Duration),
+    /// The destination asked to retry after this time, counted from the report.
+    RetryAfter(Duration),
+}
+
+impl TrialOutcome {
+    fn encode(self) -> Vec<u8> {
+        let (kind, span) = match self {
+            TrialOutcome::Served(ago) => (b's', ago),
+            TrialOutcome::RetryAfter(left) => (b'w', left),
+        };
+        let mut payload = vec![kind];
+        payload.extend((span.as_millis().min(u128::from(u64::MAX)) as u64).to_le_bytes());
+        payload
+    }
+
+    /// Decodes a report; `None` if another release wrote it in a format that this one does not know.
+    fn decode(payload: &[u8]) -> Option<Self> {
+        let (kind, rest) = payload.split_first()?;
+        let span = Duration::from_millis(u64::from_le_bytes(rest.try_into().ok()?));
+        match kind {
+            b's' => Some(TrialOutcome::Served(span)),
+            b'w' => Some(TrialOutcome::RetryAfter(span)),
+            _ => None,
+        }
+    }
+
+    /// Converts the outcome to local time. `agreed_at` is an upper bound, so the slow start begins rather too late and the
+    /// retry-after time ends rather too late, which is the safe side for both.
+    fn to_news(self, agreed_at: Time) -> PeerReport {
+        match self {
+            TrialOutcome::Served(ago) => PeerReport::Served(agreed_at - ago),
+            TrialOutcome::RetryAfter(left) => PeerReport::RetryAfter(agreed_at + left),
+        }
+    }
+}
+
+/// A duty that this courier is registered for.
+#[derive(Debug, Default)]
+struct TrackedDuty {
+    /// The epoch in which this courier holds or last held the duty, and since when.
+    held: Option<(u64, Time)>,
+    /// When this courier last registered with the group.
+    registered_at: Time,
+    /// What this courier reported in that epoch, and when.
+    own_report: Option<(Vec<u8>, Time)>,
+    /// Epoch and payload of the last report of another courier.
+    last_report: Option<(u64, Vec<u8>)>,
+}
+
+/// The duties that one courier is registered for.
+#[derive(Debug)]
+pub struct TrialDuties {
+    duties: BTreeMap<DestinationId, TrackedDuty>,
+    rng: fastrand::Rng,
+    collapse_window: Duration,
+    last_search: Option<Time>,
+}
+
+impl TrialDuties {
+    /// No duties. `collapse_window` is the window of the rule against overload collapse, `seed` is for random rest times.
+    pub fn new(collapse_window: Duration, seed: u64) -> Self {
+        TrialDuties {
+            duties: BTreeMap::new(),
+            rng: fastrand::Rng::with_seed(seed),
+            collapse_window,
+            last_search: None,
+        }
+    }
+
+    /// Compares outages and duties. Returns the events for the courier and the requests to the group. `registered` are the
+    /// duties that the group has this courier registered for, also by an earlier process; `view` is their state.
+    pub fn update(
+        &mut self,
+        now: Time,
+        courier: &Courier,
+        registered: impl IntoIterator<Item = DestinationId>,
+        view: impl Fn(DestinationId) -> Option<DutyView>,
+    ) -> (Vec<Event>, Vec<TrialRequest>) {
+        let (mut events, mut requests) = (Vec::new(), Vec::new());
+        if self.duties.is_empty() && self.last_search.is_some_and(|at| now < at + SEARCH_INTERVAL) {
+            return (events, requests);
+        }
+        self.last_search = Some(now);
+        for destination in courier.confirmed_outages() {
+            let is_new = !self.duties.contains_key(&destination) && self.duties.len() < MAX_DUTIES;
+            if is_new && courier.outage_view(destination).is_some_and(|outing| outing.has_messages) {
+                self.duties.insert(destination, TrackedDuty { registered_at: now, ..TrackedDuty::default() });
+                requests.push(TrialRequest::Register(destination));
+            }
+        }
+        for destination in registered {
+            // An earlier process registered for it, and the outage ended since.
+            if !self.duties.contains_key(&destination) {
+                requests.push(TrialRequest::Unregister(destination));
+            }
+        }
+        let mut finished = Vec::new();
+        for (destination, duty) in &mut self.duties {
+            let outing = courier.outage_view(*destination);
+            let view = view(*destination);
+            if view.is_none() && now - duty.registered_at > REGISTER_RETRY_INTERVAL {
+                // The group could not be reached at the time, or lost its state since.
+                duty.registered_at = now;
+                requests.push(TrialRequest::Register(*destination));
+            }
+            let view = view.unwrap_or(DutyView { holder: DutyHolder::Nobody, report: None });
+            let random = self.rng.f64();
+            let (is_needed, trials) = match outing {
+                Some(outing) => {
+                    events.extend(duty.learn(*destination, &view));
+                    let max_hold = self.collapse_window * MAX_HOLD_COLLAPSE_WINDOWS;
+                    duty.update(now, *destination, outing, &view, max_hold, random, &mut requests)
+                }
+                None => (false, TrialOwner::EachCourier),
+            };
+            events.push(Event::TrialOwnerChanged(*destination, trials));
+            if !is_needed {
+                requests.push(TrialRequest::Unregister(*destination));
+                finished.push(*destination);
+            }
+        }
+        finished.iter().for_each(|destination| drop(self.duties.remove(destination)));
+        (events, requests)
+    }
+}
+
+impl TrackedDuty {
+    /// The event for a report of another courier that was not seen before.
+    fn learn(&mut self, destination: DestinationId, view: &DutyView) -> Option<Event> {
+        let DutyReport { epoch, payload, agreed_at } = view.report.as_ref()?;
+        let is_own = self.held.is_some_and(|(held, _)| held == *epoch);
+        let is_old = self
+            .last_report
+            .as_ref()
+            .is_some_and(|(last_epoch, last_payload)| (*last_epoch, last_payload) >= (*epoch, payload));
+        if is_own || is_old {
+            return None;
+        }
+        self.last_report = Some((*epoch, payload.clone()));
+        let news = TrialOutcome::decode(payload)?.to_news(*agreed_at);
+        Some(Event::PeerReported(destination, news))
+    }
+
+    /// Whether the registration is still needed, and which courier makes the trials until the next update. `max_hold` is the
+    /// longest time to hold the duty without success, `random` is between 0 and 1.
+    #[allow(clippy::too_many_arguments)]
+    fn update(
+        &mut self,
+        now: Time,
+        destination: DestinationId,
+        outing: OutageView,
+        view: &DutyView,
+        max_hold: Duration,
+        random: f64,
+        requests: &mut Vec<TrialRequest>,
+    ) -> (bool, TrialOwner) {
+        let has_outage = outing.confirmed_since.is_some();
+        let (epoch, until) = match view.holder {
+            DutyHolder::Nobody => return (has_outage, TrialOwner::EachCourier),
+            DutyHolder::OtherCourier { until } => return (has_outage, TrialOwner::OtherCourier(until)),
+            DutyHolder::ThisCourier { epoch, until } => (epoch, until),
+        };
+        if self.held.is_none_or(|(held, _)| held != epoch) {
+            self.held = Some((epoch, now));
+            self.own_report = None;
+        }
+        let since = self.held.map_or(now, |(_, since)| since);
+        if has_outage {
+            // A report made in this epoch concerned an earlier outage.
+            self.own_report = None;
+            let gets_nowhere = now - since > max_hold;
+            if !outing.has_messages || gets_nowhere {
+                requests.push(TrialRequest::PassOn(destination, max_hold.mul_f64(1.0 + random)));
+                return (true, TrialOwner::EachCourier);
+            }
+            return (true, TrialOwner::ThisCourier(until));
+        }
+        // The destination serves again or gave a retry-after time. The other couriers are told before the duty ends.
+        if self.own_report.is_none() {
+            let outcome = if outing.retry_after_until > now {
+                TrialOutcome::RetryAfter(outing.retry_after_until - now)
+            } else if outing.last_success >= since {
+                TrialOutcome::Served(now - outing.last_success)
+            } else {
+                return (false, TrialOwner::EachCourier);
+            };
+            let payload = outcome.encode();
+            requests.push(TrialRequest::Report(destination, payload.clone()));
+            self.own_report = Some((payload, now));
+        }
+        // A report that gets lost must not keep the duty forever: the other couriers will find out by their own trials.
+        let is_done = self.own_report.as_ref().is_some_and(|(payload, reported_at)| {
+            let is_agreed = view
+                .report
+                .as_ref()
+                .is_some_and(|report| report.epoch == epoch && report.payload == *payload);
+            is_agreed || now - *reported_at > max_hold
+        });
+        (!is_done, TrialOwner::ThisCourier(until))
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/gullcart-hollow/src/courier.rs
+++ b/crates/gullcart-hollow/src/courier.rs
@@ -1,7 +1,7 @@
 //! The part of a hollow courier that acts on what it is told: a real engine on a journal in memory, without messages.
 
 use cloverstile::{parse_settings_json, ParsedSettings, Time};
-use gullcart_engine::{Engine, Input, Start, EPOCH};
+use gullcart_engine::{Engine, EngineConfig, Input, EPOCH};
 use gullcart_journal::simulated::{Crash, Disk};
 use gullcart_journal::{Journal, JournalError, Options};
 use gullcart_message::{ListingUpdate, Target};
@@ -83,13 +83,13 @@
     pub fn new(settings: &CourierSettings, seed: u64) -> Result<Self, CourierError> {
         let disk = Disk::new(JOURNAL_BYTES, Crash::Process, seed);
         let journal = Journal::replay(disk, JOURNAL_BYTES, Options::default(), seed | 1)?;
-        let start = Start {
-            parsed: settings.0.clone(),
+        let start = EngineConfig {
+            parsed_settings: settings.0.clone(),
             seed,
-            known: ListingUpdate::default(),
+            initial_list: ListingUpdate::default(),
             now: EPOCH,
             epoch_ms: START_MS,
-            fingerprint: 0,
+            settings_checksum: 0,
         };
         Ok(HollowEngine { engine: Engine::new(start, journal), started: Instant::now() })
     }
@@ -97,7 +97,7 @@
     /// Takes news of the list in. It is in force when this returns.
     pub fn apply(&mut self, update: ListingUpdate) -> Result<(), CourierError> {
         let now = self.time();
-        self.engine.handle(now, Input::Listed(update));
+        self.engine.handle(now, Input::ListUpdate(update));
         self.turn()
     }
 
@@ -116,7 +116,7 @@
 
     /// Endpoints that the engine knows.
     pub fn endpoints(&self) -> usize {
-        self.engine.reading(self.time()).endpoints_known
+        self.engine.metrics(self.time()).endpoints_known
     }
 
     fn time(&self) -> Time {
--- a/crates/gullcart-scale/src/capacity/breaks.rs
+++ b/crates/gullcart-scale/src/capacity/breaks.rs
@@ -7,7 +7,7 @@
 use super::target::{self, assumed};
 use super::workbook::{CapacityError, Figure, Workbook};
 use cloverstile::DestinationId;
-use gullcart_engine::TOLD;
+use gullcart_engine::ASSUMED_KNOWN_AFTER;
 use gullcart_group::message::MAX_WATCHED_DUTIES;
 use gullcart_group::table::{MAX_DUTIES, MAX_MEMBERS};
 use std::mem::size_of;
@@ -234,9 +234,12 @@
         Break {
             mechanism: "calls for the list, spread by chance".to_owned(),
             role: Role::DiscoveryAgent,
-            limit: format!("{} until the last courier has it", value(TOLD.as_secs_f64(), Unit::Seconds)),
+            limit: format!(
+                "{} until the last courier has it",
+                value(ASSUMED_KNOWN_AFTER.as_secs_f64(), Unit::Seconds)
+            ),
             counts: "couriers",
-            at: workbook.size_at(q::LIST_DELAY, TOLD.as_secs_f64())?,
+            at: workbook.size_at(q::LIST_DELAY, ASSUMED_KNOWN_AFTER.as_secs_f64())?,
             target: target::COURIERS,
             standing: Standing::Built,
         },
--- a/crates/gullcart-scale/src/shared/idle.rs
+++ b/crates/gullcart-scale/src/shared/idle.rs
@@ -4,7 +4,7 @@
 use crate::fit::FitError;
 use crate::record::{Measurement, Point};
 use fastrand::Rng;
-use gullcart_engine::IdleShare;
+use gullcart_engine::IdleConnectionPolicy;
 
 /// Calls of each courier in the mean, of which the first ones are not counted.
 const CALLS_OF_EACH: u64 = 40;
@@ -27,8 +27,8 @@
 
 /// The couriers, and how many connections were idle in the mean and at the most.
 fn connections(couriers: u32) -> (u32, f64, f64) {
-    let mut shares: Vec<(IdleShare, bool)> =
-        (0..couriers).map(|number| (IdleShare::new(couriers, number.into()), false)).collect();
+    let mut shares: Vec<(IdleConnectionPolicy, bool)> =
+        (0..couriers).map(|number| (IdleConnectionPolicy::new(couriers, number.into()), false)).collect();
     let mut chance = Rng::with_seed(SEED);
     let calls = LEAST_CALLS.max(CALLS_OF_EACH * u64::from(couriers));
     let uncounted = UNCOUNTED_OF_EACH * u64::from(couriers);
@@ -38,7 +38,7 @@
     for call in 0..calls {
         let caller = chance.usize(..shares.len());
         let (share, is_held) = &mut shares[caller];
-        let keeps = share.keeps();
+        let keeps = share.should_keep();
         held = held + u64::from(keeps) - u64::from(*is_held);
         *is_held = keeps;
         if call >= uncounted {
--- a/crates/gullcart-scale/src/shared/lists.rs
+++ b/crates/gullcart-scale/src/shared/lists.rs
@@ -3,7 +3,7 @@
 use super::{median, most_within, AXIS};
 use crate::fit::FitError;
 use crate::record::{Measurement, Point};
-use gullcart_engine::{CallsForLists, CALL};
+use gullcart_engine::{DiscoveryBackoff, DISCOVERY_CALL_TIMEOUT};
 use std::time::Duration;
 
 /// How long discovery cannot be reached.
@@ -51,13 +51,14 @@
     Point { size: couriers.into(), value, samples: SEEDS as u32 }
 }
 
-fn fleet(couriers: u32, seed: u64) -> impl Iterator<Item = CallsForLists> {
-    (0..couriers).map(move |number| CallsForLists::new(couriers, GRACE, seed * SEED_STEP + u64::from(number)))
+fn fleet(couriers: u32, seed: u64) -> impl Iterator<Item = DiscoveryBackoff> {
+    (0..couriers)
+        .map(move |number| DiscoveryBackoff::new(couriers, GRACE, seed * SEED_STEP + u64::from(number)))
 }
 
 /// An outage that refuses calls, and one that lets them hang.
 fn both_outages(couriers: u32, seed: u64) -> [Outage; 2] {
-    [REFUSED_S, CALL.as_secs_f64()].map(|call_takes| outage(couriers, seed, call_takes))
+    [REFUSED_S, DISCOVERY_CALL_TIMEOUT.as_secs_f64()].map(|call_takes| outage(couriers, seed, call_takes))
 }
 
 /// Discovery cannot be reached from zero on, and the first call that each could have answered is lost as well.
@@ -65,13 +66,14 @@
     let mut times = Vec::new();
     let mut longest_s = 0.0_f64;
     for mut calls in fleet(couriers, seed) {
-        let mut at = calls.after_break().as_secs_f64();
+        let mut at = calls.delay_after_broken_watch().as_secs_f64();
         while at < OUTAGE_S {
             times.push(at);
-            at += call_takes + calls.after_failure(Duration::from_secs_f64(call_takes)).as_secs_f64();
+            at += call_takes + calls.delay_after_failure(Duration::from_secs_f64(call_takes)).as_secs_f64();
         }
         times.push(at);
-        at += CALL.as_secs_f64() + calls.after_failure(CALL).as_secs_f64();
+        at += DISCOVERY_CALL_TIMEOUT.as_secs_f64()
+            + calls.delay_after_failure(DISCOVERY_CALL_TIMEOUT).as_secs_f64();
         times.push(at);
         longest_s = longest_s.max(at + ANSWER_S - OUTAGE_S);
     }
@@ -81,7 +83,8 @@
 }
 
 fn common_start(couriers: u32, seed: u64) -> f64 {
-    let mut times: Vec<f64> = fleet(couriers, seed).map(|mut calls| calls.first().as_secs_f64()).collect();
+    let mut times: Vec<f64> =
+        fleet(couriers, seed).map(|mut calls| calls.first_delay().as_secs_f64()).collect();
     times.sort_by(f64::total_cmp);
     most_within(&times, 1.0) as f64
 }
--- a/crates/gullcart-scale/tests/shared.rs
+++ b/crates/gullcart-scale/tests/shared.rs
@@ -21,7 +21,7 @@
 #[test]
 fn every_courier_has_the_list_before_a_change_counts_as_told() {
     let measured = lists::measure(&SIZES).expect("a fit");
-    let told = gullcart_engine::TOLD.as_secs_f64();
+    let told = gullcart_engine::ASSUMED_KNOWN_AFTER.as_secs_f64();
     for delay in values(&measured, "longest time until the last has the list") {
         assert!(delay > 2.0 && delay < told, "{delay} s of {told}");
     }
--- a/crates/gullcart/src/calls.rs
+++ b/crates/gullcart/src/calls.rs
@@ -2,7 +2,10 @@
 
 use bytes::Bytes;
 use cloverstile::{EndpointId, Outcome};
-use gullcart_engine::{Call, ConnectionAnswers, Ended, EndpointAnswers, Fingerprint, IdleShare, Stop, TRAIL};
+use gullcart_engine::{
+    AnswerFingerprint, Call, CallResult, ConnectionAnswers, EndpointAnswers, IdleConnectionPolicy,
+    StopReason, MESSAGE_TRACE_TARGET,
+};
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
@@ -87,7 +90,7 @@
     max_idle_time: Duration,
     max_open: usize,
     max_idle: usize,
-    idle_share: RefCell<IdleShare>,
+    idle_share: RefCell<IdleConnectionPolicy>,
     #[cfg(feature = "broken")]
     accepts_copies: Cell<bool>,
 }
@@ -99,7 +102,7 @@
         conn_idle: Duration,
         max_open: usize,
         max_idle: usize,
-        idle_share: IdleShare,
+        idle_share: IdleConnectionPolicy,
     ) -> Self {
         ConnectionPool {
             idle: RefCell::default(),
@@ -182,14 +185,14 @@
         if self.accepts_copies.get() {
             return true;
         }
-        let fingerprint = Fingerprint::of(body);
+        let fingerprint = AnswerFingerprint::of(body);
         let accepted = stream.earlier_answers.borrow_mut().accept(fingerprint);
         let mut answers = self.endpoint_answers.borrow_mut();
         let endpoint_answers = answers.entry(endpoint).or_default();
         match accepted {
             Ok(()) => endpoint_answers.observe(fingerprint),
             Err(doubt) => {
-                endpoint_answers.doubt();
+                endpoint_answers.observe_ambiguous();
                 let (port, calls) = (stream.local_port(), stream.call_count());
                 warn!(
                     endpoint = endpoint.0,
@@ -210,14 +213,14 @@
             return true;
         }
         let is_distinguishable =
-            self.endpoint_answers.borrow().get(&endpoint).is_some_and(EndpointAnswers::differ);
-        is_distinguishable && stream.earlier_answers.borrow().allow_another_call()
+            self.endpoint_answers.borrow().get(&endpoint).is_some_and(EndpointAnswers::are_distinct);
+        is_distinguishable && stream.earlier_answers.borrow().can_carry_call()
     }
 
     /// Keeps a connection for later calls, within the limits.
     fn keep_idle(&self, endpoint: EndpointId, mut connection: Connection) {
         // An endpoint accepts few connections, so each courier keeps only its share of the idle ones.
-        if !self.idle_share.borrow_mut().keeps() {
+        if !self.idle_share.borrow_mut().should_keep() {
             return log_closed(endpoint, "not kept, to leave room at the endpoint for other couriers");
         }
         connection.idle_since = Instant::now();
@@ -287,15 +290,15 @@
         self: &Rc<Self>,
         call: Call,
         send_by: Option<Instant>,
-        mut stop: oneshot::Receiver<Stop>,
+        mut stop: oneshot::Receiver<StopReason>,
         progress: Rc<WriteProgress>,
         mut resumed: Option<ResumedCall>,
-    ) -> Ended {
+    ) -> CallResult {
         let elapsed = resumed.as_ref().map_or(Duration::ZERO, |resumed| resumed.elapsed);
         let started_at = Instant::now().checked_sub(elapsed).unwrap_or_else(Instant::now);
         let end = started_at + call.try_for;
         let ended =
-            |outcome| Ended { outcome, latency: started_at.elapsed(), complete: false, allowance: None };
+            |outcome| CallResult { outcome, latency: started_at.elapsed(), is_final: false, allowance: None };
         loop {
             let limit = ConnectLimit::new(end.min(started_at + self.connect_timeout), send_by);
             // A call that was handed over has been sent, so it may have run even when it is stopped at once.
@@ -309,7 +312,7 @@
                 },
             };
             let (port, before) = (connection.stream.local_port(), connection.stream.call_count());
-            debug!(target: TRAIL, id = call.id, fresh = is_new, port, before, after = ?started_at.elapsed(), "connection ready");
+            debug!(target: MESSAGE_TRACE_TARGET, id = call.id, fresh = is_new, port, before, after = ?started_at.elapsed(), "connection ready");
             let Ok(request) = build_request(&call) else { return ended(Outcome::NotSent) };
             let stream = connection.stream.clone();
             stream.begin_call(call.body.len(), progress.clone(), send_by);
@@ -326,7 +329,7 @@
                     Ok(response) => {
                         let (status, after) = (response.status().as_u16(), started_at.elapsed());
                         let copies = stream.copy_count();
-                        debug!(target: TRAIL, id = call.id, port, before, copies, status, ?after, "response head received");
+                        debug!(target: MESSAGE_TRACE_TARGET, id = call.id, port, before, copies, status, ?after, "response head received");
                         return self.read_response(call.endpoint, connection, response, started_at, end).await;
                     }
                     Err(_) => CallEnd::Broken,
@@ -337,7 +340,7 @@
             };
             let latency = started_at.elapsed();
             let ((written, read), copies) = (stream.byte_counts(), stream.copy_count());
-            debug!(target: TRAIL, id = call.id, ?end_of_call, written, read, copies, status = stream.status(), "call ended without a response head");
+            debug!(target: MESSAGE_TRACE_TARGET, id = call.id, ?end_of_call, written, read, copies, status = stream.status(), "call ended without a response head");
             let outcome = match end_of_call {
                 // Not a byte was written, so the call never ran. A missed `send_by` says nothing about the endpoint.
                 CallEnd::Broken | CallEnd::TimedOut if stream.is_unwritten() && stream.is_past_send_by() => {
@@ -347,7 +350,7 @@
                     // An idle connection that turned out to be closed, or to hold bytes that belong to no call: the call is
                     // sent on another connection.
                     log_stray_bytes(call.endpoint, &stream, "between two calls");
-                    debug!(target: TRAIL, id = call.id, "call retried on another connection");
+                    debug!(target: MESSAGE_TRACE_TARGET, id = call.id, "call retried on another connection");
                     continue;
                 }
                 CallEnd::Stopped(reason) if stream.is_unwritten() => outcome_if_unsent(reason),
@@ -362,7 +365,7 @@
             };
             // Before the outcome is returned: until the connection is closed, the endpoint may still run the call.
             connection.abandon().await;
-            return Ended { latency, complete: outcome == Outcome::Ok, ..ended(outcome) };
+            return CallResult { latency, is_final: outcome == Outcome::Ok, ..ended(outcome) };
         }
     }
 
@@ -376,7 +379,7 @@
         response: Response<Incoming>,
         started_at: Instant,
         end: Instant,
-    ) -> Ended {
+    ) -> CallResult {
         let ended = parse_response_head(&response, started_at.elapsed());
         let is_first = connection.stream.earlier_answers.borrow().is_empty();
         let rest = finish_response(self.clone(), endpoint, connection, response, end);
@@ -387,7 +390,7 @@
         if rest.await {
             ended
         } else {
-            Ended { outcome: Outcome::Malformed, complete: false, allowance: None, ..ended }
+            CallResult { outcome: Outcome::Malformed, is_final: false, allowance: None, ..ended }
         }
     }
 }
@@ -395,12 +398,12 @@
 /// Logs that an idle connection was closed by the endpoint, or that it brought bytes that belong to no call.
 fn log_stray_bytes(endpoint: EndpointId, stream: &TrackedConnection, when: &str) {
     let (port, calls) = (stream.local_port(), stream.call_count());
-    debug!(target: TRAIL, endpoint = endpoint.0, port, calls, when, "unexpected bytes, or closed by the endpoint");
+    debug!(target: MESSAGE_TRACE_TARGET, endpoint = endpoint.0, port, calls, when, "unexpected bytes, or closed by the endpoint");
 }
 
 /// Logs why connections to an endpoint without a call are closed.
 fn log_closed(endpoint: EndpointId, reason: &str) {
-    debug!(target: TRAIL, endpoint = endpoint.0, reason, "idle connections closed");
+    debug!(target: MESSAGE_TRACE_TARGET, endpoint = endpoint.0, reason, "idle connections closed");
 }
 
 /// By when a connection must be open, and the outcome if it is not.
@@ -429,15 +432,15 @@
     /// The call's time was up.
     TimedOut,
     /// The courier stopped the call.
-    Stopped(Option<Stop>),
+    Stopped(Option<StopReason>),
 }
 
 /// The outcome of a call that was stopped before its first byte was written, and so never ran. A call that was called off
 /// counts as a failed connection; one that was withdrawn says nothing about the endpoint.
-fn outcome_if_unsent(reason: Option<Stop>) -> Outcome {
+fn outcome_if_unsent(reason: Option<StopReason>) -> Outcome {
     match reason {
-        Some(Stop::CalledOff) => Outcome::ConnectFailed,
-        Some(Stop::Withdrawn) | None => Outcome::NotSent,
+        Some(StopReason::Cancelled) => Outcome::ConnectFailed,
+        Some(StopReason::Withdrawn) | None => Outcome::NotSent,
     }
 }
 
@@ -477,7 +480,7 @@
     let has_conflicting_lengths =
         headers.contains_key("content-length") && headers.contains_key("transfer-encoding");
     let Some(body) = read_body(response, end).await else {
-        debug!(target: TRAIL, endpoint = endpoint.0, port = connection.stream.local_port(), "response incomplete");
+        debug!(target: MESSAGE_TRACE_TARGET, endpoint = endpoint.0, port = connection.stream.local_port(), "response incomplete");
         connection.abandon().await;
         return false;
     };
--- a/crates/gullcart/src/calls/response.rs
+++ b/crates/gullcart/src/calls/response.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use cloverstile::{LimitReport, Outcome};
-use gullcart_engine::Ended;
+use gullcart_engine::CallResult;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::Response;
@@ -21,7 +21,7 @@
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(600);
 
 /// The outcome that a response's head reports for its call.
-pub(super) fn parse_response_head(response: &Response<Incoming>, latency: Duration) -> Ended {
+pub(super) fn parse_response_head(response: &Response<Incoming>, latency: Duration) -> CallResult {
     let header = |name: &str| response.headers().get(name).and_then(|value| value.to_str().ok());
     let (outcome, complete) = match response.status().as_u16() {
         200 => (Outcome::Ok, true),
@@ -38,7 +38,12 @@
         // A server error, or a status without a defined meaning: the call may have run.
         _ => (Outcome::Error, false),
     };
-    Ended { outcome, latency, complete, allowance: header("X-Load-Report").and_then(parse_load_report) }
+    CallResult {
+        outcome,
+        latency,
+        is_final: complete,
+        allowance: header("X-Load-Report").and_then(parse_load_report),
+    }
 }
 
 /// Parses the load report header; none where a value is missing or implausible.
--- a/crates/gullcart/src/calls/tests.rs
+++ b/crates/gullcart/src/calls/tests.rs
@@ -57,7 +57,7 @@
 
 /// A pool with generous limits.
 fn pool() -> Rc<ConnectionPool> {
-    let share = IdleShare::new(1, 1);
+    let share = IdleConnectionPolicy::new(1, 1);
     let timeout = Duration::from_secs(10);
     Rc::new(ConnectionPool::new(timeout, timeout, 8, 4, share))
 }
@@ -131,7 +131,7 @@
     stream.set_nonblocking(true).unwrap();
     let ended = run(async {
         let (stop, stopped) = oneshot::channel();
-        stop.send(Stop::CalledOff).unwrap();
+        stop.send(StopReason::Cancelled).unwrap();
         let carried = ResumedCall {
             stream: Some(stream),
             response_bytes: Vec::new(),
@@ -239,7 +239,7 @@
         calling.await.unwrap()
     });
     endpoint.join().unwrap();
-    assert_eq!((ended.outcome, ended.complete), (Outcome::Timeout, false));
+    assert_eq!((ended.outcome, ended.is_final), (Outcome::Timeout, false));
 }
 
 /// Answers one call with the given bytes and keeps its connection open. Returns the connection once the call has been read.
--- a/crates/gullcart/src/calls/tests/truth.rs
+++ b/crates/gullcart/src/calls/tests/truth.rs
@@ -164,7 +164,7 @@
     address: SocketAddr,
     number: u32,
     rng: &mut fastrand::Rng,
-) -> (String, Ended) {
+) -> (String, CallResult) {
     let id = format!("c{number}");
     let body = Bytes::from(vec![b'x'; if rng.u8(..3) == 0 { LONG_BODY } else { rng.usize(..200) }]);
     let try_for = Duration::from_millis([40, 200, 1000][rng.usize(..3)]);
@@ -172,12 +172,12 @@
     let send_by = (rng.u8(..3) == 0).then(|| Instant::now() + Duration::from_millis(rng.u64(..30)));
     let (stop, stopped) = oneshot::channel();
     let progress: Rc<WriteProgress> = Rc::default();
-    let reason = [None, None, Some(Stop::CalledOff), Some(Stop::Withdrawn)][rng.usize(..4)];
+    let reason = [None, None, Some(StopReason::Cancelled), Some(StopReason::Withdrawn)][rng.usize(..4)];
     let after = Duration::from_millis(rng.u64(..40));
     let stopping = async {
         let Some(reason) = reason else { return std::future::pending().await };
         sleep(after).await;
-        if reason == Stop::CalledOff || !progress.is_started() {
+        if reason == StopReason::Cancelled || !progress.is_started() {
             let _ = stop.send(reason);
         }
         std::future::pending().await
--- a/crates/gullcart/src/clients.rs
+++ b/crates/gullcart/src/clients.rs
@@ -16,7 +16,7 @@
 use crate::connection_slots::{ClientLimits, ConnectionSlot, ConnectionSlots, ConnectionState};
 use crate::messages::EventSender;
 use crate::resp::{decode, encode, parse_enqueue};
-use gullcart_engine::{Answer, Enqueue, Input, Seldom, EPOCH, TRAIL};
+use gullcart_engine::{Answer, Enqueue, Input, RateLimitedLog, EPOCH, MESSAGE_TRACE_TARGET};
 
 /// Bytes read at a time. A longer request needs one of the permits for long requests.
 const READ_CHUNK_BYTES: usize = 4 << 10;
@@ -124,7 +124,7 @@
             };
             // An error concerns this client alone; accepted messages stay accepted.
             let result = client.run(is_new).await;
-            debug!(target: TRAIL, ?peer, ended = ?result, "client connection closed");
+            debug!(target: MESSAGE_TRACE_TARGET, ?peer, ended = ?result, "client connection closed");
         });
     }
 }
@@ -132,7 +132,7 @@
 /// Accepts connections until the task is dropped.
 pub async fn serve(listener: TcpListener, clients: Clients) {
     let slots = clients.slots.clone();
-    let mut accept_errors = Seldom::default();
+    let mut accept_errors = RateLimitedLog::default();
     let started_at = Instant::now();
     loop {
         match listener.accept().await {
@@ -244,7 +244,7 @@
                 ReadOutcome::GiveWay if is_new => return Ok(()),
                 outcome @ (ReadOutcome::End | ReadOutcome::GiveWay) => {
                     debug!(
-                        target: TRAIL, peer = ?self.stream.peer_addr().ok(), phase = ?*self.phase.borrow(), come = ?outcome, served,
+                        target: MESSAGE_TRACE_TARGET, peer = ?self.stream.peer_addr().ok(), phase = ?*self.phase.borrow(), come = ?outcome, served,
                         "client connection shut down"
                     );
                     return self.close_gracefully().await;
@@ -373,11 +373,11 @@
         self.output.extend_from_slice(encode(&answer).as_bytes());
         let written = self.flush().await;
         if let Some(id) = id {
-            debug!(target: TRAIL, id, peer = ?self.stream.peer_addr().ok(), ?answer, ?written, "reply written to client");
+            debug!(target: MESSAGE_TRACE_TARGET, id, peer = ?self.stream.peer_addr().ok(), ?answer, ?written, "reply written to client");
         }
         if let (Err(_), Answer::Taken(message)) = (&written, answer) {
             // The client did not get the reply, and enqueues the message again under another id.
-            self.events.send(Input::Unheard(message)).await;
+            self.events.send(Input::AnswerUnacknowledged(message)).await;
         }
         written.map(Some)
     }
@@ -401,7 +401,7 @@
 
     /// Replies with an error and closes.
     async fn reject(mut self, error: &str) -> io::Result<()> {
-        debug!(target: TRAIL, peer = ?self.stream.peer_addr().ok(), error, "client rejected");
+        debug!(target: MESSAGE_TRACE_TARGET, peer = ?self.stream.peer_addr().ok(), error, "client rejected");
         self.output.extend_from_slice(format!("-ERR {error}\r\n").as_bytes());
         self.close_gracefully().await
     }
@@ -438,7 +438,7 @@
 
 /// Whether the log traces each message.
 fn is_traced() -> bool {
-    enabled!(target: TRAIL, Level::DEBUG)
+    enabled!(target: MESSAGE_TRACE_TARGET, Level::DEBUG)
 }
 
 /// Reads what has arrived and discards it, using one buffer for all connections.
--- a/crates/gullcart/src/console.rs
+++ b/crates/gullcart/src/console.rs
@@ -1,7 +1,7 @@
 //! The server of the operators' console: one line and one answer for each connection, on a small number of descriptors.
 
 use gullcart_console::{denied, figures, no, Call, Callers, Fault, Lines, NOT_SERVING, YES};
-use gullcart_engine::{Denied, Order, Reading, Seldom, EPOCH};
+use gullcart_engine::{CommandError, EngineMetrics, OperatorCommand, RateLimitedLog, EPOCH};
 use socket2::SockRef;
 use std::cell::RefCell;
 use std::io;
@@ -35,9 +35,9 @@
 /// A request to the driver, of an operator or of another process.
 pub enum ControlRequest {
     /// Returns the metrics.
-    Metrics(oneshot::Sender<Reading>),
+    Metrics(oneshot::Sender<EngineMetrics>),
     /// Carries out a command of an operator.
-    Command(Order, oneshot::Sender<Result<(), Denied>>),
+    Command(OperatorCommand, oneshot::Sender<Result<(), CommandError>>),
     /// Hands the courier over to the process, of the same user, at the other end of the connection.
     HandOver(UnixStream),
 }
@@ -54,7 +54,7 @@
     serving: watch::Receiver<bool>,
 ) {
     let callers = Rc::new(RefCell::new(Callers::new(MAX_CALLERS)));
-    let mut accept_errors = Seldom::default();
+    let mut accept_errors = RateLimitedLog::default();
     let started_at = Instant::now();
     loop {
         match listener.accept().await {
@@ -145,7 +145,7 @@
     serving: &watch::Receiver<bool>,
 ) -> String {
     const NO_ANSWER: &str = "the courier does not answer; what was asked may yet be done, ask again";
-    let send_command = |command: Order| async move {
+    let send_command = |command: OperatorCommand| async move {
         let (reply, result) = oneshot::channel();
         let exchange = async {
             requests.send(ControlRequest::Command(command, reply)).await.ok().zip(result.await.ok())
@@ -169,7 +169,7 @@
                 .flatten()
                 .map_or_else(|| no(NO_ANSWER), |(_, metrics)| figures(&metrics))
         }
-        Call::Suspend(id) => send_command(Order::Suspend(id)).await,
-        Call::Restore(id) => send_command(Order::Restore(id)).await,
+        Call::Suspend(id) => send_command(OperatorCommand::Suspend(id)).await,
+        Call::Restore(id) => send_command(OperatorCommand::Restore(id)).await,
     }
 }
--- a/crates/gullcart/src/discovery.rs
+++ b/crates/gullcart/src/discovery.rs
@@ -2,7 +2,9 @@
 //! connection, since a duplicate of an earlier response could not be told from its own response.
 
 use bytes::Bytes;
-use gullcart_engine::{CallsForLists, Input, Notice, CALL, SILENCE, TRAIL};
+use gullcart_engine::{
+    DiscoveryBackoff, Input, Notice, DISCOVERY_CALL_TIMEOUT, MESSAGE_TRACE_TARGET, WATCH_SILENCE_TIMEOUT,
+};
 use gullcart_message::{ListingUpdate, Verdict};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -73,13 +75,13 @@
 pub async fn watch(
     mut agent: AgentAddress,
     mut rev: u64,
-    mut pacing: CallsForLists,
+    mut pacing: DiscoveryBackoff,
     events: EventSender,
     max_list_bytes: MaxListBytes,
 ) {
     let mut is_broken = false;
     // Another agent may know another list, so all of it is fetched first.
-    let mut needs_full_list = timeout(pacing.first(), agent.changed()).await.is_ok();
+    let mut needs_full_list = timeout(pacing.first_delay(), agent.changed()).await.is_ok();
     loop {
         let address = agent.borrow_and_update().clone();
         let (started_at, mut was_established) = (Instant::now(), false);
@@ -109,8 +111,8 @@
         }
         // A watch that fails soon after it was established counts as a failed call.
         let delay = match started_at.elapsed() {
-            took if was_established && took > CALL => pacing.after_break(),
-            took => pacing.after_failure(took),
+            took if was_established && took > DISCOVERY_CALL_TIMEOUT => pacing.delay_after_broken_watch(),
+            took => pacing.delay_after_failure(took),
         };
         needs_full_list |= timeout(delay, agent.changed()).await.is_ok();
     }
@@ -126,7 +128,7 @@
     is_broken: &mut bool,
     was_established: &mut bool,
 ) -> Result<(), AgentError> {
-    let deadline = Instant::now() + CALL;
+    let deadline = Instant::now() + DISCOVERY_CALL_TIMEOUT;
     if *needs_full_list {
         let mut connection = timeout_at(deadline, connect(agent)).await??;
         let request = Request::get("/v1/endpoints").header("Host", agent).body(Full::default())?;
@@ -134,7 +136,7 @@
         // An agent with an older list than the previous one must not revert a drain.
         if list.rev >= *rev {
             let new_rev = list.rev;
-            events.send(Input::Listed(ListingUpdate { all: true, ..list })).await;
+            events.send(Input::ListUpdate(ListingUpdate { all: true, ..list })).await;
             *rev = new_rev;
         }
         *needs_full_list = false;
@@ -155,7 +157,7 @@
     let mut stream = UpdateStream::new(max_list_bytes);
     // Only complete lines show that the watch is alive: bytes without a line end may arrive forever.
     let mut last_item_at = Instant::now();
-    while let Some(part) = timeout_at(last_item_at + SILENCE, body.frame()).await? {
+    while let Some(part) = timeout_at(last_item_at + WATCH_SILENCE_TIMEOUT, body.frame()).await? {
         let Ok(data) = part?.into_data() else { continue };
         stream.feed(&data);
         while let Some(item) = stream.next()? {
@@ -172,14 +174,14 @@
                 }
                 StreamItem::Change(update) => {
                     let new_rev = update.rev;
-                    events.send(Input::Listed(update)).await;
+                    events.send(Input::ListUpdate(update)).await;
                     *rev = new_rev;
                 }
             }
             last_item_at = Instant::now();
         }
         // Checked after what had already arrived was read.
-        if last_item_at.elapsed() > SILENCE {
+        if last_item_at.elapsed() > WATCH_SILENCE_TIMEOUT {
             return Err(AgentError::UnfinishedLine);
         }
     }
@@ -234,7 +236,7 @@
             match result {
                 Ok(()) => failures = 0,
                 Err(reason) => {
-                    debug!(target: TRAIL, %reason, failures, patience = ?timeout_for_batch, waiting = batch.len(), "sending notices again");
+                    debug!(target: MESSAGE_TRACE_TARGET, %reason, failures, patience = ?timeout_for_batch, waiting = batch.len(), "sending notices again");
                     if failures == 0 {
                         warn!(%reason, waiting = batch.len(), "discovery does not acknowledge notices; sending them again");
                     }
@@ -262,7 +264,7 @@
         result => {
             result?;
             let acknowledged = batch.drain(..).map(|notice| notice.message).collect();
-            events.send(Input::Heard(acknowledged)).await;
+            events.send(Input::NoticesAcknowledged(acknowledged)).await;
             return Ok(());
         }
     }
@@ -273,7 +275,7 @@
             }
             result => result?,
         }
-        events.send(Input::Heard(vec![notice.message])).await;
+        events.send(Input::NoticesAcknowledged(vec![notice.message])).await;
         batch.pop();
     }
     Ok(())
--- a/crates/gullcart/src/driver.rs
+++ b/crates/gullcart/src/driver.rs
@@ -3,8 +3,8 @@
 
 use cloverstile::{MessageId, Outcome, Settings, Time};
 use gullcart_engine::{
-    Answer, Call, Denied, Effect, Ended, Engine, IdleShare, Input, Notice, Reading, Seldom, Stop, Ticket,
-    TrialDuties, EPOCH,
+    Answer, Call, CallResult, CommandError, Effect, Engine, EngineMetrics, IdleConnectionPolicy, Input,
+    Notice, RateLimitedLog, StopReason, Ticket, TrialDuties, EPOCH,
 };
 use gullcart_handover::{Baggage, CarriedCall};
 use gullcart_journal::{Folder, JournalError};
@@ -88,7 +88,7 @@
 /// A call in flight: its end has not been reported yet.
 struct InFlightCall {
     /// Stops the call; none once it was asked to stop.
-    stop: Option<oneshot::Sender<Stop>>,
+    stop: Option<oneshot::Sender<StopReason>>,
     /// How much of the request has been written.
     progress: Rc<WriteProgress>,
     /// The task that makes the call.
@@ -116,7 +116,7 @@
     /// The connections of the calls, in the order in which `state` lists them.
     pub call_connections: Vec<OwnedFd>,
     /// The metrics at the time of the stop.
-    pub last_metrics: Reading,
+    pub last_metrics: EngineMetrics,
 }
 
 /// The channels by which the driver reaches the other parts of the daemon.
@@ -141,7 +141,7 @@
         (IDLE_CONNECTIONS_PER_SLOT * settings.call_slots)
             .min(endpoint_sockets.saturating_sub(settings.call_slots))
             .max(1),
-        IdleShare::new(settings.couriers, seed),
+        IdleConnectionPolicy::new(settings.couriers, seed),
     ))
 }
 
@@ -163,14 +163,14 @@
     /// Clients waiting for the reply to an enqueue, which they get at the end of the turn.
     waiting_clients: HashMap<Ticket, oneshot::Sender<Answer>>,
     /// Operators waiting for the result of a command; bounded by the number of console callers.
-    waiting_operators: HashMap<Ticket, oneshot::Sender<Result<(), Denied>>>,
+    waiting_operators: HashMap<Ticket, oneshot::Sender<Result<(), CommandError>>>,
     last_ticket: u64,
     /// Notices for which the sender's queue has no room; bounded by the number of messages held.
     unsent_notices: VecDeque<Notice>,
     /// The longest delay of a timer, or duration of a turn, since the last report.
     max_lateness: Duration,
-    lateness_log: Seldom,
-    refused_handover_log: Seldom,
+    lateness_log: RateLimitedLog,
+    refused_handover_log: RateLimitedLog,
     trial_duties: TrialDuties,
 }
 
@@ -194,8 +194,8 @@
             last_ticket: 0,
             unsent_notices: VecDeque::new(),
             max_lateness: Duration::ZERO,
-            lateness_log: Seldom::default(),
-            refused_handover_log: Seldom::default(),
+            lateness_log: RateLimitedLog::default(),
+            refused_handover_log: RateLimitedLog::default(),
             trial_duties,
         }
     }
@@ -228,10 +228,10 @@
                 () = sleep_until(wake.unwrap_or(fallback_wake)), if wake.is_some() => {}
                 _ = sweep.tick() => {
                     self.pool.close_expired();
-                    self.engine.tell_tally(self.clock.now());
+                    self.engine.log_destination_metrics(self.clock.now());
                     sweeps += 1;
                     if sweeps % SWEEPS_PER_REPORT == 0 {
-                        self.engine.report(std::mem::take(&mut self.max_lateness));
+                        self.engine.log_activity(std::mem::take(&mut self.max_lateness));
                     }
                 }
             }
@@ -245,7 +245,7 @@
             }
             self.run_turn()?;
             self.record_lateness(turn_start.elapsed(), "a turn of the event loop took too long");
-            if self.engine.may_end(self.clock.now()) {
+            if self.engine.may_exit(self.clock.now()) {
                 return self.finish(events, clients).await.map(|()| LoopExit::Terminated);
             }
         }
@@ -287,7 +287,7 @@
         for (message, call) in std::mem::take(&mut self.in_flight_calls) {
             call.task.abort();
             if call.progress.is_unreported() {
-                self.engine.handle(now, Input::Written(message));
+                self.engine.handle(now, Input::CallWritten(message));
             }
             let elapsed = call.started_at.elapsed();
             let outcome = match (call.progress.written_part(), call.stop.is_some()) {
@@ -310,14 +310,14 @@
                     None => Outcome::Reset,
                 },
             };
-            let in_flight = self.engine.calls_out().find(|(other, _)| *other == message);
+            let in_flight = self.engine.calls_in_flight().find(|(other, _)| *other == message);
             if let Some((_, endpoint)) = in_flight {
-                let ended = Ended { outcome, latency: elapsed, complete: false, allowance: None };
-                self.engine.handle(now, Input::Ended(message, endpoint, ended));
+                let ended = CallResult { outcome, latency: elapsed, is_final: false, allowance: None };
+                self.engine.handle(now, Input::CallEnded(message, endpoint, ended));
             }
         }
         // The counters stay with this process; the calls in flight move to the next one.
-        let last_metrics = Reading { in_flight: 0, ..self.engine.reading(now) };
+        let last_metrics = EngineMetrics { in_flight: 0, ..self.engine.metrics(now) };
         let (effects, books) = self.engine.freeze(now)?;
         for effect in effects {
             self.apply_effect(effect);
@@ -336,7 +336,7 @@
         clients: &Clients,
     ) -> Result<(), JournalError> {
         let started_at = Instant::now();
-        self.engine.call_no_more(self.clock.now());
+        self.engine.stop_calling(self.clock.now());
         self.channels.phase.send_replace(Phase::Over);
         loop {
             while let Ok(event) = events.try_recv() {
@@ -382,15 +382,15 @@
         match request {
             ControlRequest::Metrics(reply) => {
                 // A receiver that is gone no longer waits.
-                let _ = reply.send(self.engine.reading(self.clock.now()));
+                let _ = reply.send(self.engine.metrics(self.clock.now()));
             }
             ControlRequest::Command(command, reply) => {
                 self.last_ticket += 1;
                 self.waiting_operators.insert(Ticket(self.last_ticket), reply);
-                self.engine.handle(self.clock.now(), Input::Order(Ticket(self.last_ticket), command));
+                self.engine.handle(self.clock.now(), Input::Command(Ticket(self.last_ticket), command));
             }
             ControlRequest::HandOver(mut stream) => {
-                if self.engine.is_ending() {
+                if self.engine.is_shutting_down() {
                     // The other process repeats its request until this one has ended.
                     if let Some(more) = self.refused_handover_log.due(self.clock.now()) {
                         info!(more, "hand-over refused during shutdown; the new process can start once this one has ended");
@@ -415,7 +415,7 @@
             }
             DriverEvent::Input(input) => input,
         };
-        if let Input::Ended(message, ..) = &input {
+        if let Input::CallEnded(message, ..) = &input {
             self.in_flight_calls.remove(message);
         }
         self.engine.handle(self.clock.now(), input);
@@ -430,7 +430,7 @@
             let now = self.clock.now();
             let view = |destination| group.duty_view(now, destination);
             let requests =
-                self.engine.look_at_duties(now, &mut self.trial_duties, group.requested_duties(), view);
+                self.engine.update_trial_duties(now, &mut self.trial_duties, group.requested_duties(), view);
             requests.into_iter().for_each(|request| group.request(request));
         }
         for effect in self.engine.turn(self.clock.now())? {
@@ -451,38 +451,42 @@
                 if let Some(Err(Answer::Taken(message))) = reply.map(|reply| reply.send(answer)) {
                     // The client has gone; the engine learns of it in the next turn.
                     let events = self.channels.events.clone();
-                    tokio::task::spawn_local(async move { events.send(Input::Unheard(message)).await });
+                    tokio::task::spawn_local(async move {
+                        events.send(Input::AnswerUnacknowledged(message)).await
+                    });
                 }
             }
-            Effect::Ordered(ticket, result) => {
+            Effect::CommandResult(ticket, result) => {
                 if let Some(reply) = self.waiting_operators.remove(&ticket) {
                     let _ = reply.send(result);
                 }
             }
-            Effect::Begin(call) => self.start_call(call, None),
-            Effect::Stop(message, reason) => {
+            Effect::StartCall(call) => self.start_call(call, None),
+            Effect::StopCall(message, reason) => {
                 let Some(call) = self.in_flight_calls.get_mut(&message) else { return };
-                if reason == Stop::Withdrawn && call.progress.is_started() {
+                if reason == StopReason::Withdrawn && call.progress.is_started() {
                     return;
                 }
                 if let Some(stop) = call.stop.take() {
                     let _ = stop.send(reason);
                 }
             }
-            Effect::Tell(notice) => self.unsent_notices.push_back(notice),
+            Effect::SendNotice(notice) => self.unsent_notices.push_back(notice),
             Effect::CloseIdle(endpoint) => self.pool.close_idle(endpoint),
-            Effect::CloseShut => self.pool.retain_endpoints(|endpoint| self.engine.is_open(endpoint)),
-            Effect::Closing => drop(self.channels.phase.send_replace(Phase::Closing)),
+            Effect::CloseIdleUnavailable => {
+                self.pool.retain_endpoints(|endpoint| self.engine.is_open(endpoint))
+            }
+            Effect::AnnounceShutdown => drop(self.channels.phase.send_replace(Phase::Closing)),
             #[cfg(feature = "broken")]
-            Effect::HearLater(update, after) => {
+            Effect::DelayListUpdate(update, after) => {
                 let events = self.channels.events.clone();
                 tokio::task::spawn_local(async move {
                     tokio::time::sleep(after).await;
-                    events.send(Input::HeardAtLast(update)).await;
+                    events.send(Input::DelayedListUpdate(update)).await;
                 });
             }
             #[cfg(feature = "broken")]
-            Effect::TellLater(notice, at) => {
+            Effect::DelayNotice(notice, at) => {
                 let (notices, at) = (self.channels.notices.clone(), self.clock.instant(at));
                 tokio::task::spawn_local(async move {
                     sleep_until(at).await;
@@ -490,7 +494,7 @@
                 });
             }
             #[cfg(feature = "broken")]
-            Effect::BeginUnknown(call) => {
+            Effect::StartUntrackedCall(call) => {
                 let pool = self.pool.clone();
                 tokio::task::spawn_local(async move {
                     let (_never, stopped) = oneshot::channel();
@@ -518,7 +522,7 @@
             // Reports the last byte and then never completes, so that only the end of the call ends the task.
             let report_written = async {
                 task_progress.wait_until_written().await;
-                events.send(Input::Written(message)).await;
+                events.send(Input::CallWritten(message)).await;
                 std::future::pending().await
             };
             // The call comes first: it must not wait for the driver to take the `Written` event.
@@ -528,9 +532,9 @@
                 () = report_written => return,
             };
             if task_progress.is_unreported() {
-                events.send(Input::Written(message)).await;
+                events.send(Input::CallWritten(message)).await;
             }
-            events.send(Input::Ended(message, endpoint, ended)).await;
+            events.send(Input::CallEnded(message, endpoint, ended)).await;
         });
         let task = task.abort_handle();
         self.in_flight_calls
--- a/crates/gullcart/src/group.rs
+++ b/crates/gullcart/src/group.rs
@@ -2,7 +2,7 @@
 //! file for it. A failure of the group never keeps the courier from delivering messages.
 
 use cloverstile::{DestinationId, Time};
-use gullcart_engine::{DutyView, Holder, Told, TrialWish};
+use gullcart_engine::{DutyHolder, DutyReport, DutyView, TrialRequest};
 use gullcart_group::types::{Duty, Payload};
 use gullcart_peers::handle::{start, Handle};
 use gullcart_peers::roster;
@@ -135,29 +135,31 @@
         // time.
         let boot_time = boot_now();
         let holder = match (handle.held_lease(&duty), other_until) {
-            (Some((epoch, left)), _) => Holder::Me { epoch: epoch.0, until: now + left },
-            (None, Some(until)) if until > boot_time => Holder::Other { until: now + (until - boot_time) },
-            (None, _) => Holder::Nobody,
+            (Some((epoch, left)), _) => DutyHolder::ThisCourier { epoch: epoch.0, until: now + left },
+            (None, Some(until)) if until > boot_time => {
+                DutyHolder::OtherCourier { until: now + (until - boot_time) }
+            }
+            (None, _) => DutyHolder::Nobody,
         };
-        let told = agreed_report.map(|(epoch, agreed_payload, agreed_at)| Told {
+        let told = agreed_report.map(|(epoch, agreed_payload, agreed_at)| DutyReport {
             epoch: epoch.0,
-            words: agreed_payload,
-            at: now - (boot_time - agreed_at),
+            payload: agreed_payload,
+            agreed_at: now - (boot_time - agreed_at),
         });
-        Some(DutyView { holder, told })
+        Some(DutyView { holder, report: told })
     }
 
     /// Sends a request to the group. The engine repeats a request that was dropped for as long as it needs it.
-    pub fn request(&self, request: TrialWish) {
+    pub fn request(&self, request: TrialRequest) {
         let handle = self.handle.borrow();
         let Some(handle) = handle.as_ref() else { return };
         let is_queued = match request {
-            TrialWish::Want(destination) => trial_duty(destination).map(|duty| handle.request(duty)),
-            TrialWish::GiveUp(destination) => trial_duty(destination).map(|duty| handle.release(duty)),
-            TrialWish::PassOn(destination, rest) => {
+            TrialRequest::Register(destination) => trial_duty(destination).map(|duty| handle.request(duty)),
+            TrialRequest::Unregister(destination) => trial_duty(destination).map(|duty| handle.release(duty)),
+            TrialRequest::PassOn(destination, rest) => {
                 trial_duty(destination).map(|duty| handle.yield_duty(duty, rest))
             }
-            TrialWish::Tell(destination, report) => trial_duty(destination)
+            TrialRequest::Report(destination, report) => trial_duty(destination)
                 .zip(Payload::new(&report))
                 .map(|(duty, payload)| handle.publish_note(duty, payload)),
         };
--- a/crates/gullcart/src/lib.rs
+++ b/crates/gullcart/src/lib.rs
@@ -21,7 +21,7 @@
 mod update_stream;
 mod upgrade;
 
-use gullcart_engine::Reading;
+use gullcart_engine::EngineMetrics;
 use gullcart_journal::Options;
 use gullcart_peers::settings::Settings;
 use std::path::{Path, PathBuf};
@@ -102,7 +102,7 @@
 /// Answers operators after a hand-over: with the figures that this process counted, and that it serves no clients.
 async fn answer_after_handover(
     control_requests: &mut mpsc::Receiver<ControlRequest>,
-    metrics: &Reading,
+    metrics: &EngineMetrics,
     until: Instant,
 ) {
     while let Ok(Some(request)) = tokio::time::timeout_at(until, control_requests.recv()).await {
@@ -158,8 +158,9 @@
         group,
         #[cfg(feature = "broken")]
         broken: {
-            use gullcart_engine::broken::{Broken, VARIABLE};
-            Broken::chosen(std::env::var(VARIABLE).ok().as_deref()).map_err(StartError::Broken)?
+            use gullcart_engine::broken::{FaultInjector, FAULT_VARIABLE};
+            FaultInjector::from_name(std::env::var(FAULT_VARIABLE).ok().as_deref())
+                .map_err(StartError::Broken)?
         },
     };
     if let Some(listener) = console {
@@ -167,7 +168,7 @@
     }
     let (arrived, journal) = service.open_journal().await?;
     #[cfg(feature = "broken")]
-    let journal = journal.answering_early(service.broken.is(gullcart_engine::broken::Fault::EarlyOk));
+    let journal = journal.with_early_ok(service.broken.is_active(gullcart_engine::broken::Fault::EarlyOk));
     let mut group_state = Vec::new();
     let mut running = match arrived {
         None => service.start(journal, None).await?,
--- a/crates/gullcart/src/resp.rs
+++ b/crates/gullcart/src/resp.rs
@@ -112,15 +112,15 @@
     }
     Ok(Enqueue {
         id,
-        key,
+        order_key: key,
         class: field("c").ok_or("c is missing")?.to_owned(),
         destination: field("dest").and_then(|v| v.parse().ok()).ok_or("dest is missing or no number")?,
-        left: field("d")
+        time_left: field("d")
             .and_then(|v| v.parse().ok())
             .map(Duration::from_millis)
             .ok_or("d is missing or no number")?,
         idempotency_key,
-        again: field("again") == Some("1"),
+        from_dead_courier: field("again") == Some("1"),
         // Copied: a slice would keep the whole request in memory.
         body: Bytes::copy_from_slice(body),
     })
--- a/crates/gullcart/src/service.rs
+++ b/crates/gullcart/src/service.rs
@@ -1,7 +1,9 @@
 //! Assembles the courier's parts, either with a fresh courier or with one that was handed over by another process.
 
 use cloverstile::{parse_settings_json, MessageId, Time};
-use gullcart_engine::{CallsForLists, ConnectionAnswers, Engine, Input, Reading, Start, TrialDuties};
+use gullcart_engine::{
+    ConnectionAnswers, DiscoveryBackoff, Engine, EngineConfig, EngineMetrics, Input, TrialDuties,
+};
 use gullcart_handover::{Act, Baggage, CarriedClient};
 use gullcart_journal::{Folder, Journal, JournalError, Options};
 use std::net::SocketAddr;
@@ -74,7 +76,7 @@
     pub group: Option<GroupMembership>,
     /// The injected fault, for tests.
     #[cfg(feature = "broken")]
-    pub broken: gullcart_engine::broken::Broken,
+    pub broken: gullcart_engine::broken::FaultInjector,
 }
 
 /// A courier that was handed over by another process, or that stays after a failed hand-over.
@@ -100,7 +102,7 @@
 pub enum HandoverResult {
     /// The courier no longer runs in this process: it was handed over, or its folder belongs to another process after a failed
     /// hand-over. The metrics are those that this process counted.
-    HandedOver(Box<Reading>),
+    HandedOver(Box<EngineMetrics>),
     /// The hand-over failed, and the courier runs in this process.
     Kept(Box<RunningCourier>),
 }
@@ -157,7 +159,7 @@
         let config = &self.config;
         let parsed = parse_settings_json(&config.settings)?;
         #[cfg(feature = "broken")]
-        let parsed = self.broken.settings(parsed);
+        let parsed = self.broken.apply_to_settings(parsed);
         let (slots, couriers, seed) = (parsed.settings.call_slots, parsed.settings.couriers, config.seed());
         let drain_grace = parsed.settings.rules.drain_grace;
         let trial_duties = TrialDuties::new(parsed.settings.rules.collapse_window, seed ^ DUTY_SEED_MASK);
@@ -169,7 +171,7 @@
         );
         let pool = driver::connection_pool(&parsed.settings, budget.endpoints, seed ^ IDLE_SEED_MASK);
         #[cfg(feature = "broken")]
-        pool.accept_copies(self.broken.is(gullcart_engine::broken::Fault::BelievesCopies));
+        pool.accept_copies(self.broken.is_active(gullcart_engine::broken::Fault::BelievesCopies));
         let HandedOverCourier { state, descriptors } =
             handed_over.unwrap_or(HandedOverCourier { state: Baggage::default(), descriptors: Vec::new() });
         let is_handed_over = !state.books.is_empty();
@@ -177,15 +179,15 @@
             true => Clock::resumed(state.epoch_ms, Time(state.stopped_ns)),
             false => Clock::new(),
         };
-        let start = Start {
-            parsed,
+        let start = EngineConfig {
+            parsed_settings: parsed,
             seed,
-            known: config.known.clone(),
+            initial_list: config.known.clone(),
             now: clock.now(),
             epoch_ms: clock.start_unix_ms,
-            fingerprint: config.fingerprint(),
+            settings_checksum: config.fingerprint(),
             #[cfg(feature = "broken")]
-            broken: self.broken.clone(),
+            fault_injector: self.broken.clone(),
         };
         let (engine, is_state_resumed) = match is_handed_over {
             true => match Engine::resume(start, journal, &state.books) {
@@ -207,11 +209,11 @@
             .filter(|_| is_state_resumed)
             .filter_map(|(carried, connection)| {
                 let try_for = Duration::from_micros(carried.try_for_us);
-                let call = engine.call(MessageId(carried.message), try_for)?;
+                let call = engine.in_flight_call(MessageId(carried.message), try_for)?;
                 let stream = std::net::TcpStream::from(connection);
                 stream.set_nonblocking(true).ok()?;
                 let elapsed = Duration::from_micros(carried.elapsed_us);
-                let earlier_answers = ConnectionAnswers::carried_over(&carried.earlier_answers);
+                let earlier_answers = ConnectionAnswers::from_fingerprints(&carried.earlier_answers);
                 Some((
                     call,
                     ResumedCall {
@@ -227,7 +229,7 @@
         let (event_sender, events) = EventSender::channel();
         let (notices, queued_notices) = mpsc::channel(MAX_QUEUED_NOTICES);
         let (phase, phase_receiver) = watch::channel(clients::Phase::Serving);
-        let rev = engine.rev();
+        let rev = engine.list_revision();
         let channels =
             DriverChannels { group: self.group.clone(), events: event_sender.clone(), notices, phase };
         let mut driver = Driver::new(engine, clock, pool, channels, trial_duties);
@@ -255,7 +257,7 @@
             std::os::fd::AsFd::as_fd(&listener).try_clone_to_owned().ok().filter(|_| self.has_console);
         info!(name = config.name, %address, "listening");
         let mut tasks = vec![tokio::task::spawn_local(clients::serve(listener, clients.clone()))];
-        let pacing = CallsForLists::new(couriers, drain_grace, seed ^ LIST_SEED_MASK);
+        let pacing = DiscoveryBackoff::new(couriers, drain_grace, seed ^ LIST_SEED_MASK);
         tasks.push(tokio::task::spawn_local(discovery::watch(
             self.discovery_address.clone(),
             rev,
--- a/crates/gullcart/src/tracked_connection.rs
+++ b/crates/gullcart/src/tracked_connection.rs
@@ -1,7 +1,7 @@
 //! Observes the bytes of an endpoint connection below the HTTP library: how much of a request was written, what the status line
 //! of its response says, and whether there are bytes that belong to no call.
 
-use gullcart_engine::{ConnectionAnswers, CopyFilter};
+use gullcart_engine::{ConnectionAnswers, DuplicateAnswerFilter};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -126,9 +126,9 @@
         }
         let mut response_bytes = connection.response_bytes.borrow().clone()?;
         response_bytes.extend(connection.filtered_bytes.borrow().iter());
-        response_bytes.extend_from_slice(connection.copy_filter.borrow().held());
+        response_bytes.extend_from_slice(connection.copy_filter.borrow().buffered());
         let descriptor = connection.stream.as_fd().try_clone_to_owned().ok()?;
-        let earlier_answers = connection.earlier_answers.borrow().to_carry();
+        let earlier_answers = connection.earlier_answers.borrow().fingerprints();
         Some(HandoverCall { connection: descriptor, response_bytes, earlier_answers })
     }
 
@@ -207,7 +207,7 @@
     read_waker: RefCell<Option<Waker>>,
     /// What the previous process has read of the response, and the position up to which it was read here.
     handed_over_response: RefCell<(Vec<u8>, usize)>,
-    copy_filter: RefCell<CopyFilter>,
+    copy_filter: RefCell<DuplicateAnswerFilter>,
     /// Bytes that are not part of a copy, for the HTTP library to read.
     filtered_bytes: RefCell<VecDeque<u8>>,
     /// The response as read so far, for a hand-over and to detect copies of it; none if it is too long.
@@ -273,7 +273,7 @@
     /// call.
     pub fn remember_response(&self) {
         let response = self.response_bytes.borrow().clone();
-        self.earlier_answers.borrow_mut().remember(response);
+        self.earlier_answers.borrow_mut().keep_bytes(response);
     }
 
     /// Resumes the call that was prepared last: the previous process has written it, and has read `response_bytes` of its
@@ -326,7 +326,8 @@
             if count == 0 {
                 return Poll::Ready(Ok(0));
             }
-            let passed = self.copy_filter.borrow_mut().pass(&self.earlier_answers.borrow(), &chunk[..count]);
+            let passed =
+                self.copy_filter.borrow_mut().filter(&self.earlier_answers.borrow(), &chunk[..count]);
             self.filtered_bytes.borrow_mut().extend(passed);
         }
         let mut passed = self.filtered_bytes.borrow_mut();
@@ -377,7 +378,7 @@
 
     /// Number of copies of earlier responses read since the call started.
     pub fn copy_count(&self) -> u32 {
-        self.copy_filter.borrow().left_out()
+        self.copy_filter.borrow().duplicates_removed()
     }
 
     /// Whether the call may not be written any more.
--- a/crates/gullcart/src/tracked_connection/tests.rs
+++ b/crates/gullcart/src/tracked_connection/tests.rs
@@ -71,8 +71,8 @@
         let earlier = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na";
         {
             let mut answers = connection.earlier_answers.borrow_mut();
-            answers.accept(gullcart_engine::Fingerprint::of(b"a")).unwrap();
-            answers.remember(Some(earlier.to_vec()));
+            answers.accept(gullcart_engine::AnswerFingerprint::of(b"a")).unwrap();
+            answers.keep_bytes(Some(earlier.to_vec()));
         }
         let progress = Rc::new(WriteProgress::handed_over());
         connection.begin_call(0, progress.clone(), None);
