--- a/crates/gullcart-journal/benches/backends.rs
+++ b/crates/gullcart-journal/benches/backends.rs
@@ -20,8 +20,8 @@
     const DISK_PER_LIVE: f64;
     /// Opens the store of a folder.
     fn open(folder: &Path, disk_bytes: u64) -> Self;
-    /// Accepts a message and returns its number in the store.
-    fn accept(&mut self, number: u64) -> u32;
+    /// Accepts the message with this index, and returns the number that the backend gives it.
+    fn accept(&mut self, index: u64) -> u32;
     /// Begins an attempt.
     fn start_attempt(&mut self, number: u32);
     /// Ends the attempt.
@@ -58,12 +58,13 @@
 }
 
 impl Backend for SegmentedJournal {
+    // The journal accepts live data up to 0.64 of the disk.
     const DISK_PER_LIVE: f64 = 1.0 / 0.6;
     fn open(folder: &Path, disk_bytes: u64) -> Self {
         SegmentedJournal(Journal::open(folder, disk_bytes, Options::default()).expect("the journal opens"))
     }
-    fn accept(&mut self, number: u64) -> u32 {
-        self.0.accept(message(number)).expect("there is space")
+    fn accept(&mut self, index: u64) -> u32 {
+        self.0.accept(message(index)).expect("there is space")
     }
     fn start_attempt(&mut self, number: u32) {
         self.0.start_attempt(number, (1, 0)).expect("there is space");
@@ -91,8 +92,8 @@
             Journal::open(folder, disk_bytes, options).expect("the journal opens"),
         ))
     }
-    fn accept(&mut self, number: u64) -> u32 {
-        self.0.accept(number)
+    fn accept(&mut self, index: u64) -> u32 {
+        self.0.accept(index)
     }
     fn start_attempt(&mut self, number: u32) {
         self.0.start_attempt(number);
@@ -118,8 +119,8 @@
     fn open(folder: &Path, disk_bytes: u64) -> Self {
         SingleFileJournal(legacy_journal::Journal::open(folder, disk_bytes).expect("the journal opens"))
     }
-    fn accept(&mut self, number: u64) -> u32 {
-        self.0.accept(message(number)).expect("there is space")
+    fn accept(&mut self, index: u64) -> u32 {
+        self.0.accept(message(index)).expect("there is space")
     }
     fn start_attempt(&mut self, number: u32) {
         self.0.start_attempt(number, (1, 0)).expect("there is space");
@@ -136,13 +137,13 @@
 
 /// The embedded store redb, without syncs.
 pub struct Redb {
-    store: redb::Database,
+    database: redb::Database,
     last_number: u32,
 }
 
 impl Redb {
     fn update(&mut self, number: u32, change: impl FnOnce(&mut PendingMessage)) {
-        let mut write = self.store.begin_write().expect("a transaction begins");
+        let mut write = self.database.begin_write().expect("a transaction begins");
         // Not synced, like the journal.
         write.set_durability(redb::Durability::None).expect("the durability can be set");
         {
@@ -169,16 +170,16 @@
 impl Backend for Redb {
     const DISK_PER_LIVE: f64 = 0.0;
     fn open(folder: &Path, _: u64) -> Self {
-        let store = redb::Database::create(folder.join("redb")).expect("the store opens");
-        Redb { store, last_number: 0 }
+        let database = redb::Database::create(folder.join("redb")).expect("the store opens");
+        Redb { database, last_number: 0 }
     }
-    fn accept(&mut self, number: u64) -> u32 {
+    fn accept(&mut self, index: u64) -> u32 {
         self.last_number += 1;
-        let mut write = self.store.begin_write().expect("a transaction begins");
+        let mut write = self.database.begin_write().expect("a transaction begins");
         write.set_durability(redb::Durability::None).expect("the durability can be set");
         {
             let mut table = write.open_table(TABLE).expect("the table opens");
-            let bytes = encode(&PendingMessage::new(message(number)));
+            let bytes = encode(&PendingMessage::new(message(index)));
             table.insert(self.last_number, bytes.as_slice()).expect("the message can be written");
         }
         write.commit().expect("the transaction commits");
@@ -191,7 +192,7 @@
         self.update(number, |pending| pending.finish_attempt(true));
     }
     fn complete(&mut self, number: u32) {
-        let mut write = self.store.begin_write().expect("a transaction begins");
+        let mut write = self.database.begin_write().expect("a transaction begins");
         write.set_durability(redb::Durability::None).expect("the durability can be set");
         write.open_table(TABLE).expect("the table opens").remove(number).expect("the message can be removed");
         write.commit().expect("the transaction commits");
@@ -224,9 +225,9 @@
             database.keyspace("held", fjall::KeyspaceCreateOptions::default).expect("the keyspace opens");
         Fjall { _database: database, pending, last_number: 0 }
     }
-    fn accept(&mut self, number: u64) -> u32 {
+    fn accept(&mut self, index: u64) -> u32 {
         self.last_number += 1;
-        let bytes = encode(&PendingMessage::new(message(number)));
+        let bytes = encode(&PendingMessage::new(message(index)));
         self.pending.insert(self.last_number.to_be_bytes(), bytes).expect("the message can be written");
         self.last_number
     }
--- a/crates/gullcart-journal/benches/legacy_journal.rs
+++ b/crates/gullcart-journal/benches/legacy_journal.rs
@@ -27,6 +27,7 @@
 /// A longer record counts as damaged. The longest that is written is a whole listing of endpoints.
 const MAX_PAYLOAD_BYTES: usize = 4 << 20;
 
+/// Why the journal cannot be read, or a record cannot be written.
 #[derive(Debug, Error)]
 pub enum JournalError {
     #[error("the journal's file: {0}")]
@@ -39,7 +40,7 @@
     Full,
 }
 
-/// When an attempt was sent, and to which zone.
+/// A sent attempt: when it was sent, in Unix milliseconds, and the index of the zone to which it was sent.
 pub type SentAttempt = (u64, u8);
 
 /// An accepted message that is not completed.
@@ -157,6 +158,7 @@
     }
 }
 
+/// A journal in a folder.
 pub struct Journal {
     path: PathBuf,
     file: File,
@@ -202,14 +204,17 @@
         Ok(number)
     }
 
+    /// Records that an attempt begins.
     pub fn start_attempt(&mut self, number: u32, sent: SentAttempt) -> Result<(), JournalError> {
         self.append(Record::AttemptStarted(number, sent))
     }
 
+    /// Records that the attempt in flight has ended, and whether it may have run.
     pub fn finish_attempt(&mut self, number: u32, may_have_run: bool) -> Result<(), JournalError> {
         self.append(Record::AttemptFinished(number, may_have_run))
     }
 
+    /// Records that a message will not be delivered, and the verdict for the client.
     pub fn set_verdict(&mut self, number: u32, verdict: Verdict) -> Result<(), JournalError> {
         self.append(Record::VerdictSet(number, verdict))
     }
@@ -224,10 +229,12 @@
         result
     }
 
+    /// Records a listing of endpoints, or the changes of one.
     pub fn update_listing(&mut self, update: ListingUpdate) -> Result<(), JournalError> {
         self.append(Record::Listing(update))
     }
 
+    /// Records all current outages.
     pub fn set_outages(&mut self, outages: Vec<PersistedOutage>) -> Result<(), JournalError> {
         self.append(Record::Outages(outages))
     }
--- a/crates/gullcart-journal/examples/measure.rs
+++ b/crates/gullcart-journal/examples/measure.rs
@@ -26,6 +26,8 @@
     }
     let sizes: Vec<u64> = std::env::args().skip(1).filter_map(|word| word.parse().ok()).collect();
     let sizes = if sizes.is_empty() { vec![1, 10, 100] } else { sizes };
+    // Without `MEASURE` this is the parent: it prints the header, and starts a child for each size and kind with `MEASURE`
+    // set to the kind.
     if std::env::var("MEASURE").is_err() {
         println!("| live MB | kind | cycles/s | step p50 us | step p99.9 us | longest us | written over asked | replay ms | RSS after replay MB |");
         println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
--- a/crates/gullcart-journal/src/error.rs
+++ b/crates/gullcart-journal/src/error.rs
@@ -18,12 +18,10 @@
         error: io::Error,
     },
     /// The folder cannot be used, for example because another process uses it.
-    #[error("the journal's folder: {0}")]
+    #[error("the journal's folder cannot be used: {0}")]
     Folder(io::Error),
     /// A newer program wrote the journal. No file was changed.
-    #[error(
-        "{file} has format {version}, and this program reads up to {supported}; start a program that knows it"
-    )]
+    #[error("{file} has format {version}, and this program reads up to {supported}; start a newer release")]
     NewerVersion {
         /// The file's name.
         file: String,
@@ -74,7 +72,7 @@
 pub enum DamageKind {
     /// The segment's header cannot be read, or belongs to another journal.
     InvalidHeader,
-    /// A record cannot be read, and valid records follow it.
+    /// A record that was written completely cannot be read.
     UnreadableRecord,
     /// A record has a valid checksum, but this program cannot decode it.
     UnknownRecordKind,
@@ -88,7 +86,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             DamageKind::InvalidHeader => "its header cannot be read, or belongs to another journal",
-            DamageKind::UnreadableRecord => "a record cannot be read, and valid records follow it",
+            DamageKind::UnreadableRecord => "a record that was written completely cannot be read",
             DamageKind::UnknownRecordKind => "a record is of a kind that this program does not know",
             DamageKind::Truncated => "the file ends before the last of its records",
             DamageKind::Missing => "the file is missing, and later segments exist",
--- a/crates/gullcart-journal/src/folder_scan.rs
+++ b/crates/gullcart-journal/src/folder_scan.rs
@@ -6,7 +6,7 @@
 use crate::legacy;
 use crate::replay::SegmentFormat;
 use crate::segment_log::{segment_file_name, segment_sequence, SPARE_FILE_NAME};
-use crate::space_plan::on_disk;
+use crate::space_plan::size_on_disk;
 use crate::store::Store;
 use std::collections::BTreeMap;
 
@@ -25,9 +25,9 @@
 pub(crate) struct FolderScan {
     /// Segments in the order of their sequence numbers, without a gap.
     pub segments: Vec<SegmentFile>,
-    /// Segments before a gap in the sequence.
+    /// Segments before a gap in the sequence. They are not needed, unless segments of the gap are missing because of damage.
     pub before_gap: Vec<SegmentFile>,
-    /// Names of files of the journal that are not needed.
+    /// Names of files that [`Journal::replay`](crate::Journal::replay) removes: spare files, and the segments before a gap.
     pub leftovers: Vec<String>,
     pub journal_id: Option<u64>,
     /// Sequence number of the oldest segment that is needed, as the headers say.
@@ -47,7 +47,7 @@
         } else if name == SPARE_FILE_NAME || name == legacy::COMPACTION_FILE_NAME {
             leftovers.push(name);
         } else {
-            other_files_bytes += on_disk(length);
+            other_files_bytes += size_on_disk(length);
         }
     }
     let mut segments: Vec<SegmentFile> = Vec::new();
--- a/crates/gullcart-journal/src/journal.rs
+++ b/crates/gullcart-journal/src/journal.rs
@@ -11,7 +11,7 @@
 use crate::replay::{read_segment, SegmentEnd, SegmentFormat};
 use crate::segment_index::{Scan, SegmentIndex};
 use crate::segment_log::{segment_file_name, ActiveSegment, OpenedSegments, SealedSegment, SegmentLog};
-use crate::space_plan::{message_cost, on_disk, RecordPurpose, SpacePlan, SpaceUsage};
+use crate::space_plan::{message_cost, size_on_disk, RecordPurpose, SpacePlan, SpaceUsage};
 use crate::state::{
     JournalState, OutageChanges, OutageKey, PendingMessage, PersistedOutage, Record, SentAttempt,
     MAX_SUSPENDED_ENDPOINTS,
@@ -27,11 +27,20 @@
 const ENTRIES_PER_RECORD: usize = 64;
 /// Most destinations in one record.
 const DESTINATIONS_PER_RECORD: usize = 2048;
-/// A new snapshot of the shared state is written once this multiple of its size has been appended since the oldest segment
-/// that has a part of it.
-const MAX_SNAPSHOT_DISTANCE: u64 = 16;
-/// A new snapshot is also written once the changes since the last one take this much, and twice the snapshot's size.
+/// A new snapshot of the shared state is due once the log from the oldest segment that has a part of it is longer than the
+/// shared state times this factor, and longer than [`MIN_SNAPSHOT_DISTANCE_SEGMENTS`].
+const SNAPSHOT_DISTANCE_FACTOR: u64 = 16;
+/// Least distance after which a new snapshot is due, in segments.
+const MIN_SNAPSHOT_DISTANCE_SEGMENTS: u64 = 8;
+/// A new snapshot is also due once the changes since the last one take more than its size times this factor, and more than
+/// [`MIN_SNAPSHOT_CHANGES_BYTES`].
+const SNAPSHOT_CHANGES_FACTOR: u64 = 2;
+/// Least size of the changes after which a new snapshot is due.
 const MIN_SNAPSHOT_CHANGES_BYTES: u64 = 16 << 10;
+/// Charged against the budget of a compaction step for one scan over dead messages, which writes nothing but takes time.
+const SCAN_COST_BYTES: u64 = 512;
+/// Charged against the budget of a compaction step for freeing a segment.
+const FREE_SEGMENT_COST_BYTES: u64 = 2048;
 
 /// Statistics of a journal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -48,8 +57,8 @@
     pub used_bytes: u64,
     /// Bytes of live data, as charged against the limit for new messages.
     pub live_bytes: u64,
-    /// What could not be written yet: the number of messages with missing records, plus one if a part of the shared state
-    /// is missing, and one if bytes of a failed write could not be truncated.
+    /// What could not be written yet: the number of messages with unwritten records, plus one if the shared state has
+    /// unwritten changes, and one if bytes of a failed write could not be truncated.
     pub unwritten_changes: u64,
 }
 
@@ -62,11 +71,13 @@
     bytes: u64,
     /// Bytes of the last snapshot.
     snapshot_bytes: u64,
-    /// A change could not be written: a new snapshot is due.
-    is_stale: bool,
-    /// Removed uids and outages whose removal could not be written. A snapshot lists only what exists, so these are
+    /// A change of the shared state could not be written: a new snapshot is due.
+    has_unwritten_changes: bool,
+    /// Uids removed from the listing whose removal could not be written. A snapshot lists only what exists, so these are
     /// written before it. Bounded by the number of entries that existed.
-    unwritten_removals: (BTreeSet<String>, BTreeSet<OutageKey>),
+    unwritten_removed_uids: BTreeSet<String>,
+    /// The same for outages that are over.
+    unwritten_removed_outages: BTreeSet<OutageKey>,
     snapshot: Option<SnapshotInProgress>,
 }
 
@@ -75,6 +86,7 @@
 struct SnapshotInProgress {
     /// Sequence number of the segment that was active when the snapshot was begun.
     first_segment: u64,
+    /// Bytes written so far.
     bytes: u64,
     position: SnapshotPosition,
 }
@@ -107,6 +119,7 @@
     due_bytes: u64,
     /// Messages of which a record could not be written.
     unwritten_messages: BTreeSet<u32>,
+    /// The last error of compaction that was not yet taken by the caller.
     maintenance_error: Option<JournalError>,
     stats: JournalStats,
     /// Reused buffer for encoded records.
@@ -194,8 +207,8 @@
                     durable_size: size,
                 });
             } else {
-                let on_disk = on_disk(segment.length);
-                sealed.push_back(SealedSegment { sequence: segment.sequence, size, on_disk });
+                let disk_size = size_on_disk(segment.length);
+                sealed.push_back(SealedSegment { sequence: segment.sequence, size, disk_size });
             }
         }
         if let Some(first) = files.segments.first().filter(|first| first.sequence > oldest_needed) {
@@ -267,13 +280,14 @@
         let record = |chunk: &[String]| Record::FormerUids(chunk.to_vec());
         self.write_shared_state(former.chunks(ENTRIES_PER_RECORD).map(record).collect())?;
         let suspended: Vec<String> = state.suspended_uids.into_iter().collect();
-        let record = |chunk: &[String]| Record::Suspended { set: chunk.to_vec(), removed: Vec::new() };
+        let record = |chunk: &[String]| Record::Suspended { suspended: chunk.to_vec(), resumed: Vec::new() };
         self.write_shared_state(suspended.chunks(ENTRIES_PER_RECORD).map(record).collect())?;
         for (number, pending) in state.pending {
             self.message_bytes += pending_cost(&pending);
             let written = self.write(RecordPurpose::Progress, Record::FullMessage(number, pending))?;
             self.maintain(written);
         }
+        // Frees no segment, but keeps the last number, which may be that of a message completed long ago.
         let record = Record::Freed { below: 0, last: state.last_number };
         self.write(RecordPurpose::Progress, record)?;
         self.commit()
@@ -291,13 +305,14 @@
             used_bytes: self.log.used_bytes(),
             live_bytes: self.message_bytes + self.shared_state.bytes,
             unwritten_changes: self.unwritten_messages.len() as u64
-                + u64::from(self.shared_state.is_stale)
-                + u64::from(self.log.has_unwanted_tail()),
+                + u64::from(self.shared_state.has_unwritten_changes)
+                + u64::from(self.log.has_failed_write_tail()),
             ..self.stats
         }
     }
 
     /// Accepts a message and returns its number. Once this returns, the message survives a crash of the process.
+    /// Fails with [`JournalError::Full`] without space for the message, or once all message numbers are used.
     pub fn accept(&mut self, message: AcceptedMessage) -> Result<u32, JournalError> {
         let number = self.state.last_number.checked_add(1).ok_or(JournalError::Full)?;
         let cost = accepted_cost(&message);
@@ -342,19 +357,21 @@
 
     /// Records a listing of endpoints, or the changes of one.
     pub fn update_listing(&mut self, update: &ListingUpdate) -> Result<(), JournalError> {
-        let (set, removed, destinations) = self.state.listing_changes(update);
+        let (changed, removed, destinations) = self.state.listing_changes(update);
         let mut records = Vec::new();
         records.extend(into_chunks(destinations, DESTINATIONS_PER_RECORD).map(Record::Destinations));
-        let removals = |removed| Record::Listing { rev: None, set: Vec::new(), removed };
+        let removals = |removed| Record::Listing { rev: None, changed: Vec::new(), removed };
         records.extend(into_chunks(removed, ENTRIES_PER_RECORD).map(removals));
-        let additions = |set| Record::Listing { rev: None, set, removed: Vec::new() };
-        records.extend(into_chunks(set, ENTRIES_PER_RECORD).map(additions));
+        let additions = |changed| Record::Listing { rev: None, changed, removed: Vec::new() };
+        records.extend(into_chunks(changed, ENTRIES_PER_RECORD).map(additions));
         // The revision comes last: after a crash before it, the courier asks discovery for the whole listing again.
         match records.last_mut() {
-            Some(Record::Listing { rev, set, .. }) if !set.is_empty() => *rev = Some(update.rev),
-            _ => {
-                records.push(Record::Listing { rev: Some(update.rev), set: Vec::new(), removed: Vec::new() })
-            }
+            Some(Record::Listing { rev, changed, .. }) if !changed.is_empty() => *rev = Some(update.rev),
+            _ => records.push(Record::Listing {
+                rev: Some(update.rev),
+                changed: Vec::new(),
+                removed: Vec::new(),
+            }),
         }
         self.write_shared_state(records)
     }
@@ -373,13 +390,15 @@
 
     /// Whether a reported change could not be written. Then all current outages have to be passed to
     /// [`Journal::set_outages`] again.
-    pub fn is_behind(&self) -> bool {
-        self.shared_state.is_stale || self.log.has_unwanted_tail() || !self.unwritten_messages.is_empty()
+    pub fn has_unwritten_changes(&self) -> bool {
+        self.shared_state.has_unwritten_changes
+            || self.log.has_failed_write_tail()
+            || !self.unwritten_messages.is_empty()
     }
 
     /// Records the current outages of all destinations.
     pub fn set_outages(&mut self, outages: &[PersistedOutage]) -> Result<(), JournalError> {
-        if !self.is_behind() && self.state.outages_match(outages) {
+        if !self.has_unwritten_changes() && self.state.outages_match(outages) {
             return Ok(());
         }
         let changes = self.state.outage_changes(outages);
@@ -393,22 +412,26 @@
         outages: &[PersistedOutage],
     ) -> Result<(), JournalError> {
         let changes = self.state.outage_changes_of(destinations, outages);
-        if changes.set.is_empty() && changes.removed.is_empty() {
+        if changes.changed.is_empty() && changes.removed.is_empty() {
             return Ok(());
         }
         self.write_outages(changes)
     }
 
-    fn write_outages(&mut self, OutageChanges { set, removed }: OutageChanges) -> Result<(), JournalError> {
+    fn write_outages(
+        &mut self,
+        OutageChanges { changed, removed }: OutageChanges,
+    ) -> Result<(), JournalError> {
         let mut records: Vec<Record> = Vec::new();
-        let removals = |removed| Record::Outages { set: Vec::new(), removed };
+        let removals = |removed| Record::Outages { changed: Vec::new(), removed };
         records.extend(into_chunks(removed, ENTRIES_PER_RECORD).map(removals));
-        let changes = |set| Record::Outages { set, removed: Vec::new() };
-        records.extend(into_chunks(set, ENTRIES_PER_RECORD).map(changes));
+        let changes = |changed| Record::Outages { changed, removed: Vec::new() };
+        records.extend(into_chunks(changed, ENTRIES_PER_RECORD).map(changes));
         self.write_shared_state(records)
     }
 
-    /// Records that an operator suspended or resumed an endpoint. If this fails, nothing has changed.
+    /// Records that an operator suspended or resumed an endpoint. If this fails, nothing has changed. Fails with
+    /// [`JournalError::Full`] without space for the record, or if [`MAX_SUSPENDED_ENDPOINTS`] are suspended.
     pub fn set_suspended(&mut self, uid: &str, is_suspended: bool) -> Result<(), JournalError> {
         if self.state.suspended_uids.contains(uid) == is_suspended {
             return Ok(());
@@ -418,8 +441,8 @@
         }
         let uids = vec![uid.to_owned()];
         let record = match is_suspended {
-            true => Record::Suspended { set: uids, removed: Vec::new() },
-            false => Record::Suspended { set: Vec::new(), removed: uids },
+            true => Record::Suspended { suspended: uids, resumed: Vec::new() },
+            false => Record::Suspended { suspended: Vec::new(), resumed: uids },
         };
         let written = self.write(RecordPurpose::Progress, record)?;
         self.maintain(written);
@@ -481,14 +504,18 @@
                 result = self.write(RecordPurpose::Progress, record.clone()).map(|written| before + written);
             }
             if result.is_err() {
-                let (uids, outages) = &mut self.shared_state.unwritten_removals;
+                let shared_state = &mut self.shared_state;
                 match &record {
-                    Record::Listing { removed, .. } => uids.extend(removed.iter().cloned()),
-                    Record::Outages { removed, .. } => outages.extend(removed.iter().cloned()),
+                    Record::Listing { removed, .. } => {
+                        shared_state.unwritten_removed_uids.extend(removed.iter().cloned());
+                    }
+                    Record::Outages { removed, .. } => {
+                        shared_state.unwritten_removed_outages.extend(removed.iter().cloned());
+                    }
                     _ => {}
                 }
                 self.state.apply(record);
-                self.shared_state.is_stale = true;
+                self.shared_state.has_unwritten_changes = true;
                 self.shared_state.snapshot = None;
             }
         }
@@ -500,7 +527,7 @@
     /// Writes records that could not be written before, then `record`; returns the size of the latter. If there is no
     /// space, compacts first.
     fn write(&mut self, purpose: RecordPurpose, record: Record) -> Result<u64, JournalError> {
-        self.write_missed_records()?;
+        self.write_unwritten_messages()?;
         let mut payload = self.encode(&record)?;
         let bytes = payload.len() as u64 + FRAME_BYTES;
         if !self.plan.may_write(&self.usage(), purpose, bytes) {
@@ -515,7 +542,7 @@
     }
 
     /// Writes the current state of each message of which a record could not be written.
-    fn write_missed_records(&mut self) -> Result<(), JournalError> {
+    fn write_unwritten_messages(&mut self) -> Result<(), JournalError> {
         while let Some(number) = self.unwritten_messages.first().copied() {
             let record = match self.state.pending.get(&number) {
                 Some(pending) => Record::FullMessage(number, pending.clone()),
@@ -587,9 +614,12 @@
         let distance = self.log.current_sequence().saturating_sub(shared_state.oldest_segment)
             * self.plan.segment_bytes();
         let changed = shared_state.bytes.saturating_sub(shared_state.snapshot_bytes);
-        let is_snapshot_due = shared_state.is_stale
-            || distance > (MAX_SNAPSHOT_DISTANCE * shared_state.bytes).max(8 * self.plan.segment_bytes())
-            || changed > (2 * shared_state.snapshot_bytes).max(MIN_SNAPSHOT_CHANGES_BYTES);
+        let is_snapshot_due = shared_state.has_unwritten_changes
+            || distance
+                > (SNAPSHOT_DISTANCE_FACTOR * shared_state.bytes)
+                    .max(MIN_SNAPSHOT_DISTANCE_SEGMENTS * self.plan.segment_bytes())
+            || changed
+                > (SNAPSHOT_CHANGES_FACTOR * shared_state.snapshot_bytes).max(MIN_SNAPSHOT_CHANGES_BYTES);
         if is_snapshot_due || shared_state.snapshot.is_some() {
             if let Err(error) = self.write_snapshot_part() {
                 self.maintenance_error = Some(error);
@@ -644,7 +674,7 @@
     }
 
     fn try_compact(&mut self, mut budget_bytes: u64) -> Result<(), JournalError> {
-        self.write_missed_records()?;
+        self.write_unwritten_messages()?;
         while let Some(oldest) = self.log.oldest().filter(|_| budget_bytes > 0) {
             let cost = match self.index.next_live(oldest.sequence, &mut self.compaction_position) {
                 Scan::Live(number) => {
@@ -733,15 +763,16 @@
 
     /// The next record of removals that could not be written. Entries that exist again are dropped: the snapshot has them.
     fn next_unwritten_removals(&mut self) -> Option<Record> {
-        let (uids, outages) = &mut self.shared_state.unwritten_removals;
+        let uids = &mut self.shared_state.unwritten_removed_uids;
+        let outages = &mut self.shared_state.unwritten_removed_outages;
         uids.retain(|uid| !self.state.targets.contains_key(uid));
         outages.retain(|key| !self.state.outages.contains_key(key));
         if !uids.is_empty() {
             let removed = uids.iter().take(ENTRIES_PER_RECORD).cloned().collect();
-            return Some(Record::Listing { rev: None, set: Vec::new(), removed });
+            return Some(Record::Listing { rev: None, changed: Vec::new(), removed });
         }
         let removed: Vec<OutageKey> = outages.iter().take(ENTRIES_PER_RECORD).cloned().collect();
-        (!removed.is_empty()).then(|| Record::Outages { set: Vec::new(), removed })
+        (!removed.is_empty()).then(|| Record::Outages { changed: Vec::new(), removed })
     }
 
     /// Writes the next record of a snapshot of the shared state, and begins a snapshot if none is in progress. Changes
@@ -750,7 +781,8 @@
     fn write_snapshot_part(&mut self) -> Result<u64, JournalError> {
         if let Some(record) = self.next_unwritten_removals() {
             let bytes = self.append_rewritten(record.clone())?;
-            let (uids, outages) = &mut self.shared_state.unwritten_removals;
+            let uids = &mut self.shared_state.unwritten_removed_uids;
+            let outages = &mut self.shared_state.unwritten_removed_outages;
             match record {
                 Record::Listing { removed, .. } => uids.retain(|uid| !removed.contains(uid)),
                 Record::Outages { removed, .. } => outages.retain(|key| !removed.contains(key)),
@@ -767,17 +799,17 @@
         let state = &self.state;
         let (record, next) = match snapshot.position.clone() {
             SnapshotPosition::Targets(after) => {
-                let set: Vec<_> = entries_after(&state.targets, after)
+                let changed: Vec<_> = entries_after(&state.targets, after)
                     .take(ENTRIES_PER_RECORD)
                     .map(|(_, target)| target.clone())
                     .collect();
-                let is_last = set.len() < ENTRIES_PER_RECORD;
-                let next = match set.last() {
+                let is_last = changed.len() < ENTRIES_PER_RECORD;
+                let next = match changed.last() {
                     Some(target) if !is_last => SnapshotPosition::Targets(Some(target.uid.clone())),
                     _ => SnapshotPosition::Destinations(None),
                 };
                 let rev = is_last.then_some(state.listing_rev);
-                (Record::Listing { rev, set, removed: Vec::new() }, Some(next))
+                (Record::Listing { rev, changed, removed: Vec::new() }, Some(next))
             }
             SnapshotPosition::Destinations(after) => {
                 let range = (after.map_or(Bound::Unbounded, Bound::Excluded), Bound::Unbounded);
@@ -799,20 +831,20 @@
                     }
                     _ => SnapshotPosition::Suspended(None),
                 };
-                let set = entries.into_iter().map(|(_, outage)| outage.clone()).collect();
-                (Record::Outages { set, removed: Vec::new() }, Some(next))
+                let changed = entries.into_iter().map(|(_, outage)| outage.clone()).collect();
+                (Record::Outages { changed, removed: Vec::new() }, Some(next))
             }
             SnapshotPosition::Suspended(after) => {
                 let range = (after.map_or(Bound::Unbounded, Bound::Excluded), Bound::Unbounded);
-                let set: Vec<String> =
+                let changed: Vec<String> =
                     state.suspended_uids.range(range).take(ENTRIES_PER_RECORD).cloned().collect();
-                let next = match set.last() {
-                    Some(uid) if set.len() == ENTRIES_PER_RECORD => {
+                let next = match changed.last() {
+                    Some(uid) if changed.len() == ENTRIES_PER_RECORD => {
                         SnapshotPosition::Suspended(Some(uid.clone()))
                     }
                     _ => SnapshotPosition::FormerUids(0),
                 };
-                (Record::Suspended { set, removed: Vec::new() }, Some(next))
+                (Record::Suspended { suspended: changed, resumed: Vec::new() }, Some(next))
             }
             // Uids that are dropped meanwhile move the others forward, so some may be left to the next snapshot.
             SnapshotPosition::FormerUids(written) => {
@@ -829,7 +861,7 @@
         match next {
             Some(next) => snapshot.position = next,
             None => {
-                // Resets `is_stale` and the removals too: the snapshot has all changes that could not be written before, and
+                // Resets `has_unwritten_changes` and the removals too: the snapshot has all changes that could not be written before, and
                 // a failure during a snapshot starts it anew.
                 let (oldest_segment, snapshot_bytes) = (snapshot.first_segment, snapshot.bytes);
                 self.shared_state = SharedStateLocation {
@@ -844,11 +876,6 @@
     }
 }
 
-/// Charged against the compaction budget for a scan over dead messages.
-const SCAN_COST_BYTES: u64 = 512;
-/// Charged against the compaction budget for freeing a segment.
-const FREE_SEGMENT_COST_BYTES: u64 = 2048;
-
 fn entries_after<K: Ord + Clone, V>(
     map: &BTreeMap<K, V>,
     after: Option<K>,
--- a/crates/gullcart-journal/src/lib.rs
+++ b/crates/gullcart-journal/src/lib.rs
@@ -5,7 +5,9 @@
 //! records of the oldest segment are rewritten to the end of the log, and the segment is removed.
 //!
 //! `frame` and `state` define bytes and records; `space_plan` and `segment_index` decide what to write and to rewrite,
-//! without I/O; `store` is the folder; `replay` reads segments; `segment_log` writes them; [`Journal`] combines them.
+//! without I/O; `store` is the folder; `replay` reads segments, `legacy` the file of releases before 0.2; `segment_log` writes
+//! segments; [`Journal`] combines them. `salvage` and `repair` deal with damaged journals. `state_log` is a log of its own
+//! for small states.
 //! `docs/journal-format.md` describes the bytes, and `docs/design/journal.md` the design and its alternatives.
 #![forbid(unsafe_code)]
 
--- a/crates/gullcart-journal/src/repair.rs
+++ b/crates/gullcart-journal/src/repair.rs
@@ -29,7 +29,7 @@
 }
 
 /// Repairs a damaged journal: moves its files to a backup folder and writes a new journal with all records that can be
-/// verified. An undamaged journal is left as it is. The disk needs space for both journals, beyond the courier's limit.
+/// verified. An undamaged journal is left as it is. The disk needs space for both journals: `disk_bytes` limits only the new one.
 pub fn repair(folder: &Path, disk_bytes: u64, options: Options) -> Result<RepairOutcome, JournalError> {
     let store = Folder::lock(folder).map_err(JournalError::Folder)?;
     if unfinished_repair(folder).is_none() {
@@ -88,8 +88,8 @@
     }
     new_files.sort();
     let new_id = new_files.iter().find_map(|path| journal_id(path));
-    let number = (1..).find(|n| !folder.join(format!("journal.damaged-{n}")).exists()).unwrap_or(1u32);
-    let mut backup_folder = folder.join(format!("journal.damaged-{number}"));
+    let next_number = (1..).find(|n| !folder.join(format!("journal.damaged-{n}")).exists()).unwrap_or(1u32);
+    let mut backup_folder = folder.join(format!("journal.damaged-{next_number}"));
     if let Some(new_id) = new_id {
         let old_files: Vec<String> = store
             .list()
@@ -99,7 +99,8 @@
             .filter(|name| segment_sequence(name).is_some() && journal_id(&folder.join(name)) != Some(new_id))
             .collect();
         if old_files.is_empty() {
-            backup_folder = folder.join(format!("journal.damaged-{}", number - 1));
+            // The interrupted repair had already moved all old files, to the last backup folder.
+            backup_folder = folder.join(format!("journal.damaged-{}", next_number - 1));
         } else {
             fs::create_dir(&backup_folder).map_err(io_error("make", "journal.damaged"))?;
         }
--- a/crates/gullcart-journal/src/replay.rs
+++ b/crates/gullcart-journal/src/replay.rs
@@ -8,8 +8,8 @@
 use crate::store::Store;
 use std::io;
 
-/// Most payload bytes that are checksummed in the search for valid records behind a bad one. Only data that was made up on
-/// purpose needs more.
+/// Most payload bytes that are checksummed in the search for valid records behind a bad one. Limits the work on crafted
+/// input, in which a plausible frame with a long payload begins at every byte; other damage needs far less.
 const MAX_CHECKSUMMED_BYTES: u64 = 64 << 20;
 
 /// How reading a segment ended.
@@ -145,9 +145,9 @@
     Ok(was_durable)
 }
 
-/// Searches for valid records at any offset from `from` on, until `stop` returns true. After [`MAX_CHECKSUMMED_BYTES`],
-/// which a journal cannot need by chance, plausible frames count as valid without a check: unreadable bytes before them are
-/// then reported as damage rather than dropped.
+/// Searches for valid records at any offset from `from` on, until `stop` returns true. After [`MAX_CHECKSUMMED_BYTES`]
+/// plausible frames count as valid without a check, so that unreadable bytes before them are reported as damage rather than
+/// dropped.
 pub(crate) fn find_valid_records<S: Store>(
     reader: &mut BufferedReader<'_, S>,
     segment: SegmentId,
@@ -177,4 +177,5 @@
     Ok(())
 }
 
+// The buffer of a reader has at least a chunk; only a longer payload makes it grow.
 const _: () = assert!(MAX_PAYLOAD_BYTES as usize >= CHUNK_BYTES);
--- a/crates/gullcart-journal/src/salvage.rs
+++ b/crates/gullcart-journal/src/salvage.rs
@@ -8,14 +8,14 @@
 use crate::replay::{find_valid_records, read_segment, read_segment_from, SegmentEnd, SegmentFormat};
 use crate::segment_index::SegmentIndex;
 use crate::segment_log::segment_file_name;
-use crate::space_plan::on_disk;
+use crate::space_plan::size_on_disk;
 use crate::state::{JournalState, Record};
 use crate::store::Store;
 use serde::Serialize;
 use std::collections::BTreeSet;
 
-/// A message in doubt counts as attempted this long before its deadline. The attempt may have been at any time, so it is
-/// dated a day back, when no destination still keeps an idempotency key: the message counts as past its repeat window.
+/// A message in doubt counts as attempted this long before its deadline, as the time of a lost attempt is unknown. After a
+/// day no destination keeps an idempotency key any more, so the attempt is never taken for one that can be repeated safely.
 const DOUBT_BACKDATE_MS: u64 = 86_400_000;
 
 /// What was found in a segment.
@@ -98,7 +98,7 @@
     let mut oldest_needed = files.oldest_needed;
     loop {
         let used_bytes =
-            all.iter().map(|segment| on_disk(segment.length)).sum::<u64>() + files.other_files_bytes;
+            all.iter().map(|segment| size_on_disk(segment.length)).sum::<u64>() + files.other_files_bytes;
         let reader = SalvageReader::read(store, files.journal_id, &all, oldest_needed, used_bytes)?;
         // The record that frees a segment may come long after it: then read again without that segment.
         if reader.freed_below <= oldest_needed {
@@ -222,7 +222,7 @@
         self.report.segments.push(SegmentReport {
             file: name,
             sequence: segment.sequence,
-            on_disk: on_disk(segment.length),
+            on_disk: size_on_disk(segment.length),
             valid_bytes,
             records,
             live_bytes: 0,
@@ -260,6 +260,7 @@
     fn finish(mut self) -> Salvage {
         for number in &self.in_doubt {
             let Some(pending) = self.state.pending.get_mut(number) else { continue };
+            // The zone of the attempt is unknown too: the first one is assumed.
             let assumed_ms = pending.message.deadline_ms.saturating_sub(DOUBT_BACKDATE_MS);
             pending.finish_attempt(true);
             pending.may_have_run = pending.may_have_run.or(Some((assumed_ms, 0)));
--- a/crates/gullcart-journal/src/segment_index.rs
+++ b/crates/gullcart-journal/src/segment_index.rs
@@ -3,6 +3,9 @@
 
 use std::collections::{HashMap, VecDeque};
 
+/// Most messages that one scan skips before it pauses.
+const MAX_SCANNED_MESSAGES: usize = 512;
+
 /// Where the latest full record of a message is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct RecordLocation {
@@ -16,7 +19,7 @@
     live_bytes: u64,
     /// Messages whose full record was written to the segment, in that order. Some of them are completed by now, or have
     /// a later full record elsewhere.
-    written: Vec<u32>,
+    message_numbers: Vec<u32>,
 }
 
 /// The segments of the log, oldest first and without gaps, and the messages in them.
@@ -52,7 +55,7 @@
         self.remove(number);
         let Some(segment) = self.segment_mut(sequence) else { return };
         segment.live_bytes += bytes;
-        segment.written.push(number);
+        segment.message_numbers.push(number);
         self.locations.insert(number, RecordLocation { segment: sequence, bytes: bytes as u32 });
     }
 
@@ -76,7 +79,7 @@
     pub fn next_live(&self, sequence: u64, position: &mut usize) -> Scan {
         let at = sequence.checked_sub(self.first_sequence).and_then(|at| usize::try_from(at).ok());
         let Some(segment) = at.and_then(|at| self.segments.get(at)) else { return Scan::End };
-        let rest = segment.written.get(*position..).unwrap_or_default();
+        let rest = segment.message_numbers.get(*position..).unwrap_or_default();
         for number in rest.iter().take(MAX_SCANNED_MESSAGES) {
             *position += 1;
             if self.locations.get(number).is_some_and(|location| location.segment == sequence) {
@@ -91,9 +94,6 @@
     }
 }
 
-/// Most messages that one scan skips before it pauses.
-const MAX_SCANNED_MESSAGES: usize = 512;
-
 /// Result of a scan for the next live message of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Scan {
--- a/crates/gullcart-journal/src/segment_log.rs
+++ b/crates/gullcart-journal/src/segment_log.rs
@@ -9,7 +9,7 @@
 use crate::error::{io_error, JournalError};
 use crate::frame::{self, Header, SegmentId, FRAME_BYTES, HEADER_BYTES};
 use crate::legacy;
-use crate::space_plan::{on_disk, SpacePlan};
+use crate::space_plan::{size_on_disk, SpacePlan, SECTOR_BYTES};
 use crate::store::Store;
 use crate::Durability;
 use std::collections::VecDeque;
@@ -18,7 +18,7 @@
 pub(crate) const SPARE_FILE_NAME: &str = "journal.spare";
 const PREFIX: &str = "journal-";
 const SUFFIX: &str = ".seg";
-/// Least size of a spare segment.
+/// A spare segment is not preallocated if the disk has less space left than this.
 const MIN_SPARE_BYTES: u64 = 4 << 10;
 
 /// File name of a segment; 0 stands for the single file of releases before 0.2.
@@ -45,8 +45,8 @@
     pub sequence: u64,
     /// Header and records.
     pub size: u64,
-    /// Size of the file on disk.
-    pub on_disk: u64,
+    /// Space that the file takes on disk, in whole sectors.
+    pub disk_size: u64,
 }
 
 /// The segment to which records are appended.
@@ -57,7 +57,7 @@
     pub size: u64,
     /// Length of the file: the bytes after `size` are preallocated.
     pub length: u64,
-    /// Bytes that are durable, as configured.
+    /// Bytes that were synced. With [`Durability::Process`] nothing is synced, and all written bytes count as durable.
     pub durable_size: u64,
 }
 
@@ -83,18 +83,18 @@
     durability: Durability,
     journal_id: u64,
     sealed: VecDeque<SealedSegment>,
-    /// Total size of the sealed segments on disk.
-    sealed_on_disk: u64,
+    /// Space that the sealed segments take on disk.
+    sealed_disk_size: u64,
     active: Option<ActiveSegment<S::File>>,
     spare: Option<SpareFile<S::File>>,
     /// A spare file could not be preallocated, though the journal has not reached its own limit.
     is_disk_full: bool,
-    /// The next segment's file may have been renamed into place already, and says where the active segment ends. So the
-    /// active segment must not be written to any more, whether or not the rename succeeded.
-    is_closing: bool,
+    /// No record may be appended to the active segment any more. Set before the spare file is renamed to the next segment:
+    /// its header says where the active segment ends, and a rename that is reported as failed may still have happened.
+    is_active_closed: bool,
     oldest_needed: u64,
     /// Bytes of a failed write may be left after the last record, and could not be truncated yet.
-    has_unwanted_tail: bool,
+    has_failed_write_tail: bool,
     /// Size on disk of files that do not belong to the journal.
     other_files_bytes: u64,
     /// Size on disk of a spare file that could neither be preallocated nor removed.
@@ -116,14 +116,14 @@
             plan,
             durability,
             journal_id,
-            sealed_on_disk: sealed.iter().map(|sealed| sealed.on_disk).sum(),
+            sealed_disk_size: sealed.iter().map(|sealed| sealed.disk_size).sum(),
             sealed,
             active,
             spare: None,
             is_disk_full: false,
-            is_closing: false,
+            is_active_closed: false,
             oldest_needed,
-            has_unwanted_tail: false,
+            has_failed_write_tail: false,
             other_files_bytes,
             abandoned_spare_bytes: 0,
             buffer: Vec::new(),
@@ -132,17 +132,17 @@
 
     /// Size of all files on disk.
     pub fn used_bytes(&self) -> u64 {
-        let active = self.active.as_ref().map_or(0, |active| on_disk(active.length));
-        self.sealed_on_disk
+        let active = self.active.as_ref().map_or(0, |active| size_on_disk(active.length));
+        self.sealed_disk_size
             + active
-            + self.spare.as_ref().map_or(0, |spare| on_disk(spare.length))
+            + self.spare.as_ref().map_or(0, |spare| size_on_disk(spare.length))
             + self.other_files_bytes
             + self.abandoned_spare_bytes
     }
 
     /// Preallocated bytes that are not yet written.
     pub fn preallocated_bytes(&self) -> u64 {
-        let active = self.active.as_ref().map_or(0, |active| match self.is_closing {
+        let active = self.active.as_ref().map_or(0, |active| match self.is_active_closed {
             true => 0,
             false => active.length - active.size,
         });
@@ -202,7 +202,9 @@
     pub fn batch_capacity(&self) -> u64 {
         match &self.active {
             Some(active)
-                if !self.is_closing && !self.has_unwanted_tail && active.size < self.plan.segment_bytes() =>
+                if !self.is_active_closed
+                    && !self.has_failed_write_tail
+                    && active.size < self.plan.segment_bytes() =>
             {
                 active.length - active.size
             }
@@ -225,18 +227,18 @@
     }
 
     /// Whether bytes of a failed write may be left after the last record.
-    pub fn has_unwanted_tail(&self) -> bool {
-        self.has_unwanted_tail
+    pub fn has_failed_write_tail(&self) -> bool {
+        self.has_failed_write_tail
     }
 
     /// Truncates what a failed write left: the record may be there in part or even completely, but was reported as not
     /// written, so a replay must not find it.
     fn truncate_tail(&mut self) -> Result<(), JournalError> {
-        let Some(active) = self.active.as_mut().filter(|_| self.has_unwanted_tail) else { return Ok(()) };
+        let Some(active) = self.active.as_mut().filter(|_| self.has_failed_write_tail) else { return Ok(()) };
         let truncated = self.store.set_length(&active.file, active.size);
         truncated.map_err(io_error("cut", &segment_file_name(active.sequence)))?;
         active.length = active.size;
-        self.has_unwanted_tail = false;
+        self.has_failed_write_tail = false;
         Ok(())
     }
 
@@ -247,7 +249,8 @@
         let (store, plan, journal_id) = (&self.store, &self.plan, self.journal_id);
         let Some(active) = &mut self.active else { return Err(JournalError::Full) };
         let end = active.size + payloads.len() as u64 + lengths.len() as u64 * FRAME_BYTES;
-        if used_bytes - on_disk(active.length) + on_disk(end.max(active.length)) > plan.disk_bytes() {
+        if used_bytes - size_on_disk(active.length) + size_on_disk(end.max(active.length)) > plan.disk_bytes()
+        {
             return Err(JournalError::Full);
         }
         let durable_size = match durability {
@@ -267,7 +270,7 @@
         if let Err(error) = store.write_at(&active.file, &self.buffer, active.size) {
             active.length = active.length.max(end);
             let failed = io_error("write", &segment_file_name(active.sequence))(error);
-            self.has_unwanted_tail = true;
+            self.has_failed_write_tail = true;
             let _ = self.truncate_tail();
             return Err(failed);
         }
@@ -278,12 +281,12 @@
 
     /// Whether a record of `bytes` bytes can be written to the active segment.
     fn fits_active(&self, bytes: u64) -> bool {
-        let Some(active) = self.active.as_ref().filter(|_| !self.is_closing) else { return false };
+        let Some(active) = self.active.as_ref().filter(|_| !self.is_active_closed) else { return false };
         if active.size + bytes <= active.length {
             // If no next segment can be begun, all preallocated bytes of this one are used.
             return active.size < self.plan.segment_bytes() || (self.is_disk_full && self.spare.is_none());
         }
-        let more = on_disk(active.size + bytes) - on_disk(active.length);
+        let more = size_on_disk(active.size + bytes) - size_on_disk(active.length);
         active.size < self.plan.segment_bytes() && self.used_bytes() + more <= self.plan.disk_bytes()
     }
 
@@ -302,7 +305,7 @@
     }
 
     fn preallocate_spare(&mut self, wanted_bytes: u64) -> Result<(), JournalError> {
-        let left = self.plan.disk_bytes().saturating_sub(self.used_bytes()) / 512 * 512;
+        let left = self.plan.disk_bytes().saturating_sub(self.used_bytes()) / SECTOR_BYTES * SECTOR_BYTES;
         let length = wanted_bytes.min(left);
         if length < MIN_SPARE_BYTES.min(self.plan.segment_bytes()) {
             return Err(JournalError::Full);
@@ -311,7 +314,7 @@
         self.abandoned_spare_bytes = 0;
         if let Err(error) = self.store.preallocate(&file, length) {
             if self.store.remove(SPARE_FILE_NAME).is_err() {
-                self.abandoned_spare_bytes = on_disk(length);
+                self.abandoned_spare_bytes = size_on_disk(length);
             }
             return Err(io_error("preallocate", SPARE_FILE_NAME)(error));
         }
@@ -345,10 +348,10 @@
             self.store.sync(&spare.file).map_err(io_error("sync", SPARE_FILE_NAME))?;
         }
         // From here on the active segment may have a successor that says where it ends.
-        let was_closing = std::mem::replace(&mut self.is_closing, true);
+        let was_closed = std::mem::replace(&mut self.is_active_closed, true);
         match self.store.rename(SPARE_FILE_NAME, &segment_file_name(sequence)) {
             // An earlier rename was reported as failed but did happen.
-            Err(error) if was_closing && error.kind() == std::io::ErrorKind::NotFound => {}
+            Err(error) if was_closed && error.kind() == std::io::ErrorKind::NotFound => {}
             other => other.map_err(io_error("rename", SPARE_FILE_NAME))?,
         }
         if is_synced {
@@ -367,14 +370,17 @@
             // Gives unused preallocated space back; if that fails it still counts as used.
             let is_truncated = self.store.set_length(&previous.file, previous.size).is_ok();
             let length = if is_truncated { previous.size } else { previous.length };
-            let sealed =
-                SealedSegment { sequence: previous.sequence, size: previous.size, on_disk: on_disk(length) };
-            self.sealed_on_disk += sealed.on_disk;
+            let sealed = SealedSegment {
+                sequence: previous.sequence,
+                size: previous.size,
+                disk_size: size_on_disk(length),
+            };
+            self.sealed_disk_size += sealed.disk_size;
             self.sealed.push_back(sealed);
         }
-        self.is_closing = false;
+        self.is_active_closed = false;
         // The header says where the previous segment ends, so bytes after that do no harm.
-        self.has_unwanted_tail = false;
+        self.has_failed_write_tail = false;
         Ok(())
     }
 
@@ -392,7 +398,7 @@
             }
             _ => {
                 self.sealed.pop_front();
-                self.sealed_on_disk -= oldest.on_disk;
+                self.sealed_disk_size -= oldest.disk_size;
                 if self.durability == Durability::Machine {
                     let result = self.store.sync_directory();
                     result.map_err(io_error("sync the directory after removing", &name))?;
--- a/crates/gullcart-journal/src/simulated.rs
+++ b/crates/gullcart-journal/src/simulated.rs
@@ -1,7 +1,7 @@
 //! A simulated folder in memory. It can crash at any operation, run full, fail, and lose data that was not synced. Tests
 //! of this package and simulations in virtual time use it; the daemon does not.
 
-use crate::space_plan::on_disk;
+use crate::space_plan::size_on_disk;
 use crate::store::Store;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -108,11 +108,11 @@
     crash: Crash,
     /// Number of crashes that are simulated in each operation.
     captures_per_operation: usize,
-    captured: Vec<Disk>,
+    captured_disks: Vec<Disk>,
     rng: fastrand::Rng,
 }
 
-/// A simulated folder in memory. Clones refer to the same folder.
+/// A simulated disk with a single folder, in memory. Clones refer to the same disk.
 #[derive(Clone, Debug)]
 pub struct Disk(Rc<RefCell<DiskState>>);
 
@@ -131,7 +131,7 @@
             is_refusing_changes: false,
             crash,
             captures_per_operation: 0,
-            captured: Vec::new(),
+            captured_disks: Vec::new(),
             rng: fastrand::Rng::with_seed(seed),
         })))
     }
@@ -173,7 +173,7 @@
 
     /// Takes the folders that simulated crashes have left since the last call.
     pub fn take_captured(&self) -> Vec<Disk> {
-        std::mem::take(&mut self.0.borrow_mut().captured)
+        std::mem::take(&mut self.0.borrow_mut().captured_disks)
     }
 
     /// The folder as a crash between two operations would leave it now.
@@ -272,7 +272,7 @@
             if let Some(change) = directory_change.filter(|_| self.rng.bool()) {
                 disk.0.borrow_mut().apply_directory_change(change.clone());
             }
-            self.captured.push(disk);
+            self.captured_disks.push(disk);
         }
         if self.is_refusing_changes {
             return Some(Fault::NoSpace);
@@ -283,7 +283,7 @@
     /// The folder as a crash leaves it, in the middle of a change if one is given.
     fn after_crash(&mut self, interrupted: Option<(usize, FileChange)>) -> Disk {
         let mut after = self.clone();
-        after.captured.clear();
+        after.captured_disks.clear();
         after.captures_per_operation = 0;
         after.faults.clear();
         // `is_refusing_changes` is kept: a folder that cannot be written stays so over a restart.
@@ -365,7 +365,7 @@
     }
 
     fn used_bytes(&self) -> u64 {
-        self.names.values().map(|file| on_disk(self.files[*file].current.len() as u64)).sum()
+        self.names.values().map(|file| size_on_disk(self.files[*file].current.len() as u64)).sum()
     }
 
     fn has_space_for(&self, file: usize, change: &FileChange) -> bool {
@@ -375,7 +375,8 @@
             FileChange::SetLength(length) => *length,
         };
         new_length <= length
-            || self.used_bytes() - on_disk(length as u64) + on_disk(new_length as u64) <= self.capacity_bytes
+            || self.used_bytes() - size_on_disk(length as u64) + size_on_disk(new_length as u64)
+                <= self.capacity_bytes
     }
 
     fn apply_file_change(&mut self, file: usize, change: FileChange) {
--- a/crates/gullcart-journal/src/space_plan.rs
+++ b/crates/gullcart-journal/src/space_plan.rs
@@ -9,9 +9,10 @@
 const MAX_LIVE_FRACTION: f64 = 0.64;
 /// Number of segments that fill the disk, unless the size limits below change the segment size.
 const SEGMENTS_PER_DISK: u64 = 64;
-/// Small segments need little free space beside the live data, which matters where the whole disk has 150 KB.
+/// Least size of a segment. Small segments need little free space beside the live data: on a busy day the deployment
+/// platform has only 150 KB of disk.
 const MIN_SEGMENT_BYTES: u64 = 3 << 10;
-/// Large segments keep the number of files low.
+/// Largest size of a segment. Large segments keep the number of files low.
 const MAX_SEGMENT_BYTES: u64 = 4 << 20;
 /// Space reserved per pending message for the records that end it: outcome, verdict and completion.
 const COMPLETION_BYTES: u64 = 64;
@@ -19,15 +20,16 @@
 const MESSAGE_OVERHEAD_BYTES: u64 = 96;
 /// Most that one compaction step rewrites; its last record may exceed this.
 const MAX_STEP_BYTES: u64 = 32 << 10;
-/// Least that a compaction step rewrites once it is due.
+/// Least that is rewritten per record written, once compaction has begun.
 const MIN_STEP_BYTES: u64 = 1 << 10;
-/// Smaller steps are accumulated up to this size or a quarter of a segment, whichever is less.
+/// Bytes to rewrite are accumulated until they reach this or a quarter of a segment, whichever is less; then a compaction
+/// step runs.
 const BATCHED_STEP_BYTES: u64 = 16 << 10;
 /// File sizes are rounded up to whole sectors.
-const SECTOR_BYTES: u64 = 512;
+pub(crate) const SECTOR_BYTES: u64 = 512;
 
 /// Bytes that a file of the given length takes on disk, in whole sectors.
-pub fn on_disk(length: u64) -> u64 {
+pub fn size_on_disk(length: u64) -> u64 {
     length.div_ceil(SECTOR_BYTES) * SECTOR_BYTES
 }
 
@@ -75,11 +77,12 @@
 }
 
 impl SpacePlan {
-    /// Plans for a folder of `disk_bytes` bytes; without `segment_bytes` the segment size follows from the disk.
+    /// Plans for a folder of `disk_bytes` bytes; without `segment_bytes` the segment size follows from the disk. Tests use
+    /// smaller segments than the options file allows.
     pub fn new(disk_bytes: u64, segment_bytes: Option<u64>) -> Self {
-        let usual = (disk_bytes / SEGMENTS_PER_DISK).clamp(MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES);
+        let default_bytes = (disk_bytes / SEGMENTS_PER_DISK).clamp(MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES);
         let segment_bytes =
-            segment_bytes.unwrap_or(usual).clamp(SECTOR_BYTES, 1 << 30) / SECTOR_BYTES * SECTOR_BYTES;
+            segment_bytes.unwrap_or(default_bytes).clamp(SECTOR_BYTES, 1 << 30) / SECTOR_BYTES * SECTOR_BYTES;
         SpacePlan { disk_bytes, segment_bytes }
     }
 
@@ -90,7 +93,7 @@
 
     /// Size of the spare segment: it has to fit the completion records of all pending messages.
     pub fn spare_bytes(&self, pending_messages: u64) -> u64 {
-        on_disk(self.segment_bytes.max((pending_messages + 1) * COMPLETION_BYTES))
+        size_on_disk(self.segment_bytes.max((pending_messages + 1) * COMPLETION_BYTES))
     }
 
     /// Most bytes that the folder may hold.
@@ -135,25 +138,26 @@
 
     /// Whether a file of `bytes` bytes may be preallocated.
     pub fn may_preallocate(&self, usage: &SpaceUsage, bytes: u64) -> bool {
-        usage.used_bytes + on_disk(bytes) <= self.disk_bytes
+        usage.used_bytes + size_on_disk(bytes) <= self.disk_bytes
     }
 
-    /// Bytes to rewrite after `written` bytes were written. Compaction begins when little space is left. The share grows
-    /// as space shrinks, so that the oldest segment is free before new messages have to be refused: the bytes still to
-    /// rewrite fall with the square of the space left over.
+    /// Bytes to rewrite after `written` bytes were written; none as long as two segments of space are left over for new
+    /// messages (the surplus). Per byte written, `2 * oldest_live / surplus` bytes are rewritten. At this rate the live
+    /// bytes of the oldest segment fall in proportion to the square of the surplus, so the segment can be freed before the
+    /// surplus is used up and new messages have to be refused.
     pub fn step_bytes(&self, usage: &SpaceUsage, written: u64) -> u64 {
         let Some(oldest_live) = usage.oldest_live_bytes else { return 0 };
         let surplus = self.accept_surplus_bytes(usage);
         if surplus >= 2 * self.segment_bytes {
             return 0;
         }
-        let share =
+        let bytes =
             written as f64 * 2.0 * (oldest_live + SECTOR_BYTES) as f64 / (surplus.max(SECTOR_BYTES)) as f64;
-        (share as u64).clamp(MIN_STEP_BYTES, MAX_STEP_BYTES)
+        (bytes as u64).clamp(MIN_STEP_BYTES, MAX_STEP_BYTES)
     }
 
-    /// Whether the accumulated `due_bytes` are enough for a compaction step: one write for several messages costs little
-    /// more than a write for each. When space for new messages is short, every step is due at once.
+    /// Whether the accumulated bytes to rewrite, `due_bytes`, are enough for a compaction step: one write for several messages costs little
+    /// more than a write for each. When space for new messages is short, nothing is accumulated.
     pub fn is_step_due(&self, usage: &SpaceUsage, due_bytes: u64) -> bool {
         let surplus = self.accept_surplus_bytes(usage);
         due_bytes >= (self.segment_bytes / 4).min(BATCHED_STEP_BYTES) || surplus < self.segment_bytes / 2
--- a/crates/gullcart-journal/src/space_plan/tests.rs
+++ b/crates/gullcart-journal/src/space_plan/tests.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn a_tiny_disk_can_be_used_too() {
-    // A busy day of the platform leaves 150 KB: most of it is for messages.
+    // On a busy day the deployment platform has only 150 KB of disk. Most of that can be used for messages.
     let plan = SpacePlan::new(150_000, None);
     let usage = |used_bytes, pending_messages| SpaceUsage {
         used_bytes,
--- a/crates/gullcart-journal/src/state.rs
+++ b/crates/gullcart-journal/src/state.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 
-/// When an attempt was sent (Unix milliseconds), and to which zone.
+/// A sent attempt: when it was sent, in Unix milliseconds, and the index of the zone to which it was sent.
 pub type SentAttempt = (u64, u8);
 
 /// An accepted message that is neither delivered nor otherwise completed.
@@ -42,16 +42,17 @@
     }
 }
 
-/// An outage of a destination or endpoint, in terms that stay valid over a restart of the process.
+/// An outage of a destination or endpoint. It refers to the endpoint by uid and to moments by wall-clock time: endpoint
+/// indexes and the monotonic clock differ after a restart of the process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PersistedOutage {
     /// The destination.
     pub destination: u32,
     /// The endpoint, where each endpoint of the destination is a route of its own.
     pub uid: Option<String>,
-    /// The last success before the outage, in Unix milliseconds.
+    /// When the outage began, which is the last success before it, in Unix milliseconds.
     pub since_ms: u64,
-    /// Weight of the failures seen.
+    /// Evidence for the outage: the failed calls, counted with their weights.
     pub failure_weight: u32,
     /// None while the outage is unconfirmed; then whether calls were lost without an answer, not just rejected.
     pub calls_were_lost: Option<bool>,
@@ -73,12 +74,12 @@
 /// Difference between the outages in the state and those that there are now.
 pub(crate) struct OutageChanges {
     /// New and changed outages.
-    pub set: Vec<PersistedOutage>,
+    pub changed: Vec<PersistedOutage>,
     /// Outages that are over.
     pub removed: Vec<OutageKey>,
 }
 
-/// A record of the journal. Variants are stored by their index: new ones are added at the end, and only programs that
+/// A record of the journal. The `u32` of message records is the message's number. Variants are stored by their index: new ones are added at the end, and only programs that
 /// know them can read a journal that has them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Record {
@@ -86,20 +87,21 @@
     Accepted(u32, AcceptedMessage),
     /// An attempt begins.
     AttemptStarted(u32, SentAttempt),
-    /// The attempt in flight has ended; whether it may have run.
+    /// The attempt in flight has ended. The flag says whether it may have run at the destination.
     AttemptFinished(u32, bool),
     /// The message will not be delivered, and the client is to be notified of this verdict.
     VerdictSet(u32, Verdict),
     /// The message is completed: nothing of it is pending any more.
     Completed(u32),
-    /// All that is known of a pending message; compaction writes these.
+    /// The current state of a pending message. Written by compaction, by a repair, and after earlier records of the message
+    /// could not be written.
     FullMessage(u32, PendingMessage),
     /// Changed and removed entries of the listing; the last record of an update carries the listing's revision.
-    Listing { rev: Option<u64>, set: Vec<Target>, removed: Vec<String> },
+    Listing { rev: Option<u64>, changed: Vec<Target>, removed: Vec<String> },
     /// Destinations that were ever listed.
     Destinations(Vec<u32>),
     /// Changed outages, and those that are over.
-    Outages { set: Vec<PersistedOutage>, removed: Vec<OutageKey> },
+    Outages { changed: Vec<PersistedOutage>, removed: Vec<OutageKey> },
     /// Segments with sequence numbers less than `below` are not needed any more; `last` is the last message number given
     /// out.
     Freed { below: u64, last: u32 },
@@ -108,12 +110,12 @@
     /// All current outages, as releases before 0.2 wrote them.
     LegacyOutages(Vec<PersistedOutage>),
     /// Endpoints, by uid, that operators suspended, and those that they resumed.
-    Suspended { set: Vec<String>, removed: Vec<String> },
+    Suspended { suspended: Vec<String>, resumed: Vec<String> },
     /// Uids of endpoints that have left the listing, oldest removal first. Written in snapshots only.
     FormerUids(Vec<String>),
 }
 
-/// Most uids of removed endpoints that are kept.
+/// Most uids of removed endpoints that are kept, so that operators can still suspend or resume such endpoints.
 pub const MAX_FORMER_UIDS: usize = 1024;
 /// Most endpoints that operators may have suspended at a time.
 pub const MAX_SUSPENDED_ENDPOINTS: usize = 1024;
@@ -195,41 +197,41 @@
                 self.last_number = self.last_number.max(number);
                 self.pending.remove(&number);
             }
-            Record::Listing { rev, set, removed } => {
+            Record::Listing { rev, changed, removed } => {
                 for uid in removed {
                     if self.targets.remove(&uid).is_some() {
                         self.add_former_uid(uid);
                     }
                 }
-                self.remove_former_uids(&set);
-                for target in set {
+                self.remove_former_uids(&changed);
+                for target in changed {
                     self.destinations.insert(target.pod_group);
                     self.targets.insert(target.uid.clone(), target);
                 }
                 self.listing_rev = rev.unwrap_or(self.listing_rev);
             }
             Record::Destinations(destinations) => self.destinations.extend(destinations),
-            Record::Outages { set, removed } => {
+            Record::Outages { changed, removed } => {
                 for key in removed {
                     self.outages.remove(&key);
                 }
-                self.outages.extend(set.into_iter().map(|outage| (outage.key(), outage)));
+                self.outages.extend(changed.into_iter().map(|outage| (outage.key(), outage)));
             }
             Record::Freed { last, .. } => self.last_number = self.last_number.max(last),
             Record::LegacyListing(update) => {
-                let (set, removed, destinations) = self.listing_changes(&update);
+                let (changed, removed, destinations) = self.listing_changes(&update);
                 self.destinations.extend(destinations);
-                self.apply(Record::Listing { rev: Some(update.rev), set, removed });
+                self.apply(Record::Listing { rev: Some(update.rev), changed, removed });
             }
             Record::LegacyOutages(outages) => {
-                let OutageChanges { set, removed } = self.outage_changes(&outages);
-                self.apply(Record::Outages { set, removed });
+                let OutageChanges { changed, removed } = self.outage_changes(&outages);
+                self.apply(Record::Outages { changed, removed });
             }
-            Record::Suspended { set, removed } => {
-                for uid in removed {
+            Record::Suspended { suspended, resumed } => {
+                for uid in resumed {
                     self.suspended_uids.remove(&uid);
                 }
-                self.suspended_uids.extend(set);
+                self.suspended_uids.extend(suspended);
             }
             Record::FormerUids(uids) => uids.into_iter().for_each(|uid| self.add_former_uid(uid)),
         }
@@ -250,16 +252,16 @@
         if update.all {
             removed.extend(self.targets.keys().filter(|uid| !updated.contains_key(uid.as_str())).cloned());
         }
-        let mut set = Vec::new();
+        let mut changed = Vec::new();
         for (uid, target) in updated {
             if target.is_deleted() {
                 removed.extend(self.targets.contains_key(uid).then(|| uid.to_owned()));
             } else if self.targets.get(uid) != Some(target) {
-                set.push(target.clone());
+                changed.push(target.clone());
             }
         }
         let destinations: BTreeSet<u32> = update.targets.iter().map(|target| target.pod_group).collect();
-        (set, removed, destinations.difference(&self.destinations).copied().collect())
+        (changed, removed, destinations.difference(&self.destinations).copied().collect())
     }
 
     /// Whether the state has exactly these outages.
@@ -301,7 +303,7 @@
         let changed = |(key, outage): (&OutageKey, &&PersistedOutage)| {
             (self.outages.get(key) != Some(*outage)).then(|| (*outage).clone())
         };
-        OutageChanges { set: now.iter().filter_map(changed).collect(), removed }
+        OutageChanges { changed: now.iter().filter_map(changed).collect(), removed }
     }
 
     /// Number of confirmed outages of these destinations.
--- a/crates/gullcart-journal/src/state/tests.rs
+++ b/crates/gullcart-journal/src/state/tests.rs
@@ -73,9 +73,9 @@
         VerdictSet,
         Completed,
         FullMessage,
-        Listing { rev: Option<u64>, set: Vec<Target>, removed: Vec<String> },
+        Listing { rev: Option<u64>, changed: Vec<Target>, removed: Vec<String> },
         Destinations(Vec<u16>),
-        Outages { set: Vec<PersistedOutage>, removed: Vec<(u16, Option<String>)> },
+        Outages { changed: Vec<PersistedOutage>, removed: Vec<(u16, Option<String>)> },
     }
 }
 
@@ -121,9 +121,9 @@
             capacity_hint: 2.5,
         };
         let listing =
-            narrow::Record::Listing { rev: Some(3), set: vec![target], removed: vec!["g".to_owned()] };
-        let Record::Listing { rev: Some(3), set, .. } = wide(&listing) else { panic!("another record") };
-        assert_eq!((set[0].pod_group, set[0].capacity_hint), (number.into(), 2.5));
+            narrow::Record::Listing { rev: Some(3), changed: vec![target], removed: vec!["g".to_owned()] };
+        let Record::Listing { rev: Some(3), changed, .. } = wide(&listing) else { panic!("another record") };
+        assert_eq!((changed[0].pod_group, changed[0].capacity_hint), (number.into(), 2.5));
         let outage = narrow::PersistedOutage {
             destination: number,
             uid: Some("s".to_owned()),
@@ -133,10 +133,10 @@
             slow_start_since_ms: None,
             served_per_second: 0.5,
         };
-        let outages = narrow::Record::Outages { set: vec![outage], removed: vec![(number, None)] };
-        let Record::Outages { set, removed } = wide(&outages) else { panic!("another record") };
+        let outages = narrow::Record::Outages { changed: vec![outage], removed: vec![(number, None)] };
+        let Record::Outages { changed, removed } = wide(&outages) else { panic!("another record") };
         assert_eq!(
-            (set[0].destination, set[0].failure_weight, removed),
+            (changed[0].destination, changed[0].failure_weight, removed),
             (number.into(), 3, vec![(number.into(), None)])
         );
     }
--- a/crates/gullcart-journal/src/state_log.rs
+++ b/crates/gullcart-journal/src/state_log.rs
@@ -1,5 +1,5 @@
-//! A small log for the state of another subsystem, in a folder of its own. Its entries add up to a state that the owner can
-//! write as one entry.
+//! A small log for the state of another subsystem, such as a group member, in a folder of its own. Its entries add up to a
+//! state that the owner can write as one entry. File names and magic bytes keep the log's former name, "notes".
 //!
 //! Appended entries survive a crash of the machine; a crash leaves all of an entry or none of it. There is one file at a
 //! time: a header, then entries with length and checksum. The checksum also covers the entry's offset. An
@@ -22,7 +22,7 @@
 #[derive(Debug, Error)]
 pub enum StateLogError {
     /// A file operation failed.
-    #[error("the state log's folder: {0}")]
+    #[error("the state log's files cannot be read or written: {0}")]
     Io(#[from] io::Error),
     /// A durable entry is damaged, and valid ones follow it.
     #[error("{file} is damaged at byte {offset}; entries that were durable are lost")]
@@ -35,8 +35,8 @@
     /// The file has a format version that this program does not know.
     #[error("{0} has an unknown format version")]
     UnknownVersion(String),
-    /// The entry does not fit into the log's size limit.
-    #[error("{bytes} bytes do not fit into the state log's limit of {max_bytes}")]
+    /// The entry is empty or longer than [`MAX_ENTRY_BYTES`], or the log would exceed its size limit.
+    #[error("the entry is empty or too long, or the state log would need {bytes} of {max_bytes} bytes")]
     Full {
         /// Bytes needed, with those that are already used.
         bytes: u64,
--- a/crates/gullcart-journal/tests/common/mod.rs
+++ b/crates/gullcart-journal/tests/common/mod.rs
@@ -6,6 +6,9 @@
 use gullcart_message::{AcceptedMessage, ListingUpdate, Target, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Result of [`Model::difference`] if the journal matches the model.
+const NO_DIFFERENCE: &str = "nothing";
+
 /// The state that a journal should have.
 #[derive(Clone, Debug, Default)]
 pub struct Model {
@@ -31,7 +34,7 @@
 
     /// Whether the journal has this state.
     pub fn matches<S: Store>(&self, journal: &Journal<S>) -> bool {
-        self.difference(journal) == "nothing"
+        self.difference(journal) == NO_DIFFERENCE
     }
 
     /// Describes the first difference between the journal and this state.
@@ -59,7 +62,7 @@
                 return format!("outages: {outages:?} in place of {:?}", self.outages);
             }
         }
-        "nothing".to_owned()
+        NO_DIFFERENCE.to_owned()
     }
 }
 
@@ -77,7 +80,8 @@
     }
 }
 
-/// Random events, drawn from a seed.
+/// Random events, drawn from a seed. Each event adds to `allowed` the states that a crash from then on may leave; the last
+/// one is the current state.
 pub struct Workload {
     rng: fastrand::Rng,
     last_message: u64,
@@ -89,7 +93,7 @@
     }
 
     /// A workload that continues on a journal with existing messages: its messages differ from theirs.
-    pub fn continuing(seed: u64, _model: &Model) -> Self {
+    pub fn continuing(seed: u64) -> Self {
         Workload { rng: fastrand::Rng::with_seed(seed), last_message: 1 << 32 }
     }
 
@@ -107,7 +111,7 @@
     }
 
     /// Applies events until everything that could not be written before has been written.
-    pub fn write_missed<S: Store>(&mut self, journal: &mut Journal<S>, allowed: &mut Vec<Model>) {
+    pub fn write_unwritten<S: Store>(&mut self, journal: &mut Journal<S>, allowed: &mut Vec<Model>) {
         for _ in 0..200 {
             let number = journal.state().pending.keys().next().copied();
             let _ = match number {
@@ -123,7 +127,7 @@
                 return;
             }
         }
-        panic!("missed records were never written: {:?}", journal.take_maintenance_error());
+        panic!("unwritten records were never written: {:?}", journal.take_maintenance_error());
     }
 
     fn apply_event<S: Store>(
--- a/crates/gullcart-journal/tests/crash.rs
+++ b/crates/gullcart-journal/tests/crash.rs
@@ -79,7 +79,7 @@
     disk.capture_crashes(0);
     if depth > 0 && seed.is_multiple_of(4) {
         let mut allowed = vec![model.clone()];
-        let mut workload = Workload::continuing(seed, model);
+        let mut workload = Workload::continuing(seed);
         for _ in 0..12 {
             workload.step(&mut journal, &mut allowed);
         }
@@ -96,7 +96,7 @@
         let last = allowed.last().unwrap();
         assert!(
             last.matches(&journal),
-            "records written after a crash are missing: {}",
+            "records written after a crash are lost: {}",
             last.difference(&journal)
         );
     }
@@ -134,7 +134,7 @@
             workload.step_failing(&mut journal, &mut allowed);
             disk.clear_faults();
             tried += 1;
-            workload.write_missed(&mut journal, &mut allowed);
+            workload.write_unwritten(&mut journal, &mut allowed);
             let model = allowed.last().unwrap();
             assert!(model.matches(&journal), "in memory, after {fault:?}: {}", model.difference(&journal));
             assert_eq!(journal.stats().unwritten_changes, 0);
--- a/crates/gullcart-message/src/lib.rs
+++ b/crates/gullcart-message/src/lib.rs
@@ -31,14 +31,14 @@
 pub enum Verdict {
     /// Delivery failed for good.
     Failed,
-    /// The message goes back to the client unsent; the client may enqueue it again.
+    /// The courier gives the message back undelivered; the client may enqueue it again.
     Returned {
         /// How long the client should wait before it enqueues the message again, in milliseconds.
         after_ms: u64,
     },
 }
 
-/// An endpoint in service discovery's listing.
+/// An entry of service discovery's listing: an endpoint with its uid, address and properties.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Target {
     /// Unique id of the endpoint.
