--- a/crates/gullcart-engine/src/engine.rs
+++ b/crates/gullcart-engine/src/engine.rs
@@ -900,7 +900,7 @@
     /// are the first time, and while the journal could not write what it was given before.
     fn record_outages(&mut self, now: Time) {
         let changed = self.courier.take_changed_outages();
-        if !self.outages_synchronized || self.journal.is_behind() {
+        if !self.outages_synchronized || self.journal.has_unwritten_changes() {
             let notes = self.outages_for_journal(self.courier.outages());
             let is_lost = |note: &&PersistedOutage| note.calls_were_lost.is_some();
             let before = self.journal.state().outages().filter(is_lost).count();
@@ -928,7 +928,7 @@
     /// Whether the journal holds the current outages, or could not write them.
     fn journal_has_all_outages(&self) -> bool {
         let notes = self.outages_for_journal(self.courier.outages());
-        self.journal.is_behind() || self.journal.state().outages_match(&notes)
+        self.journal.has_unwritten_changes() || self.journal.state().outages_match(&notes)
     }
 
     /// Converts outages to the journal's format.
