--- a/crates/cloverstile/src/state.rs
+++ b/crates/cloverstile/src/state.rs
@@ -155,7 +155,7 @@
     }
 }
 
-/// A route has one rate limit, pace and outage state: a destination, or one endpoint of it where
+/// A route has one rate limit, call rate and outage state: a destination, or one endpoint of it where
 /// [`Kind::own_limits`] is set.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RouteId(pub DestinationId, pub Option<EndpointId>);
--- a/crates/cloverstile/tests/common/crowd.rs
+++ b/crates/cloverstile/tests/common/crowd.rs
@@ -85,7 +85,7 @@
 struct SimulatedCourier {
     courier: Courier,
     /// Content of its journal: messages with their attempts and the time of the first attempt that may have run.
-    held: BTreeMap<MessageId, (Accepted, u32, Option<Time>)>,
+    journal: BTreeMap<MessageId, (Accepted, u32, Option<Time>)>,
     timer: Option<(Time, u64)>,
     /// Its share of all messages.
     traffic_share: f64,
@@ -221,10 +221,10 @@
         let member = |(number, share): (usize, &f64)| {
             let mut courier = Courier::new(settings.clone(), plan.seed * 1000 + number as u64);
             courier.handle(start, Event::Listed(Listing::Whole(vec![listed.clone()])));
-            let held = BTreeMap::new();
+            let journal = BTreeMap::new();
             SimulatedCourier {
                 courier,
-                held,
+                journal,
                 timer: None,
                 traffic_share: share / all,
                 has_events: true,
@@ -286,7 +286,7 @@
             }
             let class = (ClassId(0), &self.settings.classes[0]);
             let accepted = accepted(self.now, id.0, class, 1, None);
-            member.held.insert(id, (accepted.clone(), 0, None));
+            member.journal.insert(id, (accepted.clone(), 0, None));
             member.courier.handle(self.now, Event::Accept(accepted));
             member.has_events = true;
         }
@@ -322,8 +322,8 @@
             };
             let member = &mut self.members[member];
             let never_ran = matches!(outcome, Outcome::Rejected(_) | Outcome::ConnectFailed);
-            match member.held.get_mut(&message) {
-                _ if complete => drop(member.held.remove(&message)),
+            match member.journal.get_mut(&message) {
+                _ if complete => drop(member.journal.remove(&message)),
                 Some((.., may_have_run)) if !never_ran => *may_have_run = may_have_run.or(Some(sent)),
                 _ => {}
             }
@@ -355,7 +355,7 @@
                             self.sent_after_seeing_outage.push((self.now, weight));
                         }
                     }
-                    if let Some((_, attempts, _)) = self.members[member].held.get_mut(&message) {
+                    if let Some((_, attempts, _)) = self.members[member].journal.get_mut(&message) {
                         *attempts += 1;
                     }
                     let (outcome, after) = *call_result.get_or_insert_with(|| self.call(timeout));
@@ -367,7 +367,7 @@
                     self.pending.insert((self.now + after, self.call_count), pending);
                 }
                 Action::Return { message, .. } | Action::ReportFailure { message } => {
-                    self.members[member].held.remove(&message);
+                    self.members[member].journal.remove(&message);
                 }
                 _ => {}
             }
@@ -395,11 +395,11 @@
                 member.courier.handle(self.now, Event::OutageRestored(outage));
             }
             for (id, sent) in in_flight {
-                if let Some((.., may_have_run)) = member.held.get_mut(&id) {
+                if let Some((.., may_have_run)) = member.journal.get_mut(&id) {
                     *may_have_run = may_have_run.or(Some(sent));
                 }
             }
-            for (accepted, attempts, may_have_run) in member.held.values().cloned() {
+            for (accepted, attempts, may_have_run) in member.journal.values().cloned() {
                 let may_have_run = may_have_run.map(|at| (at, Some(ZoneId(0))));
                 let restored = Restored { accepted, attempts, may_have_run, answered: false };
                 member.courier.handle(self.now, Event::Restored(restored));
--- a/crates/cloverstile/tests/lost_alone.rs
+++ b/crates/cloverstile/tests/lost_alone.rs
@@ -88,7 +88,7 @@
     }
     // Four slots are free, and each of six destinations has more messages than slots.
     let mut served = [0; 6];
-    let mut out = std::collections::VecDeque::new();
+    let mut in_flight = std::collections::VecDeque::new();
     for round in 0..100 {
         for to in 1..=6 {
             bench.accept(2000 + 6 * round + to, 0, to, None);
@@ -96,9 +96,9 @@
         bench.now = bench.now + ms(10);
         for (message, to, _) in bench.sent_messages() {
             served[to as usize - 7] += 1;
-            out.push_back((message, to));
+            in_flight.push_back((message, to));
         }
-        if let Some((message, to)) = out.pop_front() {
+        if let Some((message, to)) = in_flight.pop_front() {
             bench.finish(message, to, Outcome::Ok, ms(15));
         }
     }
--- a/crates/cloverstile/tests/properties.rs
+++ b/crates/cloverstile/tests/properties.rs
@@ -302,8 +302,8 @@
     second.now = second.now + Duration::from_secs(9);
     for step in 0..300 {
         let expected = run(&mut alone, step);
-        let seen = run(&mut first, step);
+        let actual = run(&mut first, step);
         run(&mut second, step * 2);
-        assert_eq!(seen, expected);
+        assert_eq!(actual, expected);
     }
 }
