--- a/crates/gullcart-group/src/lib.rs
+++ b/crates/gullcart-group/src/lib.rs
@@ -5,8 +5,8 @@
 //! `omnipaxos`; [`member`] requests and holds duties; [`node`] combines both in one process. `docs/design/group.md` describes the
 //! design, its alternatives and the assumptions behind each guarantee.
 //!
-//! The feature `unguarded` is for tests only. With it, the `DisabledGuards` of [`lease`], [`table`], [`member`] and [`voter`] turn off
-//! single safety checks of these modules, to show that each check is needed.
+//! The feature `unguarded` is for tests only. With it, the `DisabledGuards` of [`lease`], [`table`], [`member`] and [`voter`]
+//! turn off single safety checks of these modules, to show that each check is needed.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/gullcart-group/src/log.rs
+++ b/crates/gullcart-group/src/log.rs
@@ -10,9 +10,9 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The library's own snapshots are not used: when it merges a snapshot into the log of a lagging voter, it also applies entries of
-/// that log that were never decided. [`VoterLog::compact`] replaces old entries by a table without involving the library, and a
-/// voter that still needs them is sent a [`VoterSnapshot`] (see [`crate::voter`]).
+/// The library's own snapshots are not used: when it merges a snapshot into the log of a lagging voter, it also applies entries
+/// of that log that were never decided. [`VoterLog::compact`] replaces old entries by a table without involving the library,
+/// and a voter that still needs them is sent a [`VoterSnapshot`] (see [`crate::voter`]).
 impl Entry for Command {
     type Snapshot = NoLibrarySnapshot;
 }
@@ -119,9 +119,9 @@
 
     /// Takes over the log of another voter that has decided and compacted more. Returns whether it was taken over.
     ///
-    /// The whole log is taken, together with the ballot under which the other voter accepted it. It would be wrong to take only its
-    /// decided part under that ballot, as this would claim that nothing else was accepted under it. It would also be wrong to
-    /// keep the ballot of this voter, as this would claim that nothing was accepted since.
+    /// The whole log is taken, together with the ballot under which the other voter accepted it. It would be wrong to take only
+    /// its decided part under that ballot, as this would claim that nothing else was accepted under it. It would also be wrong
+    /// to keep the ballot of this voter, as this would claim that nothing was accepted since.
     ///
     /// No acceptance is sent for these entries, so they count for no majority, even if this voter has already promised a higher
     /// ballot. They are reported like any other entries when a new leader asks for the log. If the log of this voter was
--- a/crates/gullcart-group/src/member.rs
+++ b/crates/gullcart-group/src/member.rs
@@ -324,7 +324,8 @@
             let observed = self.observed_duties.entry(duty.clone()).or_default();
             observed.holder = grant.map(|grant| (grant.holder, grant.epoch));
             if let Some((note, ago_us)) = note {
-                // A voter counts the age from when it observed the decision, so each report gives an upper bound. The lowest one is kept.
+                // A voter counts the age from when it observed the decision, so each report gives an upper bound. The lowest
+                // one is kept.
                 let at = Moment(now.0.saturating_sub(ago_us));
                 let known = observed.note.as_ref().filter(|(known, _)| *known == note).map(|(_, at)| *at);
                 observed.note = Some((note, known.map_or(at, |known| known.min(at))));
--- a/crates/gullcart-group/src/membership.rs
+++ b/crates/gullcart-group/src/membership.rs
@@ -185,8 +185,8 @@
         }
     }
 
-    /// Checks the handshake of another process. Returns whether the identity of this one has changed, and must be saved before anything
-    /// else is done.
+    /// Checks the handshake of another process. Returns whether the identity of this one has changed, and must be saved before
+    /// anything else is done.
     pub fn admit(&mut self, handshake: Handshake) -> Result<bool, AdmissionError> {
         let Handshake { member, folder_id, expected_folder_id, .. } = handshake;
         if member == self.me {
--- a/crates/gullcart-group/src/types.rs
+++ b/crates/gullcart-group/src/types.rs
@@ -122,7 +122,8 @@
     }
 }
 
-/// The duration of leases and the maximum clock drift. They must be the same for all members of a group, so members compare a hash of them when they connect.
+/// The duration of leases and the maximum clock drift. They must be the same for all members of a group, so members compare a
+/// hash of them when they connect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseTerms {
     /// How long a member may act on its duties, counted from before it sent the last acknowledged heartbeat.
--- a/crates/gullcart-peers/src/folder.rs
+++ b/crates/gullcart-peers/src/folder.rs
@@ -54,8 +54,8 @@
 }
 
 impl GroupFolder {
-    /// Opens the folder, and creates it if necessary. Returns its origin and the state of the voter. `left_version` is the version
-    /// of the folder that the previous process left, if it handed over to this one.
+    /// Opens the folder, and creates it if necessary. Returns its origin and the state of the voter. `left_version` is the
+    /// version of the folder that the previous process left, if it handed over to this one.
     pub fn open(
         path: &Path,
         max_bytes: u64,
--- a/crates/gullcart-peers/src/group.rs
+++ b/crates/gullcart-peers/src/group.rs
@@ -184,8 +184,8 @@
         group.poll();
         let mut max_sleep = MAX_SLEEP;
         if leave_reply.is_some() && group.node.member.is_idle() {
-            // The group has decided all releases. If this process leads the voters, the others still need its messages to learn of
-            // the decision and to elect the next leader.
+            // The group has decided all releases. If this process leads the voters, the others still need its messages to learn
+            // of the decision and to elect the next leader.
             let until = *ends_at.get_or_insert(now() + LEAVE_LINGER);
             if now() >= until {
                 if let Some(done) = leave_reply.take() {
--- a/crates/gullcart-peers/src/handle.rs
+++ b/crates/gullcart-peers/src/handle.rs
@@ -69,8 +69,8 @@
         self.commands.try_send(LoopCommand::RequestDuty(duty)).is_ok()
     }
 
-    /// Withdraws the request for a duty and releases it. It is no longer active from now on, even before the group has decided the
-    /// release. Returns false if too many commands are queued.
+    /// Withdraws the request for a duty and releases it. It is no longer active from now on, even before the group has decided
+    /// the release. Returns false if too many commands are queued.
     pub fn release(&self, duty: Duty) -> bool {
         if let Ok(mut shared) = self.shared.lock() {
             shared.held_duties.remove(&duty);
@@ -92,8 +92,8 @@
         self.commands.try_send(LoopCommand::PublishNote(duty, payload)).is_ok()
     }
 
-    /// Applies new settings, as far as that is possible without a restart; otherwise they are rejected with a log message. Returns
-    /// false if too many commands are queued.
+    /// Applies new settings, as far as that is possible without a restart; otherwise they are rejected with a log message.
+    /// Returns false if too many commands are queued.
     pub fn apply_settings(&self, settings: Settings) -> bool {
         self.commands.try_send(LoopCommand::ApplySettings(Box::new(settings))).is_ok()
     }
--- a/crates/gullcart-peers/src/protocol.rs
+++ b/crates/gullcart-peers/src/protocol.rs
@@ -1,5 +1,5 @@
-//! The protocol on a connection. Both sides first exchange a [`Hello`] with a random nonce. Each frame after that carries a message
-//! authentication code, made with a key that is derived from both hellos, so that frames cannot be replayed on another
+//! The protocol on a connection. Both sides first exchange a [`Hello`] with a random nonce. Each frame after that carries a
+//! message authentication code, made with a key that is derived from both hellos, so that frames cannot be replayed on another
 //! connection or at another position of the same one.
 
 use gullcart_group::membership::Handshake;
--- a/crates/gullcart-peers/src/roster.rs
+++ b/crates/gullcart-peers/src/roster.rs
@@ -1,6 +1,6 @@
-//! Changes of the group's settings file that can be applied without a restart: only members without a vote may be added or removed.
-//! An id is never given to another member: a courier with a new folder, or on the machine of a former member, gets a new id and
-//! so cannot be mistaken for the former one.
+//! Changes of the group's settings file that can be applied without a restart: only members without a vote may be added or
+//! removed. An id is never given to another member: a courier with a new folder, or on the machine of a former member, gets a
+//! new id and so cannot be mistaken for the former one.
 
 use crate::settings::{Member, Settings};
 use gullcart_group::types::MemberId;
--- a/crates/gullcart-peers/tests/common/mod.rs
+++ b/crates/gullcart-peers/tests/common/mod.rs
@@ -311,8 +311,8 @@
         stayed.await.expect("the duty keeps moving without a fault")
     }
 
-    /// Checks that no epoch of a duty was used by two members (`shared`), and that at most one action per pause came after an action
-    /// under a later epoch (`late`).
+    /// Checks that no epoch of a duty was used by two members (`shared`), and that at most one action per pause came after an
+    /// action under a later epoch (`late`).
     pub fn check_actions(&self) {
         for (duty, acts) in self.partner.acts.borrow().iter() {
             let found = judge(acts);
