--- a/crates/gullcart-peers/src/folder.rs
+++ b/crates/gullcart-peers/src/folder.rs
@@ -2,7 +2,7 @@
 
 use gullcart_group::log::{Record, VoterSnapshot};
 use gullcart_group::membership::{FolderFingerprint, FolderOrigin, FolderVersion, ReplicaIdentity};
-use gullcart_journal::notes::{Notes, NotesError};
+use gullcart_journal::state_log::{StateLog, StateLogError};
 use gullcart_journal::{Folder, Store};
 use serde::{Deserialize, Serialize};
 use std::io;
@@ -39,7 +39,7 @@
 
 /// The folder of a process. It stays locked as long as this value exists.
 pub struct GroupFolder {
-    log: Notes<Folder>,
+    log: StateLog<Folder>,
 }
 
 fn read_fingerprint(path: &Path) -> io::Result<FolderFingerprint> {
@@ -65,7 +65,7 @@
         std::fs::create_dir_all(path)?;
         let folder = Folder::lock(path)?;
         let fingerprint = read_fingerprint(path)?;
-        let (log, entries) = match Notes::open(folder, max_bytes) {
+        let (log, entries) = match StateLog::open(folder, max_bytes) {
             Ok(opened) => opened,
             // The voter's promises are lost, so the process gets a new identity.
             Err(error @ StateLogError::Damaged { .. }) => {
@@ -117,7 +117,7 @@
 
     /// Whether the log has grown enough to be rewritten.
     pub fn should_rewrite(&self) -> bool {
-        self.log.is_long()
+        self.log.needs_rewrite()
     }
 
     /// Replaces the log by one entry with the complete state.
