--- a/crates/gullcart-engine/src/broken.rs
+++ b/crates/gullcart-engine/src/broken.rs
@@ -1,4 +1,5 @@
-//! Fault injection: deliberately broken couriers, to prove that the rehearsals detect each fault. Compiled only with the
+//! Fault injection: deliberately broken couriers, to prove that rehearsals, which are checked simulations of a whole fleet, detect
+//! each fault. Compiled only with the
 //! feature `broken`, which no release build has. The environment variable [`FAULT_VARIABLE`] selects one fault at the start.
 
 use crate::types::CallResult;
@@ -10,7 +11,7 @@
 /// Environment variable with the name of the fault.
 pub const FAULT_VARIABLE: &str = "GULLCART_BROKEN";
 
-/// Faults that affect only some messages or calls affect every one of this number.
+/// Faults that affect only some messages or calls affect one in this number.
 const PERIOD: u32 = 20;
 /// Delay of list updates under [`Fault::LateToDrains`].
 pub const LIST_UPDATE_DELAY: Duration = Duration::from_secs(4);
@@ -141,10 +142,10 @@
 
     /// Applies the fault to the result of a call.
     pub fn alter_call_result(&self, result: CallResult) -> CallResult {
-        let may_have_run =
+        let is_ambiguous =
             matches!(result.outcome, Outcome::Reset | Outcome::Timeout | Outcome::Error | Outcome::Spoilt);
         let outcome = match (self.fault, result.outcome) {
-            (Some(Fault::ResendsUnsafe), _) if may_have_run => Outcome::ConnectFailed,
+            (Some(Fault::ResendsUnsafe), _) if is_ambiguous => Outcome::ConnectFailed,
             (Some(Fault::IgnoresWait), Outcome::Full(Some(_))) => Outcome::Full(None),
             (Some(Fault::HalvesWait), Outcome::Full(Some(wait))) => Outcome::Full(Some(wait / 2)),
             (_, outcome) => outcome,
--- a/crates/gullcart-engine/src/destination_metrics.rs
+++ b/crates/gullcart-engine/src/destination_metrics.rs
@@ -20,13 +20,13 @@
     rejected: u32,
     /// Of these, the ones that gave a retry-after time.
     with_retry_after: u32,
-    /// Calls without an answer whose outcome is ambiguous, and cancelled ones.
+    /// Calls that timed out, were reset or were cancelled.
     lost: u32,
     /// Calls answered with an error or with a malformed answer.
     error: u32,
     /// Calls whose connection could not be opened.
     unconnected: u32,
-    /// Sum of the remaining shares of the rate limit that answers reported.
+    /// Sum of the remaining fractions of the rate limit, from 0 to 1, that answers reported.
     left_sum: f64,
     /// Number of the reports in `left_sum`.
     left_count: u32,
@@ -36,7 +36,7 @@
 #[derive(Default)]
 pub struct DestinationMetrics {
     counters: BTreeMap<DestinationId, Counters>,
-    /// Events and waiting destinations that are not logged one by one.
+    /// Number of events, and of destinations with waiting messages, that were left out because of [`MAX_DESTINATIONS`].
     beyond: u32,
 }
 
@@ -107,7 +107,7 @@
         if beyond > 0 {
             debug!(
                 target: DESTINATION_METRICS_TARGET, beyond,
-                "events and waiting destinations not listed, as the limit of destinations was reached"
+                "events and waiting destinations were left out, as too many destinations are active"
             );
         }
     }
--- a/crates/gullcart-engine/src/directory.rs
+++ b/crates/gullcart-engine/src/directory.rs
@@ -28,6 +28,7 @@
     suspended: BTreeSet<EndpointId>,
 }
 
+/// What is known of one endpoint.
 #[derive(Serialize, Deserialize)]
 struct Entry {
     uid: String,
@@ -54,7 +55,7 @@
         }
     }
 
-    /// A deserialized directory, with the derived fields restored.
+    /// A deserialized directory, with the derived fields computed.
     pub fn resumed(self) -> Self {
         let ids_where = |predicate: fn(&Entry) -> bool| {
             self.entries.iter().filter(|(_, entry)| predicate(entry)).map(|(id, _)| *id).collect()
--- a/crates/gullcart-engine/src/discovery_backoff.rs
+++ b/crates/gullcart-engine/src/discovery_backoff.rs
@@ -5,9 +5,9 @@
 //! endpoints that no longer exist. Therefore the delays grow with the number of couriers, to bound the total rate of calls;
 //! they are random; and they grow with consecutive failures.
 //!
-//! The delays have an upper bound, because a change of the list counts as known to a courier [`ASSUMED_KNOWN_AFTER`] after
-//! discovery had it and was reachable, regardless of earlier failures. A watch that fell silent is detected by the courier's
-//! own clock. Whatever the number of couriers, each delay leaves time for one more call that is lost.
+//! The delays are bounded, in a fleet of any size, by a rule of discovery: [`ASSUMED_KNOWN_AFTER`] after discovery has a change of
+//! the list and is reachable, it assumes that every courier acts on the change. Within this time a courier has to get the list even
+//! if its first call after an outage of discovery is lost. It detects a watch that fell silent by its own clock.
 
 use fastrand::Rng;
 use std::time::Duration;
@@ -20,8 +20,8 @@
 /// A watch that delivers no complete line for this long is considered dead. Discovery sends an empty line every 2 s.
 pub const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(2600);
 
-/// Mean interval between the initial calls of one courier, per courier of the fleet: all couriers together start with 20 calls
-/// a second, as many as two couriers at [`MIN_MEAN_INTERVAL`].
+/// The mean interval between two calls of one courier, before any doubling, is this value times the number of couriers. All
+/// couriers together then make 20 calls a second.
 const MEAN_INTERVAL_PER_COURIER: Duration = Duration::from_millis(50);
 /// Lower bound of the mean interval between two calls.
 const MIN_MEAN_INTERVAL: Duration = Duration::from_millis(100);
@@ -29,25 +29,26 @@
 const MAX_DOUBLINGS: u32 = 2;
 
 // The following bounds keep the time until a courier has the list below ASSUMED_KNOWN_AFTER:
-// - A watch that falls silent right after an empty line costs WATCH_SILENCE_TIMEOUT, MAX_DELAY_AFTER_BROKEN_WATCH, the first
-//   entry of MAX_INTERVALS for a call that is lost, and the time of an answer.
-// - When discovery becomes reachable again, it costs twice the second entry of MAX_INTERVALS, for a call that hangs across that
-//   moment and for a call that is lost, and the time of an answer.
+// - If a watch falls silent right after an empty line, it takes WATCH_SILENCE_TIMEOUT, MAX_DELAY_AFTER_BROKEN_WATCH,
+//   MAX_INTERVAL_AFTER_FIRST_FAILURE for a call that is lost, and the time of an answer.
+// - If discovery becomes reachable again after an outage, it takes MAX_INTERVAL_AFTER_LATER_FAILURES twice, for a call that hangs
+//   across that moment and for a call that is lost, and the time of an answer.
 
 /// Upper bound of the delay after a watch broke.
 const MAX_DELAY_AFTER_BROKEN_WATCH: Duration = Duration::from_millis(600);
-/// Upper bounds of the interval from the start of a failed call to the start of the next one: after the first failure, and
-/// after later ones.
-const MAX_INTERVALS: [Duration; 2] = [Duration::from_millis(2400), Duration::from_millis(2800)];
+/// Upper bound of the interval from the start of the first call that failed in a row to the start of the next one.
+const MAX_INTERVAL_AFTER_FIRST_FAILURE: Duration = Duration::from_millis(2400);
+/// The same bound after further failures in a row.
+const MAX_INTERVAL_AFTER_LATER_FAILURES: Duration = Duration::from_millis(2800);
 
 /// Upper bound of the random delay after a failed call that took up the whole interval.
 const MAX_DELAY_AFTER_LONG_CALL: Duration = Duration::from_millis(300);
 /// Upper bound of the delay before the first call of a process.
 const MAX_FIRST_DELAY: Duration = Duration::from_millis(1500);
-/// Upper bound of the delay before the first call, as a fraction of the grace period for drains. A change of the list counts
-/// as known to a new process from its start, and a call to a draining endpoint violates the rules once the grace period is
-/// over. The remaining quarter is for starting the process, for discovery's answer and for calls on their way.
-const MAX_FIRST_DELAY_PER_GRACE: f64 = 0.75;
+/// Upper bound of the delay before the first call, as a fraction of the grace period for drains. Discovery assumes that a new
+/// process knows the list from its start, and no call may be sent to a draining endpoint after the grace period. A quarter of the
+/// period remains for starting the process, for discovery's answer and for calls on their way.
+const MAX_FIRST_DELAY_GRACE_FRACTION: f64 = 0.75;
 /// Lower bound of a random interval, as a fraction of its upper bound.
 const MIN_INTERVAL_FRACTION: f64 = 0.5;
 
@@ -67,7 +68,7 @@
         let mean_interval = MEAN_INTERVAL_PER_COURIER
             .saturating_mul(couriers.max(1))
             .clamp(MIN_MEAN_INTERVAL, ASSUMED_KNOWN_AFTER);
-        let max_first_delay = MAX_FIRST_DELAY.min(drain_grace.mul_f64(MAX_FIRST_DELAY_PER_GRACE));
+        let max_first_delay = MAX_FIRST_DELAY.min(drain_grace.mul_f64(MAX_FIRST_DELAY_GRACE_FRACTION));
         DiscoveryBackoff {
             mean_interval,
             max_first_delay,
@@ -95,7 +96,10 @@
     /// Delay before the next call after one that failed and took the time `took`.
     pub fn delay_after_failure(&mut self, took: Duration) -> Duration {
         let mean = self.mean_interval * (1 << self.consecutive_failures.min(MAX_DOUBLINGS));
-        let bound = MAX_INTERVALS[(self.consecutive_failures as usize).min(MAX_INTERVALS.len() - 1)];
+        let bound = match self.consecutive_failures {
+            0 => MAX_INTERVAL_AFTER_FIRST_FAILURE,
+            _ => MAX_INTERVAL_AFTER_LATER_FAILURES,
+        };
         // The interval is uniform between the fraction and the whole of `max_interval`, which puts its mean at `mean`.
         let max_interval = mean.mul_f64(2.0 / (1.0 + MIN_INTERVAL_FRACTION)).min(bound);
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
--- a/crates/gullcart-engine/src/engine.rs
+++ b/crates/gullcart-engine/src/engine.rs
@@ -1,5 +1,5 @@
 //! The courier's state machine: which messages it holds, which calls are in flight and which notices are pending. It connects
-//! the I/O around it, the journal, and the decisions of [`cloverstile`].
+//! the I/O around it, the journal, and the decision logic of [`cloverstile`], which chooses when and where to send messages.
 //!
 //! Inputs come with the current time. Effects are returned at the end of a turn, when the journal holds everything that they
 //! promise.
@@ -27,20 +27,21 @@
     Answer, Call, CallResult, CommandError, Effect, Enqueue, Input, Notice, OperatorCommand, StopReason,
 };
 
-/// Longest time from SIGTERM until the process exits. SIGKILL follows after 3.7 s.
+/// Longest time from SIGTERM until the process exits. The platform sends SIGKILL 3.7 s after SIGTERM.
 const MAX_SHUTDOWN: Duration = Duration::from_millis(3200);
-/// Shortest time from SIGTERM until the process exits. New connections keep arriving for 0.4 s.
+/// Shortest time from SIGTERM until the process exits. Clients keep opening connections for 0.4 s after SIGTERM.
 const MIN_SHUTDOWN: Duration = Duration::from_millis(600);
 
-/// Longest time for which the process may stall between reading its clock and a write.
+/// Assumed bound of the time for which the process may stall between reading its clock and a write. Decisions leave this margin.
 const MAX_PAUSE: Duration = Duration::from_millis(150);
 
-/// Result of an attempt whose call was not started.
-const NOT_SENT: CallResult =
+/// Result of an attempt whose call was not started, so that nothing was sent.
+const NOT_STARTED: CallResult =
     CallResult { outcome: Outcome::Moot, latency: Duration::ZERO, is_final: false, allowance: None };
 
 /// A message that is held.
 struct HeldMessage {
+    /// The message's number in the journal, which is the value of its [`MessageId`].
     number: u32,
     /// A later enqueue request was answered that the message is already held, so the first client may not drop it any more.
     is_shared: bool,
@@ -64,8 +65,8 @@
     pub initial_list: Update,
     /// The current time.
     pub now: Time,
-    /// Unix time of [`crate::EPOCH`] in milliseconds.
-    pub epoch_ms: u64,
+    /// Unix time of [`crate::PROCESS_START`] in milliseconds.
+    pub start_unix_ms: u64,
     /// Checksum of the settings. A snapshot can be resumed only under the same settings.
     pub settings_checksum: u32,
     /// Injects a fault for tests.
@@ -73,9 +74,10 @@
     pub fault_injector: FaultInjector,
 }
 
-/// A courier, without its I/O.
+/// A courier process without its I/O.
 pub struct Engine<S: Store> {
-    courier: Courier,
+    /// The decision logic.
+    decision_logic: Courier,
     clock: Clock,
     journal: Journal<S>,
     directory: Directory,
@@ -89,14 +91,14 @@
     held_by_id: HashMap<String, HeldMessage>,
     /// Calls in flight. The map is ordered, so that a run can be reproduced.
     in_flight: BTreeMap<MessageId, InFlightCall>,
-    /// Attempts whose calls could not be started. Their results go to the courier at the start of the next turn.
-    unsent: Vec<(MessageId, EndpointId)>,
+    /// Attempts whose calls could not be started. The decision logic gets their results at the start of the next turn.
+    not_started: Vec<(MessageId, EndpointId)>,
     /// Effects of the current turn.
     effects: Vec<Effect>,
     shutdown: Option<Shutdown>,
-    /// When the courier's timer is due, and the timer's token.
+    /// When the decision logic's timer is due, and the timer's token.
     wake_up: Option<(Time, u64)>,
-    /// Buffer for the courier's decisions, reused between turns.
+    /// Buffer for the actions of the decision logic, reused between turns.
     actions: Vec<Action>,
     counts: MessageCounts,
     /// The counters at the time of the last call to [`Engine::log_activity`].
@@ -104,7 +106,7 @@
     destination_metrics: DestinationMetrics,
     journal_error_log: RateLimitedLog,
     outage_log: RateLimitedLog,
-    /// The journal was compared once with all outages; since then only changes are recorded.
+    /// All outages were recorded in the journal once. From then on only changed outages are.
     outages_synchronized: bool,
     retry_after_log: RateLimitedLog,
     #[cfg(feature = "broken")]
@@ -117,7 +119,7 @@
         let now = config.now;
         let initial_list = config.initial_list.clone();
         let mut engine = Engine::without_messages(config, journal);
-        engine.restore(now, initial_list);
+        engine.restore_from_journal(now, initial_list);
         engine
     }
 
@@ -136,9 +138,9 @@
         let snapshot = engine_snapshot::read(snapshot, engine.settings_checksum);
         let matches_journal = |snapshot: &EngineSnapshot| {
             let held = &engine.journal.image().held;
-            held.iter()
-                .all(|(number, held)| held.verdict.is_some() || snapshot.courier.holds(MessageId(*number)))
-                && snapshot.in_flight.keys().all(|message| held.contains_key(&message.0))
+            held.iter().all(|(number, held)| {
+                held.verdict.is_some() || snapshot.decision_logic.holds(MessageId(*number))
+            }) && snapshot.in_flight.keys().all(|message| held.contains_key(&message.0))
         };
         let result = match snapshot {
             Ok(snapshot) if matches_journal(&snapshot) => {
@@ -146,7 +148,7 @@
                 Ok(())
             }
             other => {
-                engine.restore(now, initial_list);
+                engine.restore_from_journal(now, initial_list);
                 Err(other.err().unwrap_or(ResumeError::JournalMismatch))
             }
         };
@@ -154,8 +156,8 @@
     }
 
     fn restore_from_snapshot(&mut self, now: Time, seed: u64, snapshot: EngineSnapshot) {
-        let EngineSnapshot { courier, directory, in_flight, shared_messages, wake_up } = snapshot;
-        self.courier = courier.resumed(self.settings.clone(), seed);
+        let EngineSnapshot { decision_logic, directory, in_flight, shared_messages, wake_up } = snapshot;
+        self.decision_logic = decision_logic.resumed(self.settings.clone(), seed);
         self.directory = directory.resumed();
         self.in_flight = in_flight;
         self.wake_up = wake_up;
@@ -178,17 +180,17 @@
     /// started, and a snapshot for [`Engine::resume`] in this or another process; no snapshot if it cannot be serialized.
     /// Inputs that this engine handles afterwards are lost.
     pub fn freeze(&mut self, now: Time) -> Result<(Vec<Effect>, Option<Vec<u8>>), JournalError> {
-        for (message, endpoint) in std::mem::take(&mut self.unsent) {
-            self.call_ended(now, message, endpoint, NOT_SENT, false);
+        for (message, endpoint) in std::mem::take(&mut self.not_started) {
+            self.call_ended(now, message, endpoint, NOT_STARTED, false);
         }
         self.record_outages(now);
         self.journal.commit()?;
         let effects = std::mem::take(&mut self.effects);
-        let header = SnapshotHeader { format: SNAPSHOT_FORMAT, settings: self.settings_checksum };
+        let header = SnapshotHeader { format: SNAPSHOT_FORMAT, settings_checksum: self.settings_checksum };
         let shared = self.held_by_id.values().filter(|held| held.is_shared);
         let snapshot = EngineSnapshot {
             shared_messages: shared.map(|held| MessageId(held.number)).collect(),
-            courier: std::mem::take(&mut self.courier),
+            decision_logic: std::mem::take(&mut self.decision_logic),
             directory: std::mem::take(&mut self.directory),
             in_flight: std::mem::take(&mut self.in_flight),
             wake_up: self.wake_up,
@@ -201,7 +203,8 @@
         self.shutdown.is_some()
     }
 
-    /// The call in flight for a message, for an engine that was resumed. `try_for` is the call's timeout.
+    /// The call in flight for a message, to continue it after [`Engine::resume`]. `try_for` is the rest of the call's time limit,
+    /// which the caller got from the previous process.
     pub fn in_flight_call(&self, message: MessageId, try_for: Duration) -> Option<Call> {
         let in_flight = self.in_flight.get(&message)?;
         let held = self.journal.image().held.get(&message.0)?;
@@ -226,8 +229,10 @@
         self.in_flight.iter().map(|(message, call)| (*message, call.endpoint))
     }
 
+    /// An engine without messages, endpoints and outages.
     fn without_messages(config: EngineConfig, journal: Journal<S>) -> Self {
-        let EngineConfig { parsed_settings: mut parsed, seed, epoch_ms, settings_checksum, .. } = config;
+        let EngineConfig { parsed_settings: mut parsed, seed, start_unix_ms, settings_checksum, .. } = config;
+        // Notices have to be acknowledged, and the process may stall.
         parsed.settings.answers_take_time = true;
         parsed.settings.held_up = MAX_PAUSE;
         let directory = Directory::new(&parsed);
@@ -238,13 +243,13 @@
             max_held: settings.most_held,
             settings: settings.clone(),
             settings_checksum,
-            courier: Courier::new(settings, seed),
-            clock: Clock::new(epoch_ms),
+            decision_logic: Courier::new(settings, seed),
+            clock: Clock::new(start_unix_ms),
             journal,
             directory,
             held_by_id: HashMap::new(),
             in_flight: BTreeMap::new(),
-            unsent: Vec::new(),
+            not_started: Vec::new(),
             effects: Vec::new(),
             shutdown: None,
             wake_up: None,
@@ -284,9 +289,9 @@
         self.directory.is_open(endpoint)
     }
 
-    /// When the next turn is due if no input arrives before.
+    /// When the next turn is due if no input arrives before. A moment in the past, like `Time::ZERO`, means at once.
     pub fn next_wake(&self) -> Option<Time> {
-        if !self.unsent.is_empty() {
+        if !self.not_started.is_empty() {
             return Some(Time::ZERO);
         }
         let latest_exit = self.shutdown.as_ref().map(|shutdown| shutdown.latest_exit);
@@ -297,12 +302,12 @@
     /// previous turn. No effect leaves the engine in any other way. After an error the engine must not be used any more, since
     /// it is unknown which records of the journal are durable.
     pub fn turn(&mut self, now: Time) -> Result<Vec<Effect>, JournalError> {
-        for (message, endpoint) in std::mem::take(&mut self.unsent) {
-            self.call_ended(now, message, endpoint, NOT_SENT, false);
+        for (message, endpoint) in std::mem::take(&mut self.not_started) {
+            self.call_ended(now, message, endpoint, NOT_STARTED, false);
         }
         if let Some((_, token)) = self.wake_up.filter(|(at, _)| *at <= now) {
             self.wake_up = None;
-            self.courier.handle(now, Event::TickDue(token));
+            self.decision_logic.handle(now, Event::TickDue(token));
         }
         self.apply_decisions(now);
         if let Some(error) = self.journal.trouble() {
@@ -312,8 +317,9 @@
         Ok(std::mem::take(&mut self.effects))
     }
 
-    /// Updates the trial duties that the courier shares with its group, before a turn. `registered` are the duties that the
-    /// group has this courier registered for, `view` is their state. Returns the requests to the group.
+    /// Updates the trial duties that this courier shares with the other couriers of its group. To be called before each turn.
+    /// `registered` are the duties for which the group has this courier registered, `view` returns a duty's state. Returns the
+    /// requests to send to the group.
     pub fn update_trial_duties(
         &mut self,
         now: Time,
@@ -321,8 +327,8 @@
         registered: impl IntoIterator<Item = DestinationId>,
         view: impl Fn(DestinationId) -> Option<DutyView>,
     ) -> Vec<TrialRequest> {
-        let (events, requests) = duties.update(now, &self.courier, registered, view);
-        events.into_iter().for_each(|event| self.courier.handle(now, event));
+        let (events, requests) = duties.update(now, &self.decision_logic, registered, view);
+        events.into_iter().for_each(|event| self.decision_logic.handle(now, event));
         requests
     }
 
@@ -333,13 +339,14 @@
         now >= latest_exit || (now >= earliest_exit && held == 0 && out == 0)
     }
 
-    /// Starts no more calls, as this process is about to exit. The next process calls for messages accepted from now on.
+    /// Starts no more calls, as this process is about to exit. It may still accept messages, which the next process finds in the
+    /// journal and sends.
     pub fn stop_calling(&mut self, now: Time) {
-        self.courier.handle(now, Event::Closing(now));
+        self.decision_logic.handle(now, Event::Closing(now));
     }
 
-    /// Restores the state from the journal. `initial_list` is the list of endpoints from the configuration.
-    fn restore(&mut self, now: Time, initial_list: Update) {
+    /// Restores the state from the journal alone. `initial_list` is the list of endpoints from the configuration.
+    fn restore_from_journal(&mut self, now: Time, initial_list: Update) {
         let written = self.journal.destinations(initial_list.targets.iter().map(|target| target.pod_group));
         self.log_journal_error(now, written);
         let image = self.journal.image();
@@ -347,13 +354,13 @@
         if image.rev == 0 || image.rev < initial_list.rev {
             let update = Update { all: true, ..initial_list };
             let listing = self.directory.apply(&update);
-            self.courier.handle(now, Event::Listed(listing));
+            self.decision_logic.handle(now, Event::Listed(listing));
             let written = self.journal.targets(&update);
             self.log_journal_error(now, written);
         } else {
             let targets = image.targets.values().cloned().collect();
             let listing = self.directory.apply(&Update { rev: image.rev, all: true, targets });
-            self.courier.handle(now, Event::Listed(listing));
+            self.decision_logic.handle(now, Event::Listed(listing));
         }
         self.suspend_listed(now);
         let notes: Vec<OutageNote> = self.journal.image().outages().cloned().collect();
@@ -371,7 +378,7 @@
                 returned: note.returned_ms.map(|ms| self.clock.from_unix_ms(ms)),
                 share: note.share,
             };
-            self.courier.handle(now, Event::Recalled(outage));
+            self.decision_logic.handle(now, Event::Recalled(outage));
         }
         let held: Vec<(u32, Held)> = self.journal.image().held.iter().map(|(n, h)| (*n, h.clone())).collect();
         #[cfg(feature = "broken")]
@@ -395,7 +402,7 @@
                 class = held.taken.class,
                 "the class of a held message is not in the settings; the message fails"
             );
-            self.decide_end(now, message, Verdict::Failed);
+            self.end_undelivered(now, message, Verdict::Failed);
             return;
         };
         // An attempt without a recorded outcome counts as one that may have run, even if its process died before the first byte.
@@ -411,13 +418,13 @@
         });
         let answered = held.verdict.is_some();
         let restored = Restored { taken, attempts: held.attempts, maybe_ran, answered };
-        self.courier.handle(now, Event::Restored(restored));
+        self.decision_logic.handle(now, Event::Restored(restored));
         if let Some(verdict) = held.verdict {
             self.effects.push(Effect::SendNotice(Notice { message, id: held.taken.id.clone(), verdict }));
         }
     }
 
-    /// A message as the courier's decisions need it; `None` if its class is not in the settings.
+    /// A message in the form of the decision logic; `None` if its class is not in the settings.
     fn to_accepted(&self, number: u32, taken: &Taken) -> Option<Accepted> {
         let class = self.class_id(&taken.class)?;
         Some(Accepted {
@@ -477,7 +484,7 @@
                         message_trace::notice_acknowledged(&held.taken.id);
                     }
                     self.complete(now, message);
-                    self.courier.handle(now, Event::Heard(message));
+                    self.decision_logic.handle(now, Event::Heard(message));
                 }
             }
             Input::Terminate if self.shutdown.is_some() => {}
@@ -486,12 +493,13 @@
                 info!(held, out, "told to end");
                 let latest_exit = now + MAX_SHUTDOWN;
                 self.shutdown = Some(Shutdown { earliest_exit: now + MIN_SHUTDOWN, latest_exit });
-                self.courier.handle(now, Event::Closing(latest_exit));
+                self.decision_logic.handle(now, Event::Closing(latest_exit));
                 self.effects.push(Effect::AnnounceShutdown);
             }
         }
     }
 
+    /// Answers an enqueue request, and accepts the message if possible.
     fn enqueue(&mut self, now: Time, enqueue: Enqueue) -> Answer {
         let max_time_left = match self.check_admission(now, &enqueue) {
             Ok(max_time_left) => max_time_left,
@@ -519,14 +527,14 @@
         if !self.journal.image().destinations.contains(&enqueue.destination) {
             return Err(Answer::Error("unknown destination"));
         }
-        let admitted = self.courier.admits(class);
+        let admitted = self.decision_logic.admits(class);
         let class = &self.classes[usize::from(class.0)];
         if class.effect == cloverstile::Effect::Keyed && enqueue.idempotency_key.is_none() {
             return Err(Answer::Error("k is missing"));
         }
         let max_time_left = class.deadline;
         if !admitted || self.journal.image().held.len() >= self.max_held {
-            return Err(Answer::Busy(Some(self.courier.come_back(now, destination))));
+            return Err(Answer::Busy(Some(self.decision_logic.come_back(now, destination))));
         }
         Ok(max_time_left)
     }
@@ -555,13 +563,13 @@
                 #[cfg(feature = "broken")]
                 let taken = taken.filter(|_| !self.fault_injector.fires(Fault::Swallows));
                 if let Some(accepted) = taken.and_then(|taken| self.to_accepted(number, taken)) {
-                    self.courier.handle(now, Event::Accept(accepted));
+                    self.decision_logic.handle(now, Event::Accept(accepted));
                 }
                 Answer::Taken(MessageId(number))
             }
             Err(error) => {
                 self.log_journal_error(now, Err(error));
-                let answer = Answer::Busy(Some(self.courier.come_back(now, destination)));
+                let answer = Answer::Busy(Some(self.decision_logic.come_back(now, destination)));
                 message_trace::not_recorded(&id, &answer);
                 answer
             }
@@ -579,10 +587,11 @@
         if held.is_some_and(|held| !held.is_shared) {
             self.counts.abandoned += u64::from(self.is_undecided(message));
             self.complete(now, message);
-            self.courier.handle(now, Event::ClientGone(message));
+            self.decision_logic.handle(now, Event::ClientGone(message));
         }
     }
 
+    /// Applies an update of the list to the directory, the decision logic, the journal and the connections.
     fn apply_list_update(&mut self, now: Time, update: Update) {
         #[cfg(feature = "broken")]
         let update = self.fault_injector.alter_list_update(update);
@@ -591,7 +600,7 @@
             return;
         }
         let listing = self.directory.apply(&update);
-        self.courier.handle(now, Event::Listed(listing));
+        self.decision_logic.handle(now, Event::Listed(listing));
         self.suspend_listed(now);
         let (rev, changed) = (update.rev, update.targets.len());
         let written = self.journal.targets(&update);
@@ -605,7 +614,7 @@
     /// Applies the operators' suspensions, which hold whatever state the list gives to an endpoint.
     fn suspend_listed(&mut self, now: Time) {
         for id in self.directory.set_suspended(&self.journal.image().suspended) {
-            self.courier.handle(now, Event::Suspended(id));
+            self.decision_logic.handle(now, Event::Suspended(id));
         }
     }
 
@@ -613,7 +622,7 @@
     fn execute(&mut self, now: Time, command: OperatorCommand) -> Result<(), CommandError> {
         let (uid, suspend) = match &command {
             OperatorCommand::Suspend(uid) => (uid, true),
-            OperatorCommand::Restore(uid) => (uid, false),
+            OperatorCommand::Unsuspend(uid) => (uid, false),
         };
         if !self.journal.image().was_listed(uid) {
             return Err(CommandError::UnknownEndpoint);
@@ -624,7 +633,7 @@
             return Err(CommandError::NotRecorded);
         }
         if is_new {
-            info!(uid, is_out = suspend, "an operator suspended or restored an endpoint");
+            info!(uid, is_out = suspend, "an operator suspended or unsuspended an endpoint");
         }
         self.suspend_listed(now);
         let id = self.directory.endpoint_id(uid);
@@ -632,7 +641,7 @@
             self.effects.extend(id.map(Effect::CloseIdle));
             self.withdraw_unsent_calls(|endpoint, directory| !directory.is_open(endpoint));
         } else if let Some(id) = id {
-            self.courier.handle(now, Event::Reinstated(id));
+            self.decision_logic.handle(now, Event::Reinstated(id));
         }
         Ok(())
     }
@@ -643,7 +652,7 @@
         self.directory.remove_gone(|endpoint| in_flight.values().any(|call| call.endpoint == endpoint));
     }
 
-    /// Stops those calls to the selected endpoints of which no byte was sent. Once their connections are established, they
+    /// Stops calls to the selected endpoints, unless a byte of them was sent. Once their connections are established, they
     /// would be new work for a draining endpoint, or calls before the end of a retry-after time.
     fn withdraw_unsent_calls(&mut self, is_selected: impl Fn(EndpointId, &Directory) -> bool) {
         for (message, call) in &self.in_flight {
@@ -665,6 +674,7 @@
         #[cfg(feature = "broken")]
         let result = self.fault_injector.alter_call_result(result);
         let Some(call) = self.in_flight.remove(&message) else { return };
+        // These outcomes rule out that the endpoint processed the message; all others do not.
         let may_have_run = !matches!(
             result.outcome,
             Outcome::Full(_) | Outcome::ConnectFailed | Outcome::Moot | Outcome::Spent
@@ -685,13 +695,14 @@
         }
         if result.is_final {
             if self.is_undecided(message) {
+                // Another final result means that no client waits for the message.
                 match result.outcome {
                     Outcome::Ok => self.class_counts(message).served += 1,
                     _ => self.counts.abandoned += 1,
                 }
             }
             // A delivery that may have come after the deadline, because this process was paused, still gets a failure notice.
-            if result.outcome == Outcome::Ok && !self.courier.is_surely_in_time(now, message) {
+            if result.outcome == Outcome::Ok && !self.decision_logic.is_surely_in_time(now, message) {
                 let written = self.journal.owe(message.0, Verdict::Failed);
                 self.log_journal_error(now, written);
                 self.send_notice(message, Verdict::Failed);
@@ -704,7 +715,7 @@
             let written = self.journal.outcome(message.0, may_have_run);
             self.log_journal_error(now, written);
         }
-        self.courier.handle(
+        self.decision_logic.handle(
             now,
             Event::Finished(Finished {
                 message,
@@ -743,10 +754,10 @@
         }
     }
 
-    /// Carries out the courier's decisions and records the outages that changed.
+    /// Runs the decision logic, carries out its actions and records the outages that changed.
     fn apply_decisions(&mut self, now: Time) {
         let mut actions = std::mem::take(&mut self.actions);
-        self.courier.decide(now, &mut actions);
+        self.decision_logic.decide(now, &mut actions);
         for action in actions.drain(..) {
             self.apply_action(now, action);
         }
@@ -754,6 +765,7 @@
         self.record_outages(now);
     }
 
+    /// Carries out an action of the decision logic.
     fn apply_action(&mut self, now: Time, action: Action) {
         match action {
             Action::Route { message, endpoint, try_for, send_by } => {
@@ -768,10 +780,10 @@
                 }
             }
             Action::Busy { message, after } => {
-                self.decide_end(now, message, Verdict::Returned { after_ms: after.as_millis() as u64 });
+                self.end_undelivered(now, message, Verdict::Returned { after_ms: after.as_millis() as u64 });
             }
             Action::ReportFailure { message } => {
-                self.decide_end(now, message, Verdict::Failed);
+                self.end_undelivered(now, message, Verdict::Failed);
             }
             Action::Wake { after, token } => self.wake_up = Some((now + after, token)),
             Action::CloseIdle { endpoint } => self.effects.push(Effect::CloseIdle(endpoint)),
@@ -801,7 +813,7 @@
         let call_data = taken.zip(self.directory.address(endpoint)).filter(|_| written.is_ok());
         self.log_journal_error(now, written);
         let Some((taken, address)) = call_data else {
-            self.unsent.push((message, endpoint));
+            self.not_started.push((message, endpoint));
             return;
         };
         self.counts.calls_started += 1;
@@ -831,7 +843,7 @@
 
     /// Ends an undelivered message with a verdict. The journal records it before the notice is sent: a client whose message was
     /// returned may enqueue it again, and this courier must not send it after that, not even after a restart.
-    fn decide_end(&mut self, now: Time, message: MessageId, verdict: Verdict) {
+    fn end_undelivered(&mut self, now: Time, message: MessageId, verdict: Verdict) {
         #[cfg(feature = "broken")]
         let verdict = self.fault_injector.alter_verdict(verdict);
         let was_undecided = self.is_undecided(message);
@@ -885,12 +897,12 @@
         (self.fault_injector.is_active(Fault::NeverTells) && verdict == Verdict::Failed).then(Vec::new)
     }
 
-    /// Records changed outages in the journal. Usually only the destinations that may have changed are compared; all of them
-    /// are the first time, and while the journal could not write what it was given before.
+    /// Records outages in the journal: those of the destinations where the decision logic reports a change. All outages are
+    /// recorded at the first time, and as long as the journal has failed to write earlier records.
     fn record_outages(&mut self, now: Time) {
-        let changed = self.courier.take_changed_outages();
+        let changed = self.decision_logic.take_changed_outages();
         if !self.outages_synchronized || self.journal.is_behind() {
-            let notes = self.outages_for_journal(self.courier.outages());
+            let notes = self.outages_for_journal(self.decision_logic.outages());
             let is_lost = |note: &&OutageNote| note.lost.is_some();
             let before = self.journal.image().outages().filter(is_lost).count();
             self.log_outage_count(now, before, notes.iter().filter(is_lost).count());
@@ -898,7 +910,8 @@
             self.outages_synchronized = true;
             return self.log_journal_error(now, written);
         }
-        let notes = self.outages_for_journal(changed.iter().flat_map(|to| self.courier.outages_of(*to)));
+        let notes =
+            self.outages_for_journal(changed.iter().flat_map(|to| self.decision_logic.outages_of(*to)));
         let destinations: Vec<u32> = changed.iter().map(|to| to.0).collect();
         let lost_before = self.journal.image().lost_among(&destinations);
         let lost_now = notes.iter().filter(|note| note.lost.is_some()).count();
@@ -910,13 +923,13 @@
         self.log_journal_error(now, written);
         debug_assert!(
             self.journal_has_all_outages(),
-            "an outage changed at a destination that the courier did not report as changed"
+            "an outage changed at a destination that the decision logic did not report as changed"
         );
     }
 
     /// Whether the journal holds the current outages, or could not write them.
     fn journal_has_all_outages(&self) -> bool {
-        let notes = self.outages_for_journal(self.courier.outages());
+        let notes = self.outages_for_journal(self.decision_logic.outages());
         self.journal.is_behind() || self.journal.image().has_outages(&notes)
     }
 
@@ -943,6 +956,7 @@
         }
     }
 
+    /// Logs the error if the journal could not write a record.
     fn log_journal_error(&mut self, now: Time, written: Result<(), JournalError>) {
         if let Err(error) = written {
             if let Some(more) = self.journal_error_log.due(now) {
@@ -961,17 +975,23 @@
         let classes = self.class_names.iter().zip(&self.counts.classes);
         EngineMetrics {
             classes: classes.map(|(name, counts)| (name.clone(), *counts)).collect(),
-            attempts: self.counts.calls_written,
-            in_flight: self.journal.image().held.values().filter(|held| held.verdict.is_none()).count(),
+            calls_written: self.counts.calls_written,
+            messages_pending: self
+                .journal
+                .image()
+                .held
+                .values()
+                .filter(|held| held.verdict.is_none())
+                .count(),
             endpoints_known: self.directory.listed_count(),
-            endpoints_excluded: self.courier.excluded(now),
+            endpoints_excluded: self.decision_logic.excluded(now),
         }
     }
 
     /// Logs the counters and the waiting messages of each destination, if [`crate::DESTINATION_METRICS_TARGET`] is enabled. To
     /// be called once a second.
     pub fn log_destination_metrics(&mut self, now: Time) {
-        self.destination_metrics.log(self.courier.standings(now));
+        self.destination_metrics.log(self.decision_logic.standings(now));
     }
 
     /// Logs what the counters gained since the last call. `max_delay` is the longest delay of the caller's loop since then.
--- a/crates/gullcart-engine/src/engine_snapshot.rs
+++ b/crates/gullcart-engine/src/engine_snapshot.rs
@@ -43,33 +43,35 @@
 pub(crate) struct SnapshotHeader {
     pub format: u32,
     /// Checksum of the settings. Class, zone and kind numbers in the snapshot are valid only under the same settings.
-    pub settings: u32,
+    pub settings_checksum: u32,
 }
 
+/// What another process needs besides the journal to resume the engine.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct EngineSnapshot {
-    pub courier: Courier,
+    pub decision_logic: Courier,
     pub directory: Directory,
     pub in_flight: BTreeMap<MessageId, InFlightCall>,
     /// Messages for which more than one enqueue request was answered.
     pub shared_messages: Vec<MessageId>,
-    /// When the courier's timer is due, and the timer's token.
+    /// When the decision logic's timer is due, and the timer's token.
     pub wake_up: Option<(Time, u64)>,
 }
 
+/// Serializes the header and the snapshot.
 pub(crate) fn write(header: &SnapshotHeader, snapshot: &EngineSnapshot) -> Result<Vec<u8>, postcard::Error> {
     let bytes = postcard::to_extend(header, Vec::new())?;
     postcard::to_extend(snapshot, bytes)
 }
 
-/// Reads a snapshot that was written under settings with the given checksum.
-pub(crate) fn read(bytes: &[u8], settings: u32) -> Result<EngineSnapshot, ResumeError> {
+/// Deserializes a header and a snapshot, and checks the format and the checksum of the settings.
+pub(crate) fn read(bytes: &[u8], settings_checksum: u32) -> Result<EngineSnapshot, ResumeError> {
     let (header, rest): (SnapshotHeader, _) =
         postcard::take_from_bytes(bytes).map_err(|_| ResumeError::Corrupt)?;
     if header.format != SNAPSHOT_FORMAT {
         return Err(ResumeError::UnsupportedFormat(header.format));
     }
-    if header.settings != settings {
+    if header.settings_checksum != settings_checksum {
         return Err(ResumeError::SettingsMismatch);
     }
     match postcard::take_from_bytes(rest) {
--- a/crates/gullcart-engine/src/idle_connections.rs
+++ b/crates/gullcart-engine/src/idle_connections.rs
@@ -1,7 +1,8 @@
 //! Which connections are kept open after their call. No I/O and no clock.
 //!
 //! An endpoint accepts few connections, including idle ones. If each of a hundred couriers kept one idle connection, the
-//! endpoint would have none left for calls, and the couriers with an idle connection would not notice the rejections.
+//! endpoint would have none left for calls. Couriers without a connection would be rejected, while those with one would see no
+//! reason to close it.
 
 use fastrand::Rng;
 
@@ -23,8 +24,8 @@
         IdleConnectionPolicy { keep_probability, rng: Rng::with_seed(seed) }
     }
 
-    /// Whether to keep a connection after its call. If a courier calls at a steady rate, a kept connection stays idle until the
-    /// next call, so the fraction of calls that keep their connection equals the fraction of couriers that hold one.
+    /// Whether to keep a connection after its call. A kept connection stays idle until the courier's next call. At a steady rate
+    /// of calls the probability of keeping a connection is therefore the fraction of couriers that hold one.
     pub fn should_keep(&mut self) -> bool {
         self.keep_probability >= 1.0 || self.rng.f64() < self.keep_probability
     }
--- a/crates/gullcart-engine/src/lib.rs
+++ b/crates/gullcart-engine/src/lib.rs
@@ -24,7 +24,7 @@
 mod trial_duties;
 mod types;
 
-pub use clock::{Clock, EPOCH};
+pub use clock::{Clock, PROCESS_START};
 pub use destination_metrics::DESTINATION_METRICS_TARGET;
 pub use discovery_backoff::{
     DiscoveryBackoff, ASSUMED_KNOWN_AFTER, DISCOVERY_CALL_TIMEOUT, WATCH_SILENCE_TIMEOUT,
--- a/crates/gullcart-engine/src/metrics.rs
+++ b/crates/gullcart-engine/src/metrics.rs
@@ -1,17 +1,17 @@
 //! Counters of messages and calls since the process started.
 
-/// How the messages of one class ended, each counted once.
+/// Counters of one class. Each accepted message is counted once, when it ends; `rejected` and `invalid` count requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounts {
-    /// Delivered.
+    /// Messages that were delivered.
     pub served: u64,
-    /// Rejected with [`crate::Answer::Busy`] when they were enqueued.
+    /// Enqueue requests that were answered with [`crate::Answer::Busy`].
     pub rejected: u64,
-    /// Accepted, and returned to the client unsent.
+    /// Messages that were returned to their client, as no attempt can have run.
     pub returned: u64,
-    /// Accepted, and reported as failed.
+    /// Messages that were reported as failed.
     pub failed: u64,
-    /// Answered with [`crate::Answer::Error`] when they were enqueued.
+    /// Enqueue requests that were answered with [`crate::Answer::Error`].
     pub invalid: u64,
 }
 
@@ -25,8 +25,7 @@
     pub accepted: u64,
     /// Messages without a verdict that this process found in the journal or took over from the process before.
     pub recovered: u64,
-    /// Accepted messages that were dropped because no client waits for them: they were cancelled, or the client never got the
-    /// answer that they were accepted.
+    /// Accepted messages that were dropped because no client waits for them, as it never got the answer that they were accepted.
     pub abandoned: u64,
     /// Calls that were started.
     pub calls_started: u64,
@@ -70,10 +69,10 @@
 pub struct EngineMetrics {
     /// The name of each class and how its messages ended.
     pub classes: Vec<(String, ClassCounts)>,
-    /// Calls whose last byte was written.
-    pub attempts: u64,
-    /// Accepted messages without a verdict.
-    pub in_flight: usize,
+    /// Calls whose last byte was written, which the console shows as `attempts`.
+    pub calls_written: u64,
+    /// Accepted messages that are neither delivered nor have a verdict, which the console shows as `in_flight`.
+    pub messages_pending: usize,
     /// Endpoints in the list.
     pub endpoints_known: usize,
     /// Listed endpoints that get no new work at the moment, because an operator suspended them or the courier avoids them.
--- a/crates/gullcart-engine/src/rate_limited_log.rs
+++ b/crates/gullcart-engine/src/rate_limited_log.rs
@@ -6,7 +6,8 @@
 /// Minimum time between two lines.
 const MIN_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Lets one event per interval through to the log and counts those in between.
+/// Decides which events of one kind are logged: at most one per interval. Counts the events in between, so that the next line can
+/// report their number.
 #[derive(Debug, Default)]
 pub struct RateLimitedLog {
     last: Option<Time>,
--- a/crates/gullcart-engine/src/trial_duties.rs
+++ b/crates/gullcart-engine/src/trial_duties.rs
@@ -1,8 +1,9 @@
 //! Shares the trials of destinations in an outage among the couriers of a group.
 //!
-//! Each destination in an outage is a duty, which the group assigns to at most one courier. The holder makes the trials,
-//! reports the outcome to all couriers that registered for the duty, and passes the duty on if its trials get nowhere. While
-//! no courier is known to hold a duty, or nothing is heard of the holder, each courier makes trials of its own.
+//! A trial is a single call that finds out whether an outage is over. The couriers that agree on who makes trials are a group.
+//! Each destination in an outage is a duty, which the group assigns to at most one courier, the holder. It makes the trials,
+//! reports the outcome to all couriers that registered for the duty, and passes the duty on if its trials have no success for some
+//! time. While no courier is known to hold a duty, or its holder may have lost it, each courier makes trials of its own.
 
 use cloverstile::{Courier, DestinationId, Event, News, Outing, Time, Trials};
 use std::collections::BTreeMap;
@@ -10,8 +11,9 @@
 
 /// Maximum duties a courier registers for. It makes its own trials of all other destinations.
 const MAX_DUTIES: usize = 1024;
-/// A holder without success passes the duty on after this many collapse windows: only its own network path may be broken.
-const MAX_HOLD_COLLAPSE_WINDOWS: u32 = 2;
+/// A holder whose trials have no success for this multiple of the collapse window passes the duty on: perhaps only its own
+/// network path is broken.
+const MAX_HOLD_MULTIPLE: u32 = 2;
 /// Interval between searches for outages while this courier is registered for no duty.
 const SEARCH_INTERVAL: Duration = Duration::from_millis(5);
 /// Interval between registrations for a duty that the group does not know about.
@@ -43,7 +45,7 @@
     pub epoch: u64,
     /// The report, which the group does not interpret.
     pub payload: Vec<u8>,
-    /// Latest moment at which the group may have agreed on the report.
+    /// When the group agreed on the report, in local time. The moment is not known exactly; this is its upper bound.
     pub agreed_at: Time,
 }
 
@@ -100,8 +102,8 @@
         }
     }
 
-    /// Converts the outcome to local time. `agreed_at` is an upper bound, so the slow start begins rather too late and the
-    /// retry-after time ends rather too late, which is the safe side for both.
+    /// Converts the outcome to moments in local time. They may be too late, as `agreed_at` is an upper bound. That is safe: the slow
+    /// start then begins too late, and the retry-after time ends too late.
     fn to_news(self, agreed_at: Time) -> News {
         match self {
             TrialOutcome::Served(ago) => News::Served(agreed_at - ago),
@@ -113,16 +115,30 @@
 /// A duty that this courier is registered for.
 #[derive(Debug, Default)]
 struct TrackedDuty {
-    /// The epoch in which this courier holds or last held the duty, and since when.
-    held: Option<(u64, Time)>,
+    /// The latest period in which this courier held the duty.
+    tenure: Option<Tenure>,
     /// When this courier last registered with the group.
     registered_at: Time,
-    /// What this courier reported in that epoch, and when.
-    own_report: Option<(Vec<u8>, Time)>,
-    /// Epoch and payload of the last report of another courier.
+    /// This courier's report in that period.
+    own_report: Option<OwnReport>,
+    /// Epoch and payload of the last report of another courier. Reports are ordered by both.
     last_report: Option<(u64, Vec<u8>)>,
 }
 
+/// A period in which this courier holds a duty.
+#[derive(Clone, Copy, Debug)]
+struct Tenure {
+    epoch: u64,
+    since: Time,
+}
+
+/// A report that this courier sent.
+#[derive(Debug)]
+struct OwnReport {
+    payload: Vec<u8>,
+    sent_at: Time,
+}
+
 /// The duties that one courier is registered for.
 #[derive(Debug)]
 pub struct TrialDuties {
@@ -133,7 +149,8 @@
 }
 
 impl TrialDuties {
-    /// No duties. `collapse_window` is the window of the rule against overload collapse, `seed` is for random rest times.
+    /// No duties. `collapse_window` is how long a destination in its slow start stands overload before it collapses, `seed` is for
+    /// random times.
     pub fn new(collapse_window: Duration, seed: u64) -> Self {
         TrialDuties {
             duties: BTreeMap::new(),
@@ -143,8 +160,9 @@
         }
     }
 
-    /// Compares outages and duties. Returns the events for the courier and the requests to the group. `registered` are the
-    /// duties that the group has this courier registered for, also by an earlier process; `view` is their state.
+    /// Registers for new outages and decides who makes the trials of all known ones. Returns the events for the decision logic
+    /// (`courier`) and the requests to the group. `registered` are the duties for which the group has this courier registered,
+    /// including registrations of an earlier process; `view` returns a duty's state.
     pub fn update(
         &mut self,
         now: Time,
@@ -183,9 +201,9 @@
             let random = self.rng.f64();
             let (is_needed, trials) = match outing {
                 Some(outing) => {
-                    events.extend(duty.learn(*destination, &view));
-                    let max_hold = self.collapse_window * MAX_HOLD_COLLAPSE_WINDOWS;
-                    duty.update(now, *destination, outing, &view, max_hold, random, &mut requests)
+                    events.extend(duty.new_report_event(*destination, &view));
+                    let max_hold = self.collapse_window * MAX_HOLD_MULTIPLE;
+                    duty.next_trials(now, *destination, outing, &view, max_hold, random, &mut requests)
                 }
                 None => (false, Trials::Own),
             };
@@ -202,9 +220,9 @@
 
 impl TrackedDuty {
     /// The event for a report of another courier that was not seen before.
-    fn learn(&mut self, destination: DestinationId, view: &DutyView) -> Option<Event> {
+    fn new_report_event(&mut self, destination: DestinationId, view: &DutyView) -> Option<Event> {
         let DutyReport { epoch, payload, agreed_at } = view.report.as_ref()?;
-        let is_own = self.held.is_some_and(|(held, _)| held == *epoch);
+        let is_own = self.tenure.is_some_and(|tenure| tenure.epoch == *epoch);
         let is_old = self
             .last_report
             .as_ref()
@@ -217,10 +235,11 @@
         Some(Event::Learnt(destination, news))
     }
 
-    /// Whether the registration is still needed, and which courier makes the trials until the next update. `max_hold` is the
-    /// longest time to hold the duty without success, `random` is between 0 and 1.
+    /// Returns whether the registration is still needed, and who makes the trials until the next update. `max_hold` is the
+    /// longest time to hold the duty without success. A duty that is passed on is not assigned to this courier again for a
+    /// random time; `random` is a number from 0 to 1 for it.
     #[allow(clippy::too_many_arguments)]
-    fn update(
+    fn next_trials(
         &mut self,
         now: Time,
         destination: DestinationId,
@@ -236,16 +255,16 @@
             DutyHolder::OtherCourier { until } => return (has_outage, Trials::Elsewhere(until)),
             DutyHolder::ThisCourier { epoch, until } => (epoch, until),
         };
-        if self.held.is_none_or(|(held, _)| held != epoch) {
-            self.held = Some((epoch, now));
+        if self.tenure.is_none_or(|tenure| tenure.epoch != epoch) {
+            self.tenure = Some(Tenure { epoch, since: now });
             self.own_report = None;
         }
-        let since = self.held.map_or(now, |(_, since)| since);
+        let since = self.tenure.map_or(now, |tenure| tenure.since);
         if has_outage {
             // A report made in this epoch concerned an earlier outage.
             self.own_report = None;
-            let gets_nowhere = now - since > max_hold;
-            if !outing.waiting || gets_nowhere {
+            let is_held_too_long = now - since > max_hold;
+            if !outing.waiting || is_held_too_long {
                 requests.push(TrialRequest::PassOn(destination, max_hold.mul_f64(1.0 + random)));
                 return (true, Trials::Own);
             }
@@ -262,15 +281,15 @@
             };
             let payload = outcome.encode();
             requests.push(TrialRequest::Report(destination, payload.clone()));
-            self.own_report = Some((payload, now));
+            self.own_report = Some(OwnReport { payload, sent_at: now });
         }
         // A report that gets lost must not keep the duty forever: the other couriers will find out by their own trials.
-        let is_done = self.own_report.as_ref().is_some_and(|(payload, reported_at)| {
+        let is_done = self.own_report.as_ref().is_some_and(|own| {
             let is_agreed = view
                 .report
                 .as_ref()
-                .is_some_and(|report| report.epoch == epoch && report.payload == *payload);
-            is_agreed || now - *reported_at > max_hold
+                .is_some_and(|report| report.epoch == epoch && report.payload == own.payload);
+            is_agreed || now - own.sent_at > max_hold
         });
         (!is_done, Trials::Held(until))
     }
--- a/crates/gullcart-engine/src/types.rs
+++ b/crates/gullcart-engine/src/types.rs
@@ -1,4 +1,7 @@
 //! Inputs and effects of the engine, and the types that they carry.
+//!
+//! A client enqueues a message. Once the courier has accepted it ([`Answer::Taken`]), it holds the message until it is delivered,
+//! until the platform acknowledges the notice of its end, or until no client waits for it any more.
 
 use bytes::Bytes;
 use cloverstile::{Allowance, EndpointId, MessageId, Outcome, Time};
@@ -9,7 +12,8 @@
 /// A message that a client enqueues.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Enqueue {
-    /// The client's id of the message, unique among the messages that are held.
+    /// The client's id of the message, unique among the messages that are held. The courier numbers messages itself as well, with
+    /// [`MessageId`].
     pub id: String,
     /// The order key; zero in classes without order.
     pub order_key: u64,
@@ -59,7 +63,7 @@
     /// Sends no new work to the endpoint with this uid.
     Suspend(String),
     /// Lifts the suspension of the endpoint with this uid.
-    Restore(String),
+    Unsuspend(String),
 }
 
 /// Why an operator's command was rejected. A rejected command changes nothing.
@@ -89,7 +93,7 @@
     pub outcome: Outcome,
     /// Time from the start of the call until its end.
     pub latency: Duration,
-    /// The message needs no further attempt.
+    /// The message was delivered and needs no further attempt.
     pub is_final: bool,
     /// The rate limit that the endpoint reported with its answer.
     pub allowance: Option<Allowance>,
@@ -134,7 +138,7 @@
     pub idempotency_key: Option<String>,
     /// The content.
     pub body: Bytes,
-    /// Timeout of the attempt.
+    /// Time limit of the attempt from its start, including the connection setup.
     pub try_for: Duration,
     /// No byte of the call may be sent after this moment; without it only `try_for` limits the call.
     pub send_by: Option<Time>,
--- a/crates/gullcart-engine/tests/calls_for_lists.rs
+++ b/crates/gullcart-engine/tests/calls_for_lists.rs
@@ -68,9 +68,9 @@
     assert!(seconds.is_none(), "the simulation does not show the failure that the backoff prevents");
 }
 
-/// A change of the list counts as known to a new courier from its start, and a call to a draining endpoint violates the rules
-/// once the grace period is over. Fleets of 300 couriers used to delay their first calls by up to 30 s, and later by up to 1.5 s
-/// even under a shorter grace period.
+/// Discovery assumes that a new courier knows the list from its start, so the first call must come before the grace period for
+/// drains is over. Guards against delays by the number of couriers alone, which were up to 30 s for 300 couriers, and against a
+/// bound of 1.5 s under a shorter grace period.
 #[test]
 fn first_calls_after_a_common_start_are_spread_within_the_drain_grace() {
     for grace in [100, 250, 1000, 2000, 60_000].map(Duration::from_millis) {
@@ -156,7 +156,7 @@
 /// The result of a simulated outage of discovery.
 struct OutageResult {
     /// Seconds from the end of the outage until the last courier had the list.
-    worst: f64,
+    max_delay_s: f64,
     /// Maximum number of calls within one second, from the second second on.
     max_calls_per_second: usize,
     /// Maximum number of calls within a tenth of a second, from the second second on.
@@ -165,7 +165,7 @@
 
 /// Simulates an outage of discovery from time zero on. The first call of each courier after the outage is lost as well. The last
 /// line of a silent watch came up to 2 s before the outage; the courier whose line came last detects the silence last. `delay`
-/// returns a courier's delay after a call that took the given seconds, or after its watch.
+/// returns a courier's delay after a failed call that took the given seconds, or after its watch broke if there was no call yet.
 fn simulate_outage(
     couriers: usize,
     outage_s: f64,
@@ -173,14 +173,14 @@
     delay: &mut dyn FnMut(usize, Option<f64>) -> f64,
 ) -> OutageResult {
     let mut call_times: Vec<f64> = Vec::new();
-    let mut worst = 0.0_f64;
+    let mut max_delay_s = 0.0_f64;
     let mut rng = fastrand::Rng::with_seed(7);
     for courier in 0..couriers {
         let mut now = match failure_mode {
             FailureMode::Silent => WATCH_SILENCE_TIMEOUT.as_secs_f64() - 2.0 * rng.f64(),
             _ => 0.0,
         };
-        let mut is_call_lost = false;
+        let mut has_lost_call = false;
         let mut last_call_duration = None;
         loop {
             now += delay(courier, last_call_duration);
@@ -188,10 +188,10 @@
             let call_duration = if now < outage_s {
                 // A call that hangs across the end of the outage is not answered either.
                 failure_mode.call_duration_s()
-            } else if !std::mem::replace(&mut is_call_lost, true) {
+            } else if !std::mem::replace(&mut has_lost_call, true) {
                 DISCOVERY_CALL_TIMEOUT.as_secs_f64()
             } else {
-                worst = worst.max(now + ANSWER_LATENCY_S - outage_s);
+                max_delay_s = max_delay_s.max(now + ANSWER_LATENCY_S - outage_s);
                 break;
             };
             now += call_duration;
@@ -212,7 +212,7 @@
         max_calls
     };
     OutageResult {
-        worst,
+        max_delay_s,
         max_calls_per_second: max_calls_within(1.0),
         max_calls_per_tenth: max_calls_within(0.1),
     }
@@ -226,7 +226,7 @@
         for failure_mode in
             [FailureMode::Refused, FailureMode::Hanging, FailureMode::HalfAnswered, FailureMode::Silent]
         {
-            let mut worst = 0.0_f64;
+            let mut max_delay_s = 0.0_f64;
             let mut max_calls_per_second = 0;
             let mut max_calls_per_tenth = 0;
             // While a watch is silent discovery is reachable, so a change counts from the beginning of the silence.
@@ -250,17 +250,20 @@
                         };
                         delay.as_secs_f64()
                     });
-                    worst = worst.max(result.worst);
+                    max_delay_s = max_delay_s.max(result.max_delay_s);
                     max_calls_per_second = max_calls_per_second.max(result.max_calls_per_second);
                     max_calls_per_tenth = max_calls_per_tenth.max(result.max_calls_per_tenth);
                 }
             }
             println!(
-                "{couriers:5} {failure_mode:?}: worst {worst:.2} s, at most {max_calls_per_second} calls in a \
+                "{couriers:5} {failure_mode:?}: worst {max_delay_s:.2} s, at most {max_calls_per_second} calls in a \
                  second and {max_calls_per_tenth} in a tenth of a second"
             );
             let limit = ASSUMED_KNOWN_AFTER.as_secs_f64();
-            assert!(worst < limit - 0.2, "{couriers} couriers, {failure_mode:?}: {worst:.2} s of {limit}");
+            assert!(
+                max_delay_s < limit - 0.2,
+                "{couriers} couriers, {failure_mode:?}: {max_delay_s:.2} s of {limit}"
+            );
             // Evenly spread: apart from chance, a tenth of a second has no more than a few tenths of the calls of a second.
             let per_second = max_calls_per_second as f64;
             let per_tenth = max_calls_per_tenth as f64;
--- a/crates/gullcart-engine/tests/carried.rs
+++ b/crates/gullcart-engine/tests/carried.rs
@@ -4,7 +4,9 @@
 
 use cloverstile::{Outcome, Time};
 use common::*;
-use gullcart_engine::{Call, CallResult, Effect, Engine, EngineConfig, Input, ResumeError, Ticket, EPOCH};
+use gullcart_engine::{
+    Call, CallResult, Effect, Engine, EngineConfig, Input, ResumeError, Ticket, PROCESS_START,
+};
 use gullcart_journal::simulated::{Crash, Disk};
 use gullcart_journal::{Journal, Options};
 use gullcart_message::Verdict;
@@ -29,10 +31,10 @@
 
 /// The call and the snapshot of an engine that was frozen with a call to destination 1 in flight.
 fn frozen(disk: &Disk) -> (Call, Vec<u8>) {
-    let mut engine = engine(disk, Crash::Process, EPOCH);
-    engine.handle(EPOCH, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
-    let call = started_calls(&engine.turn(EPOCH).unwrap()).remove(0);
-    let (effects, snapshot) = engine.freeze(EPOCH).unwrap();
+    let mut engine = engine(disk, Crash::Process, PROCESS_START);
+    engine.handle(PROCESS_START, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
+    let call = started_calls(&engine.turn(PROCESS_START).unwrap()).remove(0);
+    let (effects, snapshot) = engine.freeze(PROCESS_START).unwrap();
     assert!(effects.is_empty());
     (call, snapshot.unwrap())
 }
@@ -41,12 +43,13 @@
 fn a_call_in_flight_ends_in_the_next_process() {
     let disk = Disk::new(DISK, Crash::Process, 1);
     let (call, snapshot) = frozen(&disk);
-    let (mut engine, resumed) = Engine::resume(config(EPOCH), journal(&disk, Crash::Process), &snapshot);
+    let (mut engine, resumed) =
+        Engine::resume(config(PROCESS_START), journal(&disk, Crash::Process), &snapshot);
     assert_eq!(resumed, Ok(()));
     assert_eq!(engine.in_flight_call(call.message, call.try_for), Some(call.clone()));
-    assert!(started_calls(&engine.turn(EPOCH).unwrap()).is_empty());
-    engine.handle(EPOCH, Input::CallEnded(call.message, call.endpoint, call_result(Outcome::Ok)));
-    engine.turn(EPOCH).unwrap();
+    assert!(started_calls(&engine.turn(PROCESS_START).unwrap()).is_empty());
+    engine.handle(PROCESS_START, Input::CallEnded(call.message, call.endpoint, call_result(Outcome::Ok)));
+    engine.turn(PROCESS_START).unwrap();
     assert_eq!(engine.load(), (0, 0));
     assert_eq!(engine.counts().total().served, 1);
     assert_eq!(engine.counts().unfinished(), 0);
@@ -55,23 +58,27 @@
 #[test]
 fn a_retry_after_time_binds_the_next_process() {
     let disk = Disk::new(DISK, Crash::Process, 1);
-    let mut before = engine(&disk, Crash::Process, EPOCH);
-    before.handle(EPOCH, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
-    let call = started_calls(&before.turn(EPOCH).unwrap()).remove(0);
+    let mut before = engine(&disk, Crash::Process, PROCESS_START);
+    before.handle(PROCESS_START, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
+    let call = started_calls(&before.turn(PROCESS_START).unwrap()).remove(0);
     let retry_after = Outcome::Full(Some(Duration::from_secs(2)));
-    before.handle(EPOCH, Input::CallEnded(call.message, call.endpoint, call_result(retry_after)));
-    let snapshot = before.freeze(EPOCH).unwrap().1.unwrap();
-    let (mut engine, resumed) = Engine::resume(config(EPOCH), journal(&disk, Crash::Process), &snapshot);
+    before.handle(PROCESS_START, Input::CallEnded(call.message, call.endpoint, call_result(retry_after)));
+    let snapshot = before.freeze(PROCESS_START).unwrap().1.unwrap();
+    let (mut engine, resumed) =
+        Engine::resume(config(PROCESS_START), journal(&disk, Crash::Process), &snapshot);
     assert_eq!(resumed, Ok(()));
     let mut first_call_at = None;
     for step in 0..100 {
-        let now = EPOCH + Duration::from_millis(50 * step);
+        let now = PROCESS_START + Duration::from_millis(50 * step);
         if !started_calls(&engine.turn(now).unwrap()).is_empty() {
             first_call_at = Some(now);
             break;
         }
     }
-    assert!(first_call_at.is_some_and(|at| at >= EPOCH + Duration::from_secs(2)), "{first_call_at:?}");
+    assert!(
+        first_call_at.is_some_and(|at| at >= PROCESS_START + Duration::from_secs(2)),
+        "{first_call_at:?}"
+    );
 }
 
 /// Checks that an engine whose snapshot cannot be used starts from the journal, where a call that was in flight may have run,
@@ -83,7 +90,7 @@
     let (mut engine, resumed) = Engine::resume(settings, journal(&disk, Crash::Process), &snapshot);
     assert_eq!(resumed, Err(error));
     assert_eq!(engine.in_flight_call(call.message, call.try_for), None);
-    let effects = engine.turn(EPOCH).unwrap();
+    let effects = engine.turn(PROCESS_START).unwrap();
     let failed =
         |effect: &Effect| matches!(effect, Effect::SendNotice(notice) if notice.verdict == Verdict::Failed);
     assert!(effects.iter().any(failed), "{effects:?}");
@@ -92,17 +99,17 @@
 #[test]
 fn an_unusable_snapshot_is_ignored_and_the_journal_suffices() {
     check_start_from_the_journal(
-        config(EPOCH),
+        config(PROCESS_START),
         |snapshot| snapshot.truncate(snapshot.len() - 1),
         ResumeError::Corrupt,
     );
-    check_start_from_the_journal(config(EPOCH), |snapshot| snapshot.push(0), ResumeError::Corrupt);
+    check_start_from_the_journal(config(PROCESS_START), |snapshot| snapshot.push(0), ResumeError::Corrupt);
     check_start_from_the_journal(
-        config(EPOCH),
+        config(PROCESS_START),
         |snapshot| snapshot[0] = 99,
         ResumeError::UnsupportedFormat(99),
     );
-    let other_settings = EngineConfig { settings_checksum: 2, ..config(EPOCH) };
+    let other_settings = EngineConfig { settings_checksum: 2, ..config(PROCESS_START) };
     check_start_from_the_journal(other_settings, |_| {}, ResumeError::SettingsMismatch);
 }
 
@@ -111,7 +118,7 @@
 fn a_snapshot_that_does_not_match_the_journal_is_ignored() {
     let disk = Disk::new(DISK, Crash::Process, 1);
     let (_, snapshot) = frozen(&disk);
-    let later = EPOCH + Duration::from_millis(5);
+    let later = PROCESS_START + Duration::from_millis(5);
     let mut between = engine(&disk, Crash::Process, later);
     between.handle(later, Input::Enqueue(Ticket(2), enqueue(2, "salary", 2)));
     between.turn(later).unwrap();
@@ -125,14 +132,14 @@
 fn the_snapshot_is_small_for_each_message() {
     let size = |messages: u64| {
         let disk = Disk::new(64 << 20, Crash::Process, 1);
-        let mut settings = config(EPOCH);
+        let mut settings = config(PROCESS_START);
         settings.parsed_settings.settings.most_held = 20_000;
         let journal = Journal::replay(disk.clone(), 64 << 20, Options::default(), 7).unwrap();
         let mut engine = Engine::new(settings, journal);
         for number in 1..=messages {
-            engine.handle(EPOCH, Input::Enqueue(Ticket(number), enqueue(number, "salary", 1)));
+            engine.handle(PROCESS_START, Input::Enqueue(Ticket(number), enqueue(number, "salary", 1)));
         }
-        engine.freeze(EPOCH).unwrap().1.unwrap().len() as u64
+        engine.freeze(PROCESS_START).unwrap().1.unwrap().len() as u64
     };
     let (few, many) = (size(100), size(10_000));
     println!("{few} bytes with 100 messages, {many} with 10,000");
--- a/crates/gullcart-engine/tests/common/mod.rs
+++ b/crates/gullcart-engine/tests/common/mod.rs
@@ -12,8 +12,8 @@
 
 /// Size of the simulated folder in bytes.
 pub const DISK: u64 = 256 << 10;
-/// Unix time of `EPOCH` in milliseconds.
-pub const START_MS: u64 = 1_790_000_000_000;
+/// Unix time of `PROCESS_START` in milliseconds.
+pub const START_UNIX_MS: u64 = 1_790_000_000_000;
 
 /// The list's entry of endpoint `s-<number>`, which listens on port 1000 + `number`.
 pub fn target(number: u32, state: &str) -> Target {
@@ -70,7 +70,7 @@
         seed: 7,
         initial_list: Update { rev: 1, all: true, targets },
         now,
-        epoch_ms: START_MS,
+        start_unix_ms: START_UNIX_MS,
         settings_checksum: 1,
         #[cfg(feature = "broken")]
         fault_injector: Default::default(),
--- a/crates/gullcart-engine/tests/listing_cost.rs
+++ b/crates/gullcart-engine/tests/listing_cost.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use gullcart_engine::{Engine, Input, EPOCH};
+use gullcart_engine::{Engine, Input, PROCESS_START};
 use gullcart_journal::simulated::{Crash, Disk};
 use gullcart_journal::Journal;
 use gullcart_message::{Target, Update};
@@ -11,7 +11,9 @@
 
 /// Size of the simulated folder in bytes.
 const LARGE_DISK: u64 = 64 << 20;
+/// Number of changes that are timed.
 const CHANGES: u64 = 1_000;
+/// A turn of the engine ends after this number of changes.
 const TURN_EVERY: u64 = 50;
 /// Maximum ratio of the times in the long and the short list. The long one has thirty times as many endpoints, so a search
 /// through all of them would exceed it.
@@ -25,18 +27,18 @@
 fn min_change_time(count: u32) -> Duration {
     let disk = Disk::new(LARGE_DISK, Crash::Process, 1);
     let journal = Journal::replay(disk, LARGE_DISK, options(Crash::Process), 7).unwrap();
-    let mut config = config(EPOCH);
+    let mut config = config(PROCESS_START);
     config.initial_list.targets = (0..count).map(|number| endpoint(number, 20.0)).collect();
     let mut courier = Engine::new(config, journal);
-    courier.turn(EPOCH).unwrap();
+    courier.turn(PROCESS_START).unwrap();
     let change_time = |rev: u64| {
         let number = (rev * 7919 % u64::from(count)) as u32;
         let change = Update { rev, all: false, targets: vec![endpoint(number, 20.0 + rev as f64)] };
         let started_at = Instant::now();
-        courier.handle(EPOCH, Input::ListUpdate(change));
+        courier.handle(PROCESS_START, Input::ListUpdate(change));
         let took = started_at.elapsed();
         if rev.is_multiple_of(TURN_EVERY) {
-            courier.turn(EPOCH).unwrap();
+            courier.turn(PROCESS_START).unwrap();
         }
         took
     };
--- a/crates/gullcart-engine/tests/once.rs
+++ b/crates/gullcart-engine/tests/once.rs
@@ -11,9 +11,9 @@
 
 use bytes::Bytes;
 use cloverstile::{parse_settings_json, MessageId, Outcome, Time};
-use common::{journal, DISK, START_MS};
+use common::{journal, DISK, START_UNIX_MS};
 use gullcart_engine::{
-    Answer, Call, CallResult, Effect, Engine, EngineConfig, Enqueue, Input, StopReason, Ticket, EPOCH,
+    Answer, Call, CallResult, Effect, Engine, EngineConfig, Enqueue, Input, StopReason, Ticket, PROCESS_START,
 };
 use gullcart_journal::simulated::{Crash, Disk, Fault};
 use gullcart_message::{Target, Update, Verdict};
@@ -34,10 +34,10 @@
 }
 
 /// Settings with a class of each kind. The repeat window is short compared to the time that a connection may take.
-fn config(now: Time, epoch_ms: u64) -> EngineConfig {
-    let class = |name: &str, effect: &str, group: &str, order: bool| {
+fn config(now: Time, start_unix_ms: u64) -> EngineConfig {
+    let class = |name: &str, effect: &str, group: &str, is_ordered: bool| {
         json!({
-            "Name": name, "Effect": effect, "Group": group, "RepeatWindow": REPEAT_WINDOW.as_nanos() as u64, "OneAtATime": order,
+            "Name": name, "Effect": effect, "Group": group, "RepeatWindow": REPEAT_WINDOW.as_nanos() as u64, "OneAtATime": is_ordered,
             "Worth": 1.0, "LateShare": 0.5, "Aim": 1_000_000_000_u64, "Deadline": DEADLINE.as_nanos() as u64,
         })
     };
@@ -53,14 +53,14 @@
     });
     EngineConfig {
         parsed_settings: parse_settings_json(&settings).unwrap(),
-        seed: now.0 ^ epoch_ms,
+        seed: now.0 ^ start_unix_ms,
         initial_list: Update {
             rev: 1,
             all: true,
             targets: (0..ENDPOINTS).map(|n| target(n, initial_zone(n))).collect(),
         },
         now,
-        epoch_ms,
+        start_unix_ms,
         settings_checksum: 1,
         #[cfg(feature = "broken")]
         fault_injector: Default::default(),
@@ -141,11 +141,11 @@
 impl Simulation {
     fn new(seed: u64) -> Self {
         let disk = Disk::new(DISK, Crash::Process, seed);
-        let engine = Engine::new(config(EPOCH, START_MS), journal(&disk, Crash::Process));
+        let engine = Engine::new(config(PROCESS_START, START_UNIX_MS), journal(&disk, Crash::Process));
         Simulation {
             disk,
             engine,
-            now: EPOCH,
+            now: PROCESS_START,
             rng: fastrand::Rng::with_seed(seed),
             in_flight: BTreeMap::new(),
             received: BTreeMap::new(),
@@ -161,7 +161,7 @@
 
     /// Records an event, to be printed if a check fails.
     fn record(&mut self, event: String) {
-        let at = (self.now - EPOCH).as_millis();
+        let at = (self.now - PROCESS_START).as_millis();
         self.events.push(format!("{at:>7} {event}"));
     }
 
@@ -252,6 +252,7 @@
             (Sent::All, 6..=8) => {
                 self.never_ran(&id);
                 let wait = self.rng.bool().then(|| ms(50));
+                // Nine times in ten the call is rejected with backpressure; otherwise one of the three outcomes is drawn.
                 let outcomes = [Outcome::Full(wait), Outcome::Moot, Outcome::Spent];
                 let outcome = outcomes[usize::from(self.rng.u8(..20) / 18) * self.rng.usize(..3)];
                 self.end_call(message, outcome);
@@ -283,7 +284,7 @@
             }
             32 => {
                 let operation = self.disk.operations() + self.rng.u64(1..4);
-                (0..self.rng.u64(1..80)).for_each(|more| self.disk.fail(operation + more, Fault::Error));
+                (0..self.rng.u64(1..80)).for_each(|offset| self.disk.fail(operation + offset, Fault::Error));
             }
             33 | 36 => self.disk.mend(),
             34 if self.rng.u8(..4) == 0 => self.kill(),
@@ -340,13 +341,13 @@
         self.disk.mend();
         let downtime = ms(self.rng.u64(..1500));
         // The next process reads the wall clock anew, which was sometimes set back.
-        let wall_ms = START_MS + (self.now + downtime - EPOCH).as_millis() as u64;
+        let wall_ms = START_UNIX_MS + (self.now + downtime - PROCESS_START).as_millis() as u64;
         self.now = self.now + downtime;
         let set_back_ms = if self.rng.u8(..5) == 0 { 20_000 } else { 0 };
         // The engine's own time continues, so that it stays comparable to the simulation's.
-        let passed_ms = (self.now - EPOCH).as_millis() as u64;
-        let epoch_ms = wall_ms - passed_ms - set_back_ms;
-        self.engine = Engine::new(config(self.now, epoch_ms), journal(&self.disk, Crash::Process));
+        let passed_ms = (self.now - PROCESS_START).as_millis() as u64;
+        let start_unix_ms = wall_ms - passed_ms - set_back_ms;
+        self.engine = Engine::new(config(self.now, start_unix_ms), journal(&self.disk, Crash::Process));
         self.send_whole_list();
     }
 
@@ -382,7 +383,7 @@
             snapshot.truncate(snapshot.len() / 2);
         }
         let journal = journal(&self.disk, Crash::Process);
-        let (engine, resumed) = Engine::resume(config(self.now, START_MS), journal, &snapshot);
+        let (engine, resumed) = Engine::resume(config(self.now, START_UNIX_MS), journal, &snapshot);
         assert!(resumed.is_err() || !is_damaged);
         // The engine starts from the journal alone, even if some records could not be written before.
         if resumed.is_err() {
@@ -414,7 +415,7 @@
                     if self.in_flight.insert(message, network_call).is_some() {
                         self.fail(&id, "two calls for the message are in flight");
                     }
-                    // This is wrong even before the call is sent.
+                    // Such a call must not even be started, as it may be sent at any time.
                     if self.received[&id].class == "salary" && !self.received[&id].may_have_run.is_empty() {
                         self.fail(&id, "a call for a message that must not run twice is started again");
                     }
@@ -490,7 +491,7 @@
     (simulation.repeats, simulation.received.len())
 }
 
-/// Reads a number from the environment.
+/// Reads a number from an environment variable, to simulate other seeds or more of them.
 fn env_or(name: &str, default: u64) -> u64 {
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
--- a/crates/gullcart-engine/tests/orders.rs
+++ b/crates/gullcart-engine/tests/orders.rs
@@ -5,7 +5,7 @@
 use cloverstile::{MessageId, Outcome, Time};
 use common::*;
 use gullcart_engine::{
-    CallResult, CommandError, Effect, Engine, Input, OperatorCommand, StopReason, Ticket, EPOCH,
+    CallResult, CommandError, Effect, Engine, Input, OperatorCommand, StopReason, Ticket, PROCESS_START,
 };
 use gullcart_journal::simulated::{Crash, Disk, Fault};
 use gullcart_message::{Target, Update};
@@ -56,13 +56,13 @@
 #[test]
 fn a_suspension_outlasts_all_list_updates_and_the_process() {
     let disk = Disk::new(DISK, Crash::Process, 1);
-    let mut courier = engine(&disk, Crash::Process, EPOCH);
-    assert_eq!(suspend(&mut courier, EPOCH, "s-2"), Ok(()));
-    assert_eq!(suspend(&mut courier, EPOCH, "s-2"), Ok(()));
-    assert!(!called_endpoints(&mut courier, 100, EPOCH).contains(&2));
+    let mut courier = engine(&disk, Crash::Process, PROCESS_START);
+    assert_eq!(suspend(&mut courier, PROCESS_START, "s-2"), Ok(()));
+    assert_eq!(suspend(&mut courier, PROCESS_START, "s-2"), Ok(()));
+    assert!(!called_endpoints(&mut courier, 100, PROCESS_START).contains(&2));
     let moved = Target { endpoint: "127.0.0.1:1009".to_owned(), ..target(2, "SERVING") };
     let whole: Vec<Target> = (0..8).map(|number| target(number, "SERVING")).collect();
-    let mut now = EPOCH + Duration::from_secs(10);
+    let mut now = PROCESS_START + Duration::from_secs(10);
     for (index, update) in [
         list_update(false, 2, vec![target(2, "DRAINING")]),
         list_update(false, 3, vec![target(2, "SERVING")]),
@@ -84,7 +84,7 @@
     let disk = disk.crashed();
     let mut next = engine(&disk, Crash::Process, now);
     assert!(!called_endpoints(&mut next, 5000, now).contains(&9));
-    let (result, _) = execute(&mut next, now, OperatorCommand::Restore("s-2".to_owned()));
+    let (result, _) = execute(&mut next, now, OperatorCommand::Unsuspend("s-2".to_owned()));
     assert_eq!(result, Ok(()));
     let later = now + Duration::from_secs(20);
     assert!(called_endpoints(&mut next, 6000, later).contains(&9));
@@ -94,50 +94,50 @@
 #[test]
 fn only_endpoints_that_were_listed_once_are_known() {
     let disk = Disk::new(DISK, Crash::Process, 1);
-    let mut courier = engine(&disk, Crash::Process, EPOCH);
-    assert_eq!(suspend(&mut courier, EPOCH, "s-77"), Err(CommandError::UnknownEndpoint));
+    let mut courier = engine(&disk, Crash::Process, PROCESS_START);
+    assert_eq!(suspend(&mut courier, PROCESS_START, "s-77"), Err(CommandError::UnknownEndpoint));
     assert_eq!(
-        execute(&mut courier, EPOCH, OperatorCommand::Restore("s-77".to_owned())).0,
+        execute(&mut courier, PROCESS_START, OperatorCommand::Unsuspend("s-77".to_owned())).0,
         Err(CommandError::UnknownEndpoint)
     );
-    courier.handle(EPOCH, list_update(false, 2, vec![target(2, "DELETED")]));
-    courier.turn(EPOCH).unwrap();
+    courier.handle(PROCESS_START, list_update(false, 2, vec![target(2, "DELETED")]));
+    courier.turn(PROCESS_START).unwrap();
     drop(courier);
     // The next process knows the endpoint, too, and keeps it suspended when it is listed again.
     let disk = disk.crashed();
-    let mut next = engine(&disk, Crash::Process, EPOCH);
-    assert_eq!(suspend(&mut next, EPOCH, "s-2"), Ok(()));
-    next.handle(EPOCH, list_update(false, 3, vec![target(2, "SERVING")]));
-    assert!(!called_endpoints(&mut next, 100, EPOCH).contains(&2));
+    let mut next = engine(&disk, Crash::Process, PROCESS_START);
+    assert_eq!(suspend(&mut next, PROCESS_START, "s-2"), Ok(()));
+    next.handle(PROCESS_START, list_update(false, 3, vec![target(2, "SERVING")]));
+    assert!(!called_endpoints(&mut next, 100, PROCESS_START).contains(&2));
 }
 
 #[test]
 fn a_command_that_cannot_be_recorded_is_rejected_and_changes_nothing() {
     let disk = Disk::new(DISK, Crash::Process, 1);
-    let mut courier = engine(&disk, Crash::Process, EPOCH);
-    courier.turn(EPOCH).unwrap();
+    let mut courier = engine(&disk, Crash::Process, PROCESS_START);
+    courier.turn(PROCESS_START).unwrap();
     for operation in 1..200 {
         disk.fail(disk.operations() + operation, Fault::Error);
     }
-    assert_eq!(suspend(&mut courier, EPOCH, "s-2"), Err(CommandError::NotRecorded));
-    assert_eq!(courier.metrics(EPOCH).endpoints_excluded, 0);
+    assert_eq!(suspend(&mut courier, PROCESS_START, "s-2"), Err(CommandError::NotRecorded));
+    assert_eq!(courier.metrics(PROCESS_START).endpoints_excluded, 0);
     disk.mend();
-    assert!(called_endpoints(&mut courier, 100, EPOCH).contains(&2));
+    assert!(called_endpoints(&mut courier, 100, PROCESS_START).contains(&2));
 }
 
 #[test]
 fn unsent_calls_are_withdrawn_and_idle_connections_closed() {
     let disk = Disk::new(DISK, Crash::Process, 1);
-    let mut courier = engine(&disk, Crash::Process, EPOCH);
-    courier.handle(EPOCH, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
-    let effects = courier.turn(EPOCH).unwrap();
+    let mut courier = engine(&disk, Crash::Process, PROCESS_START);
+    courier.handle(PROCESS_START, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
+    let effects = courier.turn(PROCESS_START).unwrap();
     let call = effects.iter().find_map(|effect| match effect {
         Effect::StartCall(call) => Some(call.clone()),
         _ => None,
     });
     let call = call.expect("a call");
     let uid = format!("s-{}", call.address.port() - 1000);
-    let (result, effects) = execute(&mut courier, EPOCH, OperatorCommand::Suspend(uid));
+    let (result, effects) = execute(&mut courier, PROCESS_START, OperatorCommand::Suspend(uid));
     assert_eq!(result, Ok(()));
     assert!(effects.contains(&Effect::StopCall(call.message, StopReason::Withdrawn)), "{effects:?}");
     assert!(effects.contains(&Effect::CloseIdle(call.endpoint)), "{effects:?}");
@@ -146,15 +146,15 @@
 #[test]
 fn an_attempt_is_counted_once_when_it_is_written_and_a_message_once_when_it_ends() {
     let disk = Disk::new(DISK, Crash::Process, 1);
-    let mut courier = engine(&disk, Crash::Process, EPOCH);
-    let called = called_endpoints(&mut courier, 1, EPOCH);
-    let metrics = courier.metrics(EPOCH);
-    assert_eq!(metrics.attempts, called.len() as u64);
+    let mut courier = engine(&disk, Crash::Process, PROCESS_START);
+    let called = called_endpoints(&mut courier, 1, PROCESS_START);
+    let metrics = courier.metrics(PROCESS_START);
+    assert_eq!(metrics.calls_written, called.len() as u64);
     let salary = metrics.classes.iter().find(|(name, _)| name == "salary").unwrap();
     assert_eq!(salary.1.served, called.len() as u64);
     // A message without a call in flight and a repeated acknowledgement are not counted.
-    courier.handle(EPOCH, Input::CallWritten(MessageId(1)));
-    courier.handle(EPOCH, Input::NoticesAcknowledged(vec![MessageId(1)]));
-    courier.turn(EPOCH).unwrap();
-    assert_eq!(courier.metrics(EPOCH), metrics);
+    courier.handle(PROCESS_START, Input::CallWritten(MessageId(1)));
+    courier.handle(PROCESS_START, Input::NoticesAcknowledged(vec![MessageId(1)]));
+    courier.turn(PROCESS_START).unwrap();
+    assert_eq!(courier.metrics(PROCESS_START), metrics);
 }
--- a/crates/gullcart-engine/tests/promises.rs
+++ b/crates/gullcart-engine/tests/promises.rs
@@ -6,7 +6,7 @@
 use cloverstile::{EndpointId, MessageId, Outcome, Time};
 use common::*;
 use gullcart_engine::{
-    Answer, CallResult, Effect, Engine, Enqueue, Input, OperatorCommand, StopReason, Ticket, EPOCH,
+    Answer, CallResult, Effect, Engine, Enqueue, Input, OperatorCommand, StopReason, Ticket, PROCESS_START,
 };
 use gullcart_journal::simulated::{Crash, Disk, Fault};
 use gullcart_journal::{Image, Journal};
@@ -31,9 +31,9 @@
             Effect::StartCall(call) => image.held.get(&call.message.0).is_some_and(|held| held.out.is_some()),
             Effect::CommandResult(ticket, Ok(())) => match commands.get(ticket) {
                 // The last command for an endpoint in a turn decides.
-                Some(OperatorCommand::Suspend(uid) | OperatorCommand::Restore(uid)) => {
+                Some(OperatorCommand::Suspend(uid) | OperatorCommand::Unsuspend(uid)) => {
                     let last = commands.values().rev().find(|command| match command {
-                        OperatorCommand::Suspend(other) | OperatorCommand::Restore(other) => other == uid,
+                        OperatorCommand::Suspend(other) | OperatorCommand::Unsuspend(other) => other == uid,
                     });
                     image.suspended.contains(uid) == matches!(last, Some(OperatorCommand::Suspend(_)))
                 }
@@ -70,13 +70,13 @@
 impl Simulation {
     fn new(seed: u64, crash: Crash) -> Self {
         let disk = Disk::new(DISK, crash, seed);
-        let engine = engine(&disk, crash, EPOCH);
+        let engine = engine(&disk, crash, PROCESS_START);
         let rng = fastrand::Rng::with_seed(seed);
         Simulation {
             disk,
             crash,
             engine,
-            now: EPOCH,
+            now: PROCESS_START,
             rng,
             in_flight: BTreeMap::new(),
             notices: BTreeSet::new(),
@@ -94,7 +94,7 @@
                 let command = if self.rng.bool() {
                     OperatorCommand::Suspend(uid)
                 } else {
-                    OperatorCommand::Restore(uid)
+                    OperatorCommand::Unsuspend(uid)
                 };
                 self.last_number += 1;
                 self.commands.insert(Ticket(self.last_number), command.clone());
@@ -196,8 +196,8 @@
         let effects = simulation.turn();
         let counts = simulation.engine.counts();
         let unfinished = counts.unfinished();
-        let in_flight = simulation.engine.metrics(simulation.now).in_flight;
-        assert_eq!(unfinished, in_flight as u64, "seed {seed}, turn {turn}: {counts:?}");
+        let pending = simulation.engine.metrics(simulation.now).messages_pending;
+        assert_eq!(unfinished, pending as u64, "seed {seed}, turn {turn}: {counts:?}");
         for effect in &effects {
             let Effect::StartCall(call) = effect else { continue };
             let uid = format!("s-{}", call.address.port() - 1000);
@@ -254,9 +254,9 @@
 #[test]
 fn the_check_detects_a_broken_promise() {
     let disk = Disk::new(DISK, Crash::Machine, 1);
-    let mut engine = engine(&disk, Crash::Process, EPOCH);
-    engine.handle(EPOCH, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
-    let effects = engine.turn(EPOCH).unwrap();
+    let mut engine = engine(&disk, Crash::Process, PROCESS_START);
+    engine.handle(PROCESS_START, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
+    let effects = engine.turn(PROCESS_START).unwrap();
     let is_promise_lost = (0..50).any(|_| {
         // Nothing was synced, so after the crash the folder may hold any part of the data, or be damaged.
         match Journal::replay(disk.crashed(), DISK, options(Crash::Process), 7) {
@@ -270,14 +270,14 @@
 #[test]
 fn without_a_writable_journal_messages_are_rejected_and_no_call_is_made() {
     let disk = Disk::new(DISK, Crash::Process, 1);
-    let mut engine = engine(&disk, Crash::Process, EPOCH);
-    engine.handle(EPOCH, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
+    let mut engine = engine(&disk, Crash::Process, PROCESS_START);
+    engine.handle(PROCESS_START, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
     for operation in 1..200 {
         disk.fail(disk.operations() + operation, Fault::Error);
     }
     // The first message was accepted while the journal was writable, but the start of its attempt cannot be recorded.
-    engine.handle(EPOCH, Input::Enqueue(Ticket(2), enqueue(2, "salary", 1)));
-    let effects = engine.turn(EPOCH).unwrap();
+    engine.handle(PROCESS_START, Input::Enqueue(Ticket(2), enqueue(2, "salary", 1)));
+    let effects = engine.turn(PROCESS_START).unwrap();
     let answers: Vec<&Effect> =
         effects.iter().filter(|effect| matches!(effect, Effect::Answer(..))).collect();
     assert!(matches!(answers[0], Effect::Answer(Ticket(1), Answer::Taken(_))), "{answers:?}");
@@ -286,7 +286,7 @@
     assert!(engine.next_wake().is_some());
     disk.mend();
     // Once the journal is writable again the attempt is made.
-    let mut now = EPOCH;
+    let mut now = PROCESS_START;
     for _ in 0..50 {
         now = now + Duration::from_millis(100);
         if engine.turn(now).unwrap().iter().any(|effect| matches!(effect, Effect::StartCall(_))) {
@@ -302,15 +302,15 @@
 fn without_a_writable_journal_a_message_fails_instead_of_being_returned() {
     for is_writable in [true, false] {
         let disk = Disk::new(DISK, Crash::Process, 1);
-        let mut engine = engine(&disk, Crash::Process, EPOCH);
+        let mut engine = engine(&disk, Crash::Process, PROCESS_START);
         let targets = (0..8).map(|number| target(number, "DRAINING")).collect();
-        engine.handle(EPOCH, Input::ListUpdate(Update { rev: 2, all: true, targets }));
-        engine.handle(EPOCH, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
-        engine.turn(EPOCH).unwrap();
+        engine.handle(PROCESS_START, Input::ListUpdate(Update { rev: 2, all: true, targets }));
+        engine.handle(PROCESS_START, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
+        engine.turn(PROCESS_START).unwrap();
         for operation in 1..500 * u64::from(!is_writable) {
             disk.fail(disk.operations() + operation, Fault::Error);
         }
-        let late = EPOCH + Duration::from_secs(21);
+        let late = PROCESS_START + Duration::from_secs(21);
         let verdict = |effect: &Effect| match effect {
             Effect::SendNotice(notice) => Some(notice.verdict),
             _ => None,
@@ -324,23 +324,23 @@
 #[test]
 fn a_failed_sync_is_final_and_releases_no_effects() {
     let disk = Disk::new(DISK, Crash::Machine, 1);
-    let mut engine = engine(&disk, Crash::Machine, EPOCH);
-    engine.turn(EPOCH).unwrap();
-    engine.handle(EPOCH, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
+    let mut engine = engine(&disk, Crash::Machine, PROCESS_START);
+    engine.turn(PROCESS_START).unwrap();
+    engine.handle(PROCESS_START, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
     disk.refuse(true);
-    assert!(engine.turn(EPOCH).is_err());
+    assert!(engine.turn(PROCESS_START).is_err());
 }
 
 #[test]
 fn a_client_that_enqueues_a_message_again_is_told_that_it_is_held() {
     let disk = Disk::new(DISK, Crash::Process, 1);
-    let mut engine = engine(&disk, Crash::Process, EPOCH);
+    let mut engine = engine(&disk, Crash::Process, PROCESS_START);
     for ticket in 1..=2 {
-        engine.handle(EPOCH, Input::Enqueue(Ticket(ticket), enqueue(1, "salary", 1)));
+        engine.handle(PROCESS_START, Input::Enqueue(Ticket(ticket), enqueue(1, "salary", 1)));
     }
     let other = Enqueue { body: Bytes::from_static(b"other"), ..enqueue(1, "salary", 1) };
-    engine.handle(EPOCH, Input::Enqueue(Ticket(3), other));
-    let effects = engine.turn(EPOCH).unwrap();
+    engine.handle(PROCESS_START, Input::Enqueue(Ticket(3), other));
+    let effects = engine.turn(PROCESS_START).unwrap();
     let answer = |number| {
         let answer_to = |effect: &Effect| match effect {
             Effect::Answer(Ticket(ticket), answer) if *ticket == number => Some(answer.clone()),
@@ -352,23 +352,23 @@
     assert_eq!(answer(2), Some(Answer::Held));
     assert!(matches!(answer(3), Some(Answer::Error(_))));
     // The client did not receive the first answer, but the second one, so the message stays.
-    engine.handle(EPOCH, Input::AnswerUnacknowledged(MessageId(1)));
+    engine.handle(PROCESS_START, Input::AnswerUnacknowledged(MessageId(1)));
     assert_eq!(engine.load().0, 1);
 }
 
 #[test]
 fn the_process_exits_early_if_nothing_is_held_and_in_time_otherwise() {
     let disk = Disk::new(DISK, Crash::Process, 1);
-    let mut engine = engine(&disk, Crash::Process, EPOCH);
-    engine.handle(EPOCH, Input::Terminate);
-    assert!(engine.turn(EPOCH).unwrap().contains(&Effect::AnnounceShutdown));
-    assert!(!engine.may_exit(EPOCH + Duration::from_millis(599)));
-    assert!(engine.may_exit(EPOCH + Duration::from_millis(600)));
-    engine.handle(EPOCH, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
-    engine.turn(EPOCH).unwrap();
-    assert!(!engine.may_exit(EPOCH + Duration::from_millis(3199)));
-    assert!(engine.may_exit(EPOCH + Duration::from_millis(3200)));
-    assert!(engine.next_wake().is_some_and(|at| at <= EPOCH + Duration::from_millis(3200)));
+    let mut engine = engine(&disk, Crash::Process, PROCESS_START);
+    engine.handle(PROCESS_START, Input::Terminate);
+    assert!(engine.turn(PROCESS_START).unwrap().contains(&Effect::AnnounceShutdown));
+    assert!(!engine.may_exit(PROCESS_START + Duration::from_millis(599)));
+    assert!(engine.may_exit(PROCESS_START + Duration::from_millis(600)));
+    engine.handle(PROCESS_START, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
+    engine.turn(PROCESS_START).unwrap();
+    assert!(!engine.may_exit(PROCESS_START + Duration::from_millis(3199)));
+    assert!(engine.may_exit(PROCESS_START + Duration::from_millis(3200)));
+    assert!(engine.next_wake().is_some_and(|at| at <= PROCESS_START + Duration::from_millis(3200)));
     let image = image_after_crash(&disk, Crash::Process);
     assert!(image.held.values().all(|held| held.verdict != Some(Verdict::Returned { after_ms: 0 })));
 }
@@ -378,33 +378,37 @@
 #[test]
 fn an_attempt_that_is_not_made_does_not_change_the_outcome_of_the_previous_one() {
     let disk = Disk::new(DISK, Crash::Process, 1);
-    let mut engine = engine(&disk, Crash::Process, EPOCH);
-    engine.handle(EPOCH, Input::Enqueue(Ticket(1), enqueue(1, "notice", 1)));
+    let mut engine = engine(&disk, Crash::Process, PROCESS_START);
+    engine.handle(PROCESS_START, Input::Enqueue(Ticket(1), enqueue(1, "notice", 1)));
     let started_call = |effects: &[Effect]| {
         effects.iter().find_map(|effect| match effect {
             Effect::StartCall(call) => Some((call.message, call.endpoint)),
             _ => None,
         })
     };
-    let (message, endpoint) = started_call(&engine.turn(EPOCH).unwrap()).unwrap();
+    let (message, endpoint) = started_call(&engine.turn(PROCESS_START).unwrap()).unwrap();
     for operation in 1..2000 {
         disk.fail(disk.operations() + operation, Fault::Error);
     }
     let latency = Duration::from_millis(40);
     let reset = CallResult { outcome: Outcome::Reset, latency, is_final: false, allowance: None };
-    engine.handle(EPOCH, Input::CallEnded(message, endpoint, reset));
+    engine.handle(PROCESS_START, Input::CallEnded(message, endpoint, reset));
     // Another process resumes the engine; its journal lacks the outcome. The retry is due, but its start cannot be recorded.
-    let snapshot = engine.freeze(EPOCH).unwrap().1.unwrap();
+    let snapshot = engine.freeze(PROCESS_START).unwrap().1.unwrap();
     disk.mend();
-    let (mut engine, resumed) = Engine::resume(config(EPOCH), journal(&disk, Crash::Process), &snapshot);
+    let (mut engine, resumed) =
+        Engine::resume(config(PROCESS_START), journal(&disk, Crash::Process), &snapshot);
     assert_eq!(resumed, Ok(()));
     for operation in 1..2000 {
         disk.fail(disk.operations() + operation, Fault::Error);
     }
-    let mut now = EPOCH;
+    let mut now = PROCESS_START;
     while engine.next_wake() != Some(Time::ZERO) {
         now = now + Duration::from_millis(5);
-        assert!(started_call(&engine.turn(now).unwrap()).is_none() && now < EPOCH + Duration::from_secs(5));
+        assert!(
+            started_call(&engine.turn(now).unwrap()).is_none()
+                && now < PROCESS_START + Duration::from_secs(5)
+        );
     }
     disk.mend();
     disk.capture(1);
--- a/crates/gullcart-engine/tests/taken_on.rs
+++ b/crates/gullcart-engine/tests/taken_on.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use gullcart_engine::{Answer, Effect, Engine, Input, Ticket, EPOCH};
+use gullcart_engine::{Answer, Effect, Engine, Input, Ticket, PROCESS_START};
 use gullcart_journal::simulated::{Crash, Disk};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -40,8 +40,11 @@
 fn fill(engine: &mut Engine<Disk>, numbers: std::ops::Range<u64>, class: &str) -> EffectSummary {
     let mut all = EffectSummary::default();
     for number in numbers {
-        engine.handle(EPOCH, Input::Enqueue(Ticket(number), enqueue(number, class, (number % 4) as u32)));
-        let EffectSummary { accepted, rejected, notices, calls } = turn(engine, EPOCH);
+        engine.handle(
+            PROCESS_START,
+            Input::Enqueue(Ticket(number), enqueue(number, class, (number % 4) as u32)),
+        );
+        let EffectSummary { accepted, rejected, notices, calls } = turn(engine, PROCESS_START);
         all.accepted += accepted;
         all.rejected += rejected;
         all.notices.extend(notices);
@@ -50,12 +53,12 @@
     all
 }
 
-/// The settings allow 60 messages. From 56 on, couriers used to return the messages of least worth to make room, although they
-/// had told the clients that these were accepted.
+/// The settings allow 60 messages. Guards against returning accepted messages of low worth to make room, which happened with 56
+/// messages held.
 #[test]
 fn a_full_courier_rejects_new_messages_and_returns_none() {
     let disk = Disk::new(DISK, Crash::Process, 1);
-    let mut courier = engine(&disk, Crash::Process, EPOCH);
+    let mut courier = engine(&disk, Crash::Process, PROCESS_START);
     let seen = fill(&mut courier, 0..100, "salary");
     assert_eq!((seen.accepted, seen.rejected), (60, 40));
     assert_eq!(seen.notices, Vec::<String>::new());
@@ -65,7 +68,7 @@
 #[test]
 fn the_last_capacity_is_reserved_for_the_classes_with_the_highest_worth() {
     let disk = Disk::new(DISK, Crash::Process, 1);
-    let mut config = config(EPOCH);
+    let mut config = config(PROCESS_START);
     config.parsed_settings.settings.classes[1].worth = 3.0;
     let mut courier = Engine::new(config, journal(&disk, Crash::Process));
     let low_worth = fill(&mut courier, 0..100, "notice");
@@ -74,23 +77,23 @@
     assert!(low_worth.notices.is_empty() && high_worth.notices.is_empty());
 }
 
-/// A process is killed while it holds as many messages as it may, most of them untried. The next process tries them all. It used
-/// to return those of least worth in its first turn, without a call.
+/// A process is killed while it holds as many messages as it may, most of them untried. The next process has to try them all.
+/// Guards against returning those of low worth in its first turn, without a call.
 #[test]
 fn untried_messages_are_tried_after_a_restart() {
     let disk = Disk::new(DISK, Crash::Process, 1);
-    let mut courier = engine(&disk, Crash::Process, EPOCH);
+    let mut courier = engine(&disk, Crash::Process, PROCESS_START);
     let seen = fill(&mut courier, 0..60, "salary");
     assert_eq!(seen.accepted, 60);
     let tried: BTreeSet<String> = seen.calls.into_iter().collect();
     drop(courier);
     let disk = disk.crashed();
-    let mut now = EPOCH + Duration::from_secs(2);
+    let mut now = PROCESS_START + Duration::from_secs(2);
     let mut next = engine(&disk, Crash::Process, now);
     let mut calls = BTreeSet::new();
     let mut notices = BTreeSet::new();
-    // At the end half of the messages' time is left.
-    while now < EPOCH + Duration::from_secs(10) {
+    // Ends when half of the messages' time has passed.
+    while now < PROCESS_START + Duration::from_secs(10) {
         for effect in next.turn(now).unwrap() {
             match effect {
                 Effect::SendNotice(notice) => drop(notices.insert(notice.id)),
--- a/crates/gullcart-engine/tests/wide_destinations.rs
+++ b/crates/gullcart-engine/tests/wide_destinations.rs
@@ -4,11 +4,12 @@
 
 use cloverstile::Outcome;
 use common::*;
-use gullcart_engine::{Answer, Call, CallResult, Effect, Engine, Input, Ticket, EPOCH};
+use gullcart_engine::{Answer, Call, CallResult, Effect, Engine, Input, Ticket, PROCESS_START};
 use gullcart_journal::simulated::{Crash, Disk};
 use gullcart_message::{Target, Update};
 use std::time::Duration;
 
+/// Destination numbers at and beyond the limit of 16 bits.
 const WIDE: [u32; 3] = [65_535, 65_536, 1_600_000];
 /// Port of the first destination's endpoint. Each endpoint has its own port.
 const FIRST_PORT: u16 = 2000;
@@ -44,16 +45,16 @@
 #[test]
 fn wide_destinations_are_listed_accepted_replayed_and_served() {
     let disk = Disk::new(DISK, Crash::Process, 1);
-    let mut courier = engine(&disk, Crash::Process, EPOCH);
-    courier.handle(EPOCH, Input::ListUpdate(Update { rev: 2, all: false, targets: wide_targets() }));
+    let mut courier = engine(&disk, Crash::Process, PROCESS_START);
+    courier.handle(PROCESS_START, Input::ListUpdate(Update { rev: 2, all: false, targets: wide_targets() }));
     for (number, destination) in (1..).zip(WIDE) {
-        courier.handle(EPOCH, Input::Enqueue(Ticket(number), enqueue(number, "notice", destination)));
+        courier.handle(PROCESS_START, Input::Enqueue(Ticket(number), enqueue(number, "notice", destination)));
     }
-    let first_calls = calls(&mut courier, EPOCH);
+    let first_calls = calls(&mut courier, PROCESS_START);
     assert_eq!(ports(&first_calls), [FIRST_PORT, FIRST_PORT + 1, FIRST_PORT + 2]);
     // The process is killed with all calls in flight. The next one has the list and calls the same endpoints again.
     drop(courier);
-    let (disk, now) = (disk.crashed(), EPOCH + Duration::from_secs(1));
+    let (disk, now) = (disk.crashed(), PROCESS_START + Duration::from_secs(1));
     let mut courier = engine(&disk, Crash::Process, now);
     assert!(courier.journal().image().held.values().map(|held| held.taken.destination).eq(WIDE));
     let mut retries = Vec::new();
