--- a/crates/gullcart-console/src/answer.rs
+++ b/crates/gullcart-console/src/answer.rs
@@ -41,8 +41,8 @@
         // To the client an error is the same as a notice that it failed.
         line(&format!("failed.{class}"), failed + unfit, "c");
     }
-    line("attempts", reading.attempts, "c");
-    line("in_flight", reading.in_flight as u64, "g");
+    line("attempts", reading.calls_written, "c");
+    line("in_flight", reading.messages_pending as u64, "g");
     line("endpoints_known", reading.endpoints_known as u64, "g");
     line("endpoints_excluded", reading.endpoints_excluded as u64, "g");
     text.push_str("END\n");
--- a/crates/gullcart-console/src/answer/tests.rs
+++ b/crates/gullcart-console/src/answer/tests.rs
@@ -5,8 +5,8 @@
     let ends = ClassCounts { served: 812, rejected: 2, returned: 3, failed: 4, invalid: 1 };
     let reading = EngineMetrics {
         classes: vec![("pay-notice".to_owned(), ends)],
-        attempts: 830,
-        in_flight: 14,
+        calls_written: 830,
+        messages_pending: 14,
         endpoints_known: 26,
         endpoints_excluded: 2,
     };
--- a/crates/gullcart-emulator/src/courier.rs
+++ b/crates/gullcart-emulator/src/courier.rs
@@ -2,7 +2,7 @@
 
 use crate::address::Address;
 use cloverstile::{EndpointId, MessageId, Time};
-use gullcart_engine::{Engine, IdleConnectionPolicy, EPOCH};
+use gullcart_engine::{Engine, IdleConnectionPolicy, PROCESS_START};
 use gullcart_journal::simulated::{Crash, Disk};
 use gullcart_judge::trace::{At, CallId, EndpointId as TraceEndpoint, State};
 use gullcart_message::{ListingUpdate, Target};
@@ -51,12 +51,12 @@
 
     /// The module's time.
     pub fn time(&self, now: At) -> Time {
-        EPOCH + (now - self.started)
+        PROCESS_START + (now - self.started)
     }
 
     /// When that is; never too early.
     pub fn at(&self, time: Time) -> At {
-        let micros = (time - EPOCH).as_nanos().div_ceil(1000);
+        let micros = (time - PROCESS_START).as_nanos().div_ceil(1000);
         self.started + Duration::from_micros(micros as u64)
     }
 
--- a/crates/gullcart-emulator/src/processes.rs
+++ b/crates/gullcart-emulator/src/processes.rs
@@ -6,7 +6,7 @@
 use crate::world::World;
 use cloverstile::EndpointId;
 use gullcart_engine::{
-    Answer, Effect, Engine, EngineConfig, IdleConnectionPolicy, Input, Notice, Ticket, EPOCH,
+    Answer, Effect, Engine, EngineConfig, IdleConnectionPolicy, Input, Notice, Ticket, PROCESS_START,
 };
 use gullcart_journal::simulated::Disk;
 use gullcart_journal::{Journal, Options};
@@ -66,8 +66,8 @@
             parsed_settings: parsed,
             seed,
             initial_list: place.agent.list(),
-            now: EPOCH,
-            epoch_ms: BEGIN_MS + self.now.0 / 1000,
+            now: PROCESS_START,
+            start_unix_ms: BEGIN_MS + self.now.0 / 1000,
             settings_checksum: 0,
             #[cfg(feature = "broken")]
             fault_injector: broken,
--- a/crates/gullcart-engine/src/broken.rs
+++ b/crates/gullcart-engine/src/broken.rs
@@ -143,11 +143,11 @@
     /// Applies the fault to the result of a call.
     pub fn alter_call_result(&self, result: CallResult) -> CallResult {
         let is_ambiguous =
-            matches!(result.outcome, Outcome::Reset | Outcome::Timeout | Outcome::Error | Outcome::Spoilt);
+            matches!(result.outcome, Outcome::Reset | Outcome::Timeout | Outcome::Error | Outcome::Malformed);
         let outcome = match (self.fault, result.outcome) {
             (Some(Fault::ResendsUnsafe), _) if is_ambiguous => Outcome::ConnectFailed,
-            (Some(Fault::IgnoresWait), Outcome::Full(Some(_))) => Outcome::Full(None),
-            (Some(Fault::HalvesWait), Outcome::Full(Some(wait))) => Outcome::Full(Some(wait / 2)),
+            (Some(Fault::IgnoresWait), Outcome::Rejected(Some(_))) => Outcome::Rejected(None),
+            (Some(Fault::HalvesWait), Outcome::Rejected(Some(wait))) => Outcome::Rejected(Some(wait / 2)),
             (_, outcome) => outcome,
         };
         CallResult { outcome, ..result }
--- a/crates/gullcart-engine/src/engine.rs
+++ b/crates/gullcart-engine/src/engine.rs
@@ -37,7 +37,7 @@
 
 /// Result of an attempt whose call was not started, so that nothing was sent.
 const NOT_STARTED: CallResult =
-    CallResult { outcome: Outcome::Moot, latency: Duration::ZERO, is_final: false, allowance: None };
+    CallResult { outcome: Outcome::NotSent, latency: Duration::ZERO, is_final: false, allowance: None };
 
 /// A message that is held.
 struct HeldMessage {
@@ -137,7 +137,7 @@
         let mut engine = Engine::without_messages(config, journal);
         let snapshot = engine_snapshot::read(snapshot, engine.settings_checksum);
         let matches_journal = |snapshot: &EngineSnapshot| {
-            let held = &engine.journal.image().held;
+            let held = &engine.journal.state().pending;
             held.iter().all(|(number, held)| {
                 held.verdict.is_some() || snapshot.decision_logic.holds(MessageId(*number))
             }) && snapshot.in_flight.keys().all(|message| held.contains_key(&message.0))
@@ -233,8 +233,8 @@
     fn without_messages(config: EngineConfig, journal: Journal<S>) -> Self {
         let EngineConfig { parsed_settings: mut parsed, seed, start_unix_ms, settings_checksum, .. } = config;
         // Notices have to be acknowledged, and the process may stall.
-        parsed.settings.answers_take_time = true;
-        parsed.settings.held_up = MAX_PAUSE;
+        parsed.settings.acknowledged_answers = true;
+        parsed.settings.max_pause = MAX_PAUSE;
         let directory = Directory::new(&parsed);
         let settings = parsed.settings;
         let mut engine = Engine {
@@ -307,7 +307,7 @@
         }
         if let Some((_, token)) = self.wake_up.filter(|(at, _)| *at <= now) {
             self.wake_up = None;
-            self.decision_logic.handle(now, Event::TickDue(token));
+            self.decision_logic.handle(now, Event::TimerExpired(token));
         }
         self.apply_decisions(now);
         if let Some(error) = self.journal.take_maintenance_error() {
@@ -342,12 +342,13 @@
     /// Starts no more calls, as this process is about to exit. It may still accept messages, which the next process finds in the
     /// journal and sends.
     pub fn stop_calling(&mut self, now: Time) {
-        self.decision_logic.handle(now, Event::Closing(now));
+        self.decision_logic.handle(now, Event::ShutdownAt(now));
     }
 
     /// Restores the state from the journal alone. `initial_list` is the list of endpoints from the configuration.
-    fn restore_from_journal(&mut self, now: Time, initial_list: Update) {
-        let written = self.journal.destinations(initial_list.targets.iter().map(|target| target.pod_group));
+    fn restore_from_journal(&mut self, now: Time, initial_list: ListingUpdate) {
+        let written =
+            self.journal.add_destinations(initial_list.targets.iter().map(|target| target.pod_group));
         self.log_journal_error(now, written);
         let image = self.journal.state();
         // The list in the journal binds unless it is older: discovery counts it as known to this courier.
@@ -355,11 +356,11 @@
             let update = ListingUpdate { all: true, ..initial_list };
             let listing = self.directory.apply(&update);
             self.decision_logic.handle(now, Event::Listed(listing));
-            let written = self.journal.targets(&update);
+            let written = self.journal.update_listing(&update);
             self.log_journal_error(now, written);
         } else {
             let targets = image.targets.values().cloned().collect();
-            let listing = self.directory.apply(&Update { rev: image.rev, all: true, targets });
+            let listing = self.directory.apply(&ListingUpdate { rev: image.listing_rev, all: true, targets });
             self.decision_logic.handle(now, Event::Listed(listing));
         }
         self.suspend_listed(now);
@@ -378,7 +379,7 @@
                 slow_start_since: note.slow_start_since_ms.map(|ms| self.clock.from_unix_ms(ms)),
                 served_rate: note.served_per_second,
             };
-            self.decision_logic.handle(now, Event::Recalled(outage));
+            self.decision_logic.handle(now, Event::OutageRestored(outage));
         }
         let held: Vec<(u32, PendingMessage)> =
             self.journal.state().pending.iter().map(|(n, h)| (*n, h.clone())).collect();
@@ -418,7 +419,8 @@
             (sent, self.directory.configured_zone(zone))
         });
         let answered = held.verdict.is_some();
-        let restored = Restored { taken, attempts: held.attempts, maybe_ran, answered };
+        let restored =
+            Restored { accepted: taken, attempts: held.attempts, may_have_run: maybe_ran, answered };
         self.decision_logic.handle(now, Event::Restored(restored));
         if let Some(verdict) = held.verdict {
             self.effects.push(Effect::SendNotice(Notice { message, id: held.message.id.clone(), verdict }));
@@ -426,7 +428,7 @@
     }
 
     /// A message in the form of the decision logic; `None` if its class is not in the settings.
-    fn to_accepted(&self, number: u32, taken: &Taken) -> Option<Accepted> {
+    fn to_accepted(&self, number: u32, taken: &AcceptedMessage) -> Option<Accepted> {
         let class = self.class_id(&taken.class)?;
         Some(Accepted {
             id: MessageId(number),
@@ -485,7 +487,7 @@
                         message_trace::notice_acknowledged(&held.message.id);
                     }
                     self.complete(now, message);
-                    self.decision_logic.handle(now, Event::Heard(message));
+                    self.decision_logic.handle(now, Event::AnswerAcknowledged(message));
                 }
             }
             Input::Terminate if self.shutdown.is_some() => {}
@@ -494,7 +496,7 @@
                 info!(held, out, "told to end");
                 let latest_exit = now + MAX_SHUTDOWN;
                 self.shutdown = Some(Shutdown { earliest_exit: now + MIN_SHUTDOWN, latest_exit });
-                self.decision_logic.handle(now, Event::Closing(latest_exit));
+                self.decision_logic.handle(now, Event::ShutdownAt(latest_exit));
                 self.effects.push(Effect::AnnounceShutdown);
             }
         }
@@ -534,8 +536,8 @@
             return Err(Answer::Error("k is missing"));
         }
         let max_time_left = class.deadline;
-        if !admitted || self.journal.image().held.len() >= self.max_held {
-            return Err(Answer::Busy(Some(self.decision_logic.come_back(now, destination))));
+        if !admitted || self.journal.state().pending.len() >= self.max_held {
+            return Err(Answer::Busy(Some(self.decision_logic.retry_after(now, destination))));
         }
         Ok(max_time_left)
     }
@@ -570,7 +572,7 @@
             }
             Err(error) => {
                 self.log_journal_error(now, Err(error));
-                let answer = Answer::Busy(Some(self.decision_logic.come_back(now, destination)));
+                let answer = Answer::Busy(Some(self.decision_logic.retry_after(now, destination)));
                 message_trace::not_recorded(&id, &answer);
                 answer
             }
@@ -593,7 +595,7 @@
     }
 
     /// Applies an update of the list to the directory, the decision logic, the journal and the connections.
-    fn apply_list_update(&mut self, now: Time, update: Update) {
+    fn apply_list_update(&mut self, now: Time, update: ListingUpdate) {
         #[cfg(feature = "broken")]
         let update = self.fault_injector.alter_list_update(update);
         // A watch that is reopened often starts with an empty update.
@@ -614,7 +616,7 @@
 
     /// Applies the operators' suspensions, which hold whatever state the list gives to an endpoint.
     fn suspend_listed(&mut self, now: Time) {
-        for id in self.directory.set_suspended(&self.journal.image().suspended) {
+        for id in self.directory.set_suspended(&self.journal.state().suspended_uids) {
             self.decision_logic.handle(now, Event::Suspended(id));
         }
     }
@@ -703,8 +705,8 @@
                 }
             }
             // A delivery that may have come after the deadline, because this process was paused, still gets a failure notice.
-            if result.outcome == Outcome::Ok && !self.decision_logic.is_surely_in_time(now, message) {
-                let written = self.journal.owe(message.0, Verdict::Failed);
+            if result.outcome == Outcome::Ok && !self.decision_logic.is_certainly_in_time(now, message) {
+                let written = self.journal.set_verdict(message.0, Verdict::Failed);
                 self.log_journal_error(now, written);
                 self.send_notice(message, Verdict::Failed);
             } else {
@@ -780,7 +782,7 @@
                     self.effects.push(Effect::StopCall(message, StopReason::Cancelled));
                 }
             }
-            Action::Busy { message, after } => {
+            Action::Return { message, retry_after: after } => {
                 self.end_undelivered(now, message, Verdict::Returned { after_ms: after.as_millis() as u64 });
             }
             Action::ReportFailure { message } => {
@@ -910,10 +912,10 @@
     /// recorded at the first time, and as long as the journal has failed to write earlier records.
     fn record_outages(&mut self, now: Time) {
         let changed = self.decision_logic.take_changed_outages();
-        if !self.outages_synchronized || self.journal.is_behind() {
+        if !self.outages_synchronized || self.journal.has_unwritten_changes() {
             let notes = self.outages_for_journal(self.decision_logic.outages());
-            let is_lost = |note: &&OutageNote| note.lost.is_some();
-            let before = self.journal.image().outages().filter(is_lost).count();
+            let is_lost = |note: &&PersistedOutage| note.calls_were_lost.is_some();
+            let before = self.journal.state().outages().filter(is_lost).count();
             self.log_outage_count(now, before, notes.iter().filter(is_lost).count());
             let written = self.journal.set_outages(&notes);
             self.outages_synchronized = true;
@@ -939,7 +941,7 @@
     /// Whether the journal holds the current outages, or could not write them.
     fn journal_has_all_outages(&self) -> bool {
         let notes = self.outages_for_journal(self.decision_logic.outages());
-        self.journal.is_behind() || self.journal.image().has_outages(&notes)
+        self.journal.has_unwritten_changes() || self.journal.state().outages_match(&notes)
     }
 
     /// Converts outages to the journal's format.
@@ -987,20 +989,20 @@
             calls_written: self.counts.calls_written,
             messages_pending: self
                 .journal
-                .image()
-                .held
+                .state()
+                .pending
                 .values()
                 .filter(|held| held.verdict.is_none())
                 .count(),
             endpoints_known: self.directory.listed_count(),
-            endpoints_excluded: self.decision_logic.excluded(now),
+            endpoints_excluded: self.decision_logic.excluded_endpoints(now),
         }
     }
 
     /// Logs the counters and the waiting messages of each destination, if [`crate::DESTINATION_METRICS_TARGET`] is enabled. To
     /// be called once a second.
     pub fn log_destination_metrics(&mut self, now: Time) {
-        self.destination_metrics.log(self.decision_logic.standings(now));
+        self.destination_metrics.log(self.decision_logic.destination_statuses(now));
     }
 
     /// Logs what the counters gained since the last call. `max_delay` is the longest delay of the caller's loop since then.
--- a/crates/gullcart-engine/src/trial_duties.rs
+++ b/crates/gullcart-engine/src/trial_duties.rs
@@ -104,7 +104,7 @@
 
     /// Converts the outcome to moments in local time. They may be too late, as `agreed_at` is an upper bound. That is safe: the slow
     /// start then begins too late, and the retry-after time ends too late.
-    fn to_news(self, agreed_at: Time) -> News {
+    fn to_news(self, agreed_at: Time) -> PeerReport {
         match self {
             TrialOutcome::Served(ago) => PeerReport::Served(agreed_at - ago),
             TrialOutcome::RetryAfter(left) => PeerReport::RetryAfter(agreed_at + left),
@@ -264,7 +264,7 @@
             // A report made in this epoch concerned an earlier outage.
             self.own_report = None;
             let is_held_too_long = now - since > max_hold;
-            if !outing.waiting || is_held_too_long {
+            if !outing.has_messages || is_held_too_long {
                 requests.push(TrialRequest::PassOn(destination, max_hold.mul_f64(1.0 + random)));
                 return (true, TrialOwner::EachCourier);
             }
--- a/crates/gullcart-engine/tests/carried.rs
+++ b/crates/gullcart-engine/tests/carried.rs
@@ -61,7 +61,7 @@
     let mut before = engine(&disk, Crash::Process, PROCESS_START);
     before.handle(PROCESS_START, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
     let call = started_calls(&before.turn(PROCESS_START).unwrap()).remove(0);
-    let retry_after = Outcome::Full(Some(Duration::from_secs(2)));
+    let retry_after = Outcome::Rejected(Some(Duration::from_secs(2)));
     before.handle(PROCESS_START, Input::CallEnded(call.message, call.endpoint, call_result(retry_after)));
     let snapshot = before.freeze(PROCESS_START).unwrap().1.unwrap();
     let (mut engine, resumed) =
@@ -133,7 +133,7 @@
     let size = |messages: u64| {
         let disk = Disk::new(64 << 20, Crash::Process, 1);
         let mut settings = config(PROCESS_START);
-        settings.parsed_settings.settings.most_held = 20_000;
+        settings.parsed_settings.settings.max_held = 20_000;
         let journal = Journal::replay(disk.clone(), 64 << 20, Options::default(), 7).unwrap();
         let mut engine = Engine::new(settings, journal);
         for number in 1..=messages {
--- a/crates/gullcart-engine/tests/once.rs
+++ b/crates/gullcart-engine/tests/once.rs
@@ -54,7 +54,7 @@
     EngineConfig {
         parsed_settings: parse_settings_json(&settings).unwrap(),
         seed: now.0 ^ start_unix_ms,
-        initial_list: Update {
+        initial_list: ListingUpdate {
             rev: 1,
             all: true,
             targets: (0..ENDPOINTS).map(|n| target(n, initial_zone(n))).collect(),
@@ -253,7 +253,7 @@
                 self.never_ran(&id);
                 let wait = self.rng.bool().then(|| ms(50));
                 // Nine times in ten the call is rejected with backpressure; otherwise one of the three outcomes is drawn.
-                let outcomes = [Outcome::Full(wait), Outcome::Moot, Outcome::Spent];
+                let outcomes = [Outcome::Rejected(wait), Outcome::NotSent, Outcome::AttemptsExhausted];
                 let outcome = outcomes[usize::from(self.rng.u8(..20) / 18) * self.rng.usize(..3)];
                 self.end_call(message, outcome);
             }
@@ -286,7 +286,8 @@
             }
             32 => {
                 let operation = self.disk.operations() + self.rng.u64(1..4);
-                (0..self.rng.u64(1..80)).for_each(|offset| self.disk.fail(operation + offset, Fault::Error));
+                (0..self.rng.u64(1..80))
+                    .for_each(|offset| self.disk.inject_fault(operation + offset, Fault::Error));
             }
             33 | 36 => self.disk.clear_faults(),
             34 if self.rng.u8(..4) == 0 => self.kill(),
--- a/crates/gullcart-engine/tests/orders.rs
+++ b/crates/gullcart-engine/tests/orders.rs
@@ -104,7 +104,7 @@
     courier.turn(PROCESS_START).unwrap();
     drop(courier);
     // The next process knows the endpoint, too, and keeps it suspended when it is listed again.
-    let disk = disk.crashed();
+    let disk = disk.after_crash();
     let mut next = engine(&disk, Crash::Process, PROCESS_START);
     assert_eq!(suspend(&mut next, PROCESS_START, "s-2"), Ok(()));
     next.handle(PROCESS_START, list_update(false, 3, vec![target(2, "SERVING")]));
@@ -121,7 +121,7 @@
     }
     assert_eq!(suspend(&mut courier, PROCESS_START, "s-2"), Err(CommandError::NotRecorded));
     assert_eq!(courier.metrics(PROCESS_START).endpoints_excluded, 0);
-    disk.mend();
+    disk.clear_faults();
     assert!(called_endpoints(&mut courier, 100, PROCESS_START).contains(&2));
 }
 
--- a/crates/gullcart-engine/tests/promises.rs
+++ b/crates/gullcart-engine/tests/promises.rs
@@ -306,7 +306,7 @@
         let disk = Disk::new(DISK, Crash::Process, 1);
         let mut engine = engine(&disk, Crash::Process, PROCESS_START);
         let targets = (0..8).map(|number| target(number, "DRAINING")).collect();
-        engine.handle(PROCESS_START, Input::ListUpdate(Update { rev: 2, all: true, targets }));
+        engine.handle(PROCESS_START, Input::ListUpdate(ListingUpdate { rev: 2, all: true, targets }));
         engine.handle(PROCESS_START, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
         engine.turn(PROCESS_START).unwrap();
         for operation in 1..500 * u64::from(!is_writable) {
@@ -329,7 +329,7 @@
     let mut engine = engine(&disk, Crash::Machine, PROCESS_START);
     engine.turn(PROCESS_START).unwrap();
     engine.handle(PROCESS_START, Input::Enqueue(Ticket(1), enqueue(1, "salary", 1)));
-    disk.refuse(true);
+    disk.refuse_changes(true);
     assert!(engine.turn(PROCESS_START).is_err());
 }
 
@@ -397,7 +397,7 @@
     engine.handle(PROCESS_START, Input::CallEnded(message, endpoint, reset));
     // Another process resumes the engine; its journal lacks the outcome. The retry is due, but its start cannot be recorded.
     let snapshot = engine.freeze(PROCESS_START).unwrap().1.unwrap();
-    disk.mend();
+    disk.clear_faults();
     let (mut engine, resumed) =
         Engine::resume(config(PROCESS_START), journal(&disk, Crash::Process), &snapshot);
     assert_eq!(resumed, Ok(()));
--- a/crates/gullcart-engine/tests/taken_on.rs
+++ b/crates/gullcart-engine/tests/taken_on.rs
@@ -87,7 +87,7 @@
     assert_eq!(seen.accepted, 60);
     let tried: BTreeSet<String> = seen.calls.into_iter().collect();
     drop(courier);
-    let disk = disk.crashed();
+    let disk = disk.after_crash();
     let mut now = PROCESS_START + Duration::from_secs(2);
     let mut next = engine(&disk, Crash::Process, now);
     let mut calls = BTreeSet::new();
--- a/crates/gullcart-engine/tests/wide_destinations.rs
+++ b/crates/gullcart-engine/tests/wide_destinations.rs
@@ -46,7 +46,10 @@
 fn wide_destinations_are_listed_accepted_replayed_and_served() {
     let disk = Disk::new(DISK, Crash::Process, 1);
     let mut courier = engine(&disk, Crash::Process, PROCESS_START);
-    courier.handle(PROCESS_START, Input::ListUpdate(Update { rev: 2, all: false, targets: wide_targets() }));
+    courier.handle(
+        PROCESS_START,
+        Input::ListUpdate(ListingUpdate { rev: 2, all: false, targets: wide_targets() }),
+    );
     for (number, destination) in (1..).zip(WIDE) {
         courier.handle(PROCESS_START, Input::Enqueue(Ticket(number), enqueue(number, "notice", destination)));
     }
@@ -54,7 +57,7 @@
     assert_eq!(ports(&first_calls), [FIRST_PORT, FIRST_PORT + 1, FIRST_PORT + 2]);
     // The process is killed with all calls in flight. The next one has the list and calls the same endpoints again.
     drop(courier);
-    let (disk, now) = (disk.crashed(), PROCESS_START + Duration::from_secs(1));
+    let (disk, now) = (disk.after_crash(), PROCESS_START + Duration::from_secs(1));
     let mut courier = engine(&disk, Crash::Process, now);
     assert!(courier.journal().state().pending.values().map(|held| held.message.destination).eq(WIDE));
     let mut retries = Vec::new();
--- a/crates/gullcart-hollow/src/courier.rs
+++ b/crates/gullcart-hollow/src/courier.rs
@@ -1,7 +1,7 @@
 //! The part of a hollow courier that acts on what it is told: a real engine on a journal in memory, without messages.
 
 use cloverstile::{parse_settings_json, ParsedSettings, Time};
-use gullcart_engine::{Engine, EngineConfig, Input, EPOCH};
+use gullcart_engine::{Engine, EngineConfig, Input, PROCESS_START};
 use gullcart_journal::simulated::{Crash, Disk};
 use gullcart_journal::{Journal, JournalError, Options};
 use gullcart_message::{ListingUpdate, Target};
@@ -87,8 +87,8 @@
             parsed_settings: settings.0.clone(),
             seed,
             initial_list: ListingUpdate::default(),
-            now: EPOCH,
-            epoch_ms: START_MS,
+            now: PROCESS_START,
+            start_unix_ms: START_MS,
             settings_checksum: 0,
         };
         Ok(HollowEngine { engine: Engine::new(start, journal), started: Instant::now() })
@@ -120,6 +120,6 @@
     }
 
     fn time(&self) -> Time {
-        EPOCH + self.started.elapsed()
+        PROCESS_START + self.started.elapsed()
     }
 }
--- a/crates/gullcart-scale/src/shared/group.rs
+++ b/crates/gullcart-scale/src/shared/group.rs
@@ -186,7 +186,7 @@
     fn new(plan: Plan) -> Self {
         let now = Moment(MICROSECONDS as u64);
         let voters: Vec<MemberId> = (0..plan.voters).map(id).collect();
-        let run = RunId { incarnation: Incarnation(1), handovers: 0, restarts: 0 };
+        let run = RunId { incarnation: Incarnation(1), handovers: 0, previous_runs: 0 };
         let node = |place: usize| {
             let kept = (place < plan.voters).then(VoterSnapshot::default);
             let seed = place as u64;
--- a/crates/gullcart/src/clients.rs
+++ b/crates/gullcart/src/clients.rs
@@ -16,7 +16,7 @@
 use crate::connection_slots::{ClientLimits, ConnectionSlot, ConnectionSlots, ConnectionState};
 use crate::messages::EventSender;
 use crate::resp::{decode, encode, parse_enqueue};
-use gullcart_engine::{Answer, Enqueue, Input, RateLimitedLog, EPOCH, MESSAGE_TRACE_TARGET};
+use gullcart_engine::{Answer, Enqueue, Input, RateLimitedLog, MESSAGE_TRACE_TARGET, PROCESS_START};
 
 /// Bytes read at a time. A longer request needs one of the permits for long requests.
 const READ_CHUNK_BYTES: usize = 4 << 10;
@@ -142,7 +142,7 @@
                 slots.wait_for_slot().await;
             }
             Err(error) => {
-                if let Some(more) = accept_errors.due(EPOCH + started_at.elapsed()) {
+                if let Some(more) = accept_errors.due(PROCESS_START + started_at.elapsed()) {
                     warn!(%error, more, "cannot accept a client's connection");
                 }
                 sleep(Duration::from_millis(20)).await;
--- a/crates/gullcart/src/console.rs
+++ b/crates/gullcart/src/console.rs
@@ -1,7 +1,7 @@
 //! The server of the operators' console: one line and one answer for each connection, on a small number of descriptors.
 
 use gullcart_console::{denied, figures, no, Call, Callers, Fault, Lines, NOT_SERVING, YES};
-use gullcart_engine::{CommandError, EngineMetrics, OperatorCommand, RateLimitedLog, EPOCH};
+use gullcart_engine::{CommandError, EngineMetrics, OperatorCommand, RateLimitedLog, PROCESS_START};
 use socket2::SockRef;
 use std::cell::RefCell;
 use std::io;
@@ -75,7 +75,7 @@
                 });
             }
             Err(error) => {
-                if let Some(more) = accept_errors.due(EPOCH + started_at.elapsed()) {
+                if let Some(more) = accept_errors.due(PROCESS_START + started_at.elapsed()) {
                     warn!(%error, more, "cannot accept a connection to the console");
                 }
                 sleep(Duration::from_millis(20)).await;
@@ -170,6 +170,6 @@
                 .map_or_else(|| no(NO_ANSWER), |(_, metrics)| figures(&metrics))
         }
         Call::Suspend(id) => send_command(OperatorCommand::Suspend(id)).await,
-        Call::Restore(id) => send_command(OperatorCommand::Restore(id)).await,
+        Call::Restore(id) => send_command(OperatorCommand::Unsuspend(id)).await,
     }
 }
--- a/crates/gullcart/src/driver.rs
+++ b/crates/gullcart/src/driver.rs
@@ -4,7 +4,7 @@
 use cloverstile::{MessageId, Outcome, Settings, Time};
 use gullcart_engine::{
     Answer, Call, CallResult, CommandError, Effect, Engine, EngineMetrics, IdleConnectionPolicy, Input,
-    Notice, RateLimitedLog, StopReason, Ticket, TrialDuties, EPOCH,
+    Notice, RateLimitedLog, StopReason, Ticket, TrialDuties, PROCESS_START,
 };
 use gullcart_handover::{Baggage, CarriedCall};
 use gullcart_journal::{Folder, JournalError};
@@ -68,7 +68,7 @@
     /// Continues the clock of a courier that was stopped at `stopped_at` in the previous process.
     pub fn resumed(start_unix_ms: u64, stopped_at: Time) -> Self {
         let now = Clock::new();
-        let elapsed_before = stopped_at - EPOCH;
+        let elapsed_before = stopped_at - PROCESS_START;
         // Both processes read the wall clock; the clamp keeps a jump of it from moving this clock back or far ahead.
         let wall_elapsed = Duration::from_millis(now.start_unix_ms.saturating_sub(start_unix_ms));
         let elapsed = wall_elapsed.clamp(elapsed_before, elapsed_before + MAX_HANDOVER_DURATION);
@@ -77,11 +77,11 @@
 
     /// The time on this clock.
     pub fn now(&self) -> Time {
-        EPOCH + self.start.elapsed()
+        PROCESS_START + self.start.elapsed()
     }
 
     fn instant(&self, at: Time) -> Instant {
-        self.start + (at - EPOCH)
+        self.start + (at - PROCESS_START)
     }
 }
 
@@ -317,7 +317,7 @@
             }
         }
         // The counters stay with this process; the calls in flight move to the next one.
-        let last_metrics = EngineMetrics { in_flight: 0, ..self.engine.metrics(now) };
+        let last_metrics = EngineMetrics { messages_pending: 0, ..self.engine.metrics(now) };
         let (effects, books) = self.engine.freeze(now)?;
         for effect in effects {
             self.apply_effect(effect);
--- a/crates/gullcart/src/service.rs
+++ b/crates/gullcart/src/service.rs
@@ -184,7 +184,7 @@
             seed,
             initial_list: config.known.clone(),
             now: clock.now(),
-            epoch_ms: clock.start_unix_ms,
+            start_unix_ms: clock.start_unix_ms,
             settings_checksum: config.fingerprint(),
             #[cfg(feature = "broken")]
             fault_injector: self.broken.clone(),
--- a/crates/gullcart/tests/group.rs
+++ b/crates/gullcart/tests/group.rs
@@ -33,7 +33,7 @@
         let new = group.worlds[leader].start();
         let old = couriers[leader].replace(new);
         let after = group.until(leader, "the new process votes", |status| {
-            status.votes && status.leader.is_some() && status.reachable_members.len() == 2
+            status.votes && status.leader.is_some() && status.connected_members.len() == 2
         });
         assert_eq!((after.incarnation, after.problem), (before.incarnation, None));
         drop(old);
@@ -66,7 +66,7 @@
     assert_eq!(client.enqueue("a1", "0", "salary", 1, b"x"), "+OK");
     group.worlds[0].call().answer("200 OK", "");
     drop(occupied);
-    group.until(0, "its member answers", |status| status.reachable_members.is_empty() && !status.votes);
+    group.until(0, "its member answers", |status| status.connected_members.is_empty() && !status.votes);
     // The earlier connection was closed as idle.
     assert_eq!(courier.client().enqueue("a2", "0", "salary", 1, b"x"), "+OK");
     group.worlds[0].call().answer("200 OK", "");
--- a/crates/gullcart/tests/group_trials.rs
+++ b/crates/gullcart/tests/group_trials.rs
@@ -121,7 +121,7 @@
         let new = group.worlds[holder].start();
         let old = couriers[holder].replace(new);
         group.until(holder, "the new process is connected and votes", |status| {
-            status.reachable_members.len() == 2 && status.votes
+            status.connected_members.len() == 2 && status.votes
         });
         let after = epoch(holder);
         drop(old);
--- a/crates/gullcartctl/src/group.rs
+++ b/crates/gullcartctl/src/group.rs
@@ -240,7 +240,7 @@
                 told.name,
                 told.number,
                 status.incarnation,
-                status.reachable_members.len(),
+                status.connected_members.len(),
                 status.problem.as_deref().unwrap_or("-"),
             ));
         }
