--- a/crates/gullcart-handover/src/frame.rs
+++ b/crates/gullcart-handover/src/frame.rs
@@ -1,86 +1,94 @@
-//! The baggage as bytes: a head of fixed size, then a body with a checksum.
+//! Encoding of a [`HandoverState`] as a frame: a header of fixed size, then the body, whose length and checksum the header holds.
 
-use crate::baggage::Baggage;
+use crate::state::HandoverState;
 use thiserror::Error;
 
-/// What this release speaks. Whoever changes a type that is carried raises it.
+/// Version of the frame's body. It has to be raised whenever a type that the state contains changes.
 pub const VERSION: u32 = 3;
-/// Bytes of a body at most; a courier that holds more starts anew from its journal.
-pub const LONGEST: usize = 64 << 20;
-/// Descriptors at most.
-pub const MOST_DESCRIPTORS: usize = 1 << 16;
-/// Bytes of a head: magic, version, length, sum.
-pub const HEAD: usize = 8 + 4 + 8 + 4;
+/// Maximum size of a body. A courier whose state is larger is not handed over: the new process starts from the journal.
+pub const MAX_BODY_BYTES: usize = 64 << 20;
+/// Maximum number of file descriptors that come with a frame.
+pub const MAX_DESCRIPTORS: usize = 1 << 16;
+/// Size of a header: magic number, version, body length, checksum.
+pub const HEADER_BYTES: usize = 8 + 4 + 8 + 4;
 const MAGIC: &[u8; 8] = b"GCMOVE\r\n";
 
-/// Why a frame is none.
+/// Why a frame cannot be written or read.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum FrameError {
-    #[error("it does not begin as a hand-over does")]
+    /// The frame does not begin with the magic number.
+    #[error("the frame does not begin with the magic number of a hand-over")]
     Magic,
-    #[error("it is of version {0}, and this release speaks {VERSION}")]
+    /// The frame was written by a release with another version of the body.
+    #[error("the frame has version {0}, and this release reads only version {VERSION}")]
     Version(u32),
-    #[error("it is of {0} bytes, and {LONGEST} are the most")]
-    Long(u64),
-    #[error("its sum is wrong")]
-    Sum,
-    #[error("its body cannot be read")]
+    /// The body is too long, in bytes.
+    #[error("the frame's body has {0} bytes, more than the maximum of {MAX_BODY_BYTES}")]
+    TooLong(u64),
+    /// The body's length or checksum differs from the header.
+    #[error("the frame's body does not match its length or its checksum")]
+    Checksum,
+    /// The body cannot be encoded, or its bytes are no state.
+    #[error("the frame's body cannot be encoded or decoded")]
     Body,
-    #[error("it announces {0} descriptors, and {MOST_DESCRIPTORS} are the most")]
-    Descriptors(usize),
+    /// More descriptors belong to the state than the maximum.
+    #[error("the frame announces {0} descriptors, more than the maximum of {MAX_DESCRIPTORS}")]
+    TooManyDescriptors(usize),
 }
 
-/// What a head announces.
+/// The length and the checksum of the body that follows a header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head {
+pub struct FrameHeader {
+    /// Size of the body in bytes.
     pub length: usize,
-    pub sum: u32,
+    /// CRC-32 of the body.
+    pub checksum: u32,
 }
 
-/// The whole frame.
-pub fn write(baggage: &Baggage) -> Result<Vec<u8>, FrameError> {
-    let mut frame = vec![0; HEAD];
-    frame = postcard::to_extend(baggage, frame).map_err(|_| FrameError::Body)?;
-    let length = frame.len() - HEAD;
-    if length > LONGEST {
-        return Err(FrameError::Long(length as u64));
+/// Encodes a state as a frame: header and body.
+pub fn encode(state: &HandoverState) -> Result<Vec<u8>, FrameError> {
+    let mut frame = vec![0; HEADER_BYTES];
+    frame = postcard::to_extend(state, frame).map_err(|_| FrameError::Body)?;
+    let length = frame.len() - HEADER_BYTES;
+    if length > MAX_BODY_BYTES {
+        return Err(FrameError::TooLong(length as u64));
     }
-    let sum = crc32fast::hash(&frame[HEAD..]);
+    let checksum = crc32fast::hash(&frame[HEADER_BYTES..]);
     frame[..8].copy_from_slice(MAGIC);
     frame[8..12].copy_from_slice(&VERSION.to_le_bytes());
     frame[12..20].copy_from_slice(&(length as u64).to_le_bytes());
-    frame[20..24].copy_from_slice(&sum.to_le_bytes());
+    frame[20..24].copy_from_slice(&checksum.to_le_bytes());
     Ok(frame)
 }
 
-/// What follows a head.
-pub fn read_head(head: &[u8; HEAD]) -> Result<Head, FrameError> {
-    let number = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-    if &head[..8] != MAGIC {
+/// Decodes a header, and checks its magic number, version and length.
+pub fn decode_header(header: &[u8; HEADER_BYTES]) -> Result<FrameHeader, FrameError> {
+    let u32_at = |at: usize| u32::from_le_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]]);
+    if &header[..8] != MAGIC {
         return Err(FrameError::Magic);
     }
-    if number(8) != VERSION {
-        return Err(FrameError::Version(number(8)));
+    if u32_at(8) != VERSION {
+        return Err(FrameError::Version(u32_at(8)));
     }
-    let length = u64::from(number(12)) | u64::from(number(16)) << 32;
+    let length = u64::from(u32_at(12)) | u64::from(u32_at(16)) << 32;
     match usize::try_from(length) {
-        Ok(length) if length <= LONGEST => Ok(Head { length, sum: number(20) }),
-        _ => Err(FrameError::Long(length)),
+        Ok(length) if length <= MAX_BODY_BYTES => Ok(FrameHeader { length, checksum: u32_at(20) }),
+        _ => Err(FrameError::TooLong(length)),
     }
 }
 
-/// What a body says, under its head.
-pub fn read_baggage(head: Head, body: &[u8]) -> Result<Baggage, FrameError> {
-    if body.len() != head.length || crc32fast::hash(body) != head.sum {
-        return Err(FrameError::Sum);
+/// Decodes the body that belongs to a header.
+pub fn decode_state(header: FrameHeader, body: &[u8]) -> Result<HandoverState, FrameError> {
+    if body.len() != header.length || crc32fast::hash(body) != header.checksum {
+        return Err(FrameError::Checksum);
     }
-    let baggage: Baggage = match postcard::take_from_bytes(body) {
-        Ok((baggage, [])) => baggage,
+    let state: HandoverState = match postcard::take_from_bytes(body) {
+        Ok((state, [])) => state,
         _ => return Err(FrameError::Body),
     };
-    match baggage.descriptors() {
-        count if count <= MOST_DESCRIPTORS => Ok(baggage),
-        count => Err(FrameError::Descriptors(count)),
+    match state.descriptor_count() {
+        count if count <= MAX_DESCRIPTORS => Ok(state),
+        count => Err(FrameError::TooManyDescriptors(count)),
     }
 }
 
--- a/crates/gullcart-handover/src/lib.rs
+++ b/crates/gullcart-handover/src/lib.rs
@@ -1,26 +1,30 @@
-//! How a running courier moves to another process, without I/O: what the two say to each other ([`Baggage`] and its frame),
-//! and what each does at each step, also when the other is gone ([`Giver`]).
+//! Hand-over of a running courier to another process, without I/O: the state that is transferred ([`HandoverState`]), its
+//! encoding as a frame, and the old process's state machine ([`HandoverSender`]), including what it does when the new process
+//! fails.
 //!
-//! Bounds: a frame of [`LONGEST`] bytes and [`MOST_DESCRIPTORS`] descriptors; what announces more is refused before anything is
-//! stored.
+//! A frame's body has at most [`MAX_BODY_BYTES`] bytes, and at most [`MAX_DESCRIPTORS`] file descriptors come with it. A header or
+//! a state that announces more is rejected before anything is allocated for it.
 #![forbid(unsafe_code)]
 
-mod baggage;
 mod frame;
-mod giver;
+mod sender;
+mod state;
 
-pub use baggage::{Baggage, CarriedCall, CarriedClient};
-pub use frame::{read_baggage, read_head, write, FrameError, Head, HEAD, LONGEST, MOST_DESCRIPTORS, VERSION};
-pub use giver::{Act, Event, Giver};
+pub use frame::{
+    decode_header, decode_state, encode, FrameError, FrameHeader, HEADER_BYTES, MAX_BODY_BYTES,
+    MAX_DESCRIPTORS, VERSION,
+};
+pub use sender::{HandoverAction, HandoverEvent, HandoverSender};
+pub use state::{HandoverCall, HandoverClient, HandoverState};
 
-/// What the new process says first, and each side later, in one byte.
-pub mod words {
-    /// The new process is there, and speaks [`crate::VERSION`].
+/// The one-byte signals that the two processes exchange around the frame.
+pub mod signals {
+    /// From the new process: it is connected and reads frames of [`crate::VERSION`].
     pub const HELLO: u8 = b'h';
-    /// All has come and can be read.
+    /// From the new process: the state and all descriptors have arrived and can be read.
     pub const ACCEPTED: u8 = b'a';
-    /// The lock of the folder has been given up.
-    pub const YOURS: u8 = b'y';
-    /// The new process takes clients.
+    /// From the old process: it has released the lock of the state folder.
+    pub const LOCK_RELEASED: u8 = b'y';
+    /// From the new process: it accepts clients.
     pub const SERVING: u8 = b's';
 }
