--- a/crates/gullcart-console/src/answer.rs
+++ b/crates/gullcart-console/src/answer.rs
@@ -1,44 +1,44 @@
-//! What a caller is answered.
+//! The answers to console commands.
 
 use gullcart_engine::{Denied, Ends, Reading};
 use std::fmt::{Display, Write};
 
-/// It is done, or so it is.
+/// Answer to a command that was carried out, or to STATUS while the process accepts clients.
 pub const YES: &str = "YES\n";
-/// Why STATUS says no.
+/// The reason in the answer to STATUS while the process accepts no clients.
 pub const NOT_SERVING: &str = "this process takes no clients";
-/// All figures' names begin with this.
-const PREFIX: &str = "edge_balancer";
+/// Prefix of all metric names.
+const METRIC_PREFIX: &str = "edge_balancer";
 
-/// No, and why.
-pub fn no(reason: impl Display) -> String {
+/// The answer to a command that was not carried out, with the reason.
+pub fn no_with_reason(reason: impl Display) -> String {
     format!("NO {reason}\n")
 }
 
-/// Why an order was not carried out, in an operator's words.
-pub fn denied(denied: Denied) -> &'static str {
-    match denied {
+/// Describes to an operator why a command was not carried out.
+pub fn command_error_text(error: Denied) -> &'static str {
+    match error {
         Denied::Unknown => "no endpoint of that id was ever listed here",
         Denied::Unwritten => "it cannot be written to the journal, so nothing was changed; see the log",
     }
 }
 
-/// The figures, and a line that ends them. Counters are of this process, and begin at 0.
-pub fn figures(reading: &Reading) -> String {
+/// The answer to METRICS: one line a metric, then `END`. Counters start at 0 with the process.
+pub fn metrics_text(metrics: &Reading) -> String {
     let mut text = String::new();
     let mut line = |name: &str, value: u64, kind: &str| {
-        let _ = writeln!(text, "{PREFIX}.{name}:{value}|{kind}");
+        let _ = writeln!(text, "{METRIC_PREFIX}.{name}:{value}|{kind}");
     };
-    for (class, Ends { served, turned_away, handed_back, failed, unfit }) in &reading.classes {
+    for (class, Ends { served, turned_away, handed_back, failed, unfit }) in &metrics.classes {
         line(&format!("served.{class}"), *served, "c");
         line(&format!("refused.{class}"), turned_away + handed_back, "c");
-        // To the client an error is the same as a notice that it failed.
+        // A message that was answered with an error has failed for the client, like one whose notice says so.
         line(&format!("failed.{class}"), failed + unfit, "c");
     }
-    line("attempts", reading.attempts, "c");
-    line("in_flight", reading.in_flight as u64, "g");
-    line("endpoints_known", reading.endpoints_known as u64, "g");
-    line("endpoints_excluded", reading.endpoints_excluded as u64, "g");
+    line("attempts", metrics.attempts, "c");
+    line("in_flight", metrics.in_flight as u64, "g");
+    line("endpoints_known", metrics.endpoints_known as u64, "g");
+    line("endpoints_excluded", metrics.endpoints_excluded as u64, "g");
     text.push_str("END\n");
     text
 }
--- a/crates/gullcart-console/src/lib.rs
+++ b/crates/gullcart-console/src/lib.rs
@@ -1,13 +1,13 @@
-//! The operators' console without its sockets: what a caller's line says, what it is answered, and which caller gives way.
+//! The operators' console without its sockets: parsing of command lines, the answers, and the limit on connections.
 //!
-//! One line to a connection. The answer begins with `YES` or `NO`, but for the figures, which end with `END`.
-//! Bounds: a line of [`LONGEST_LINE`] bytes, [`Callers`] of a fixed number.
+//! A connection carries one command line. The answer begins with `YES` or `NO`, except that of METRICS, which ends with a line
+//! `END`. A line has at most [`MAX_LINE_BYTES`] bytes, and [`ConsoleConnections`] keeps at most a fixed number of connections.
 #![forbid(unsafe_code)]
 
 mod answer;
-mod callers;
+mod connections;
 mod line;
 
-pub use answer::{denied, figures, no, NOT_SERVING, YES};
-pub use callers::Callers;
-pub use line::{Call, Fault, Lines, LONGEST_ID, LONGEST_LINE};
+pub use answer::{command_error_text, metrics_text, no_with_reason, NOT_SERVING, YES};
+pub use connections::ConsoleConnections;
+pub use line::{ConsoleCommand, LineError, LineParser, MAX_ID_BYTES, MAX_LINE_BYTES};
--- a/crates/gullcart-console/src/line.rs
+++ b/crates/gullcart-console/src/line.rs
@@ -1,101 +1,111 @@
-//! A caller's line, as it comes in pieces.
+//! Parsing of a console command line that arrives in pieces.
 
 use thiserror::Error;
 
-/// Bytes of a line at most, its end not counted.
-pub const LONGEST_LINE: usize = 512;
-/// Bytes of an endpoint's id at most.
-pub const LONGEST_ID: usize = 256;
+/// Maximum size of a line, without its line ending.
+pub const MAX_LINE_BYTES: usize = 512;
+/// Maximum size of an endpoint's id.
+pub const MAX_ID_BYTES: usize = 256;
 
-/// What an operator asks.
+/// An operator's command.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
-    /// Does this process take clients?
+pub enum ConsoleCommand {
+    /// Asks whether this process accepts clients.
     Status,
-    /// The figures.
+    /// Asks for the metrics.
     Metrics,
-    /// Take this endpoint out.
+    /// Takes the endpoint with this id out of service.
     Suspend(String),
-    /// This endpoint may serve again.
+    /// Puts the endpoint with this id back into service.
     Restore(String),
 }
 
-/// Why a line is no call. Nothing was done.
+/// Why a line is no valid command; the text is the reason in the answer. Nothing was changed.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Fault {
+pub enum LineError {
+    /// The line has no words.
     #[error("the line is empty; ask STATUS, METRICS, SUSPEND ID or RESTORE ID")]
     Empty,
-    #[error("the line is longer than {LONGEST_LINE} bytes")]
+    /// The line is longer than [`MAX_LINE_BYTES`].
+    #[error("the line is longer than {MAX_LINE_BYTES} bytes")]
     TooLong,
+    /// The line is not valid UTF-8.
     #[error("the line is not text in UTF-8")]
-    NotText,
+    NotUtf8,
+    /// Bytes follow the end of the line.
     #[error("one line to a connection")]
-    TwoLines,
+    ExtraLine,
+    /// The client closed its sending side within the line.
     #[error("the connection's sending side ended within the line")]
-    Half,
+    Incomplete,
+    /// The line was not complete in time.
     #[error("the line did not come to its end in time")]
-    Late,
+    TimedOut,
+    /// The first word is no command.
     #[error("unknown call; ask STATUS, METRICS, SUSPEND ID or RESTORE ID")]
-    Unknown,
-    #[error("SUSPEND and RESTORE take the id of one endpoint, of {LONGEST_ID} bytes at most")]
-    WantsId,
+    UnknownCommand,
+    /// SUSPEND or RESTORE came without a valid id, or with more than one.
+    #[error("SUSPEND and RESTORE take the id of one endpoint, of {MAX_ID_BYTES} bytes at most")]
+    EndpointIdExpected,
+    /// STATUS or METRICS came with an argument.
     #[error("STATUS and METRICS take nothing more")]
-    WantsNothing,
+    UnexpectedArgument,
 }
 
-impl Call {
-    /// Reads a line without its end.
-    pub fn parse(line: &[u8]) -> Result<Call, Fault> {
-        let text = std::str::from_utf8(line).map_err(|_| Fault::NotText)?;
+impl ConsoleCommand {
+    /// Parses a line without its line feed.
+    pub fn parse(line: &[u8]) -> Result<ConsoleCommand, LineError> {
+        let text = std::str::from_utf8(line).map_err(|_| LineError::NotUtf8)?;
         let mut words = text.split_ascii_whitespace();
-        let verb = words.next().ok_or(Fault::Empty)?.to_ascii_uppercase();
-        let (id, more) = (words.next(), words.next());
-        let id_alone = || match (id, more) {
-            (Some(id), None) if id.len() <= LONGEST_ID && !id.chars().any(char::is_control) => {
+        let keyword = words.next().ok_or(LineError::Empty)?.to_ascii_uppercase();
+        let id = words.next();
+        let extra = words.next();
+        let single_id = || match (id, extra) {
+            (Some(id), None) if id.len() <= MAX_ID_BYTES && !id.chars().any(char::is_control) => {
                 Ok(id.to_owned())
             }
-            _ => Err(Fault::WantsId),
+            _ => Err(LineError::EndpointIdExpected),
         };
-        match verb.as_str() {
-            "STATUS" | "METRICS" if id.is_some() => Err(Fault::WantsNothing),
-            "STATUS" => Ok(Call::Status),
-            "METRICS" => Ok(Call::Metrics),
-            "SUSPEND" => id_alone().map(Call::Suspend),
-            "RESTORE" => id_alone().map(Call::Restore),
-            _ => Err(Fault::Unknown),
+        match keyword.as_str() {
+            "STATUS" | "METRICS" if id.is_some() => Err(LineError::UnexpectedArgument),
+            "STATUS" => Ok(ConsoleCommand::Status),
+            "METRICS" => Ok(ConsoleCommand::Metrics),
+            "SUSPEND" => single_id().map(ConsoleCommand::Suspend),
+            "RESTORE" => single_id().map(ConsoleCommand::Restore),
+            _ => Err(LineError::UnknownCommand),
         }
     }
 }
 
-/// Puts a line together from pieces of any size.
+/// Assembles a line from pieces of any size, and parses it.
 #[derive(Debug, Default)]
-pub struct Lines {
-    held: Vec<u8>,
+pub struct LineParser {
+    buffer: Vec<u8>,
 }
 
-impl Lines {
-    /// Takes a piece in: the call once its line is whole, the fault where it can be none any more.
-    pub fn feed(&mut self, piece: &[u8]) -> Option<Result<Call, Fault>> {
+impl LineParser {
+    /// Adds a piece. Returns the command once its line is complete, or the error as soon as the line is known to be invalid.
+    pub fn feed(&mut self, piece: &[u8]) -> Option<Result<ConsoleCommand, LineError>> {
         let Some(end) = piece.iter().position(|byte| *byte == b'\n') else {
-            if self.held.len() + piece.len() > LONGEST_LINE {
-                return Some(Err(Fault::TooLong));
+            if self.buffer.len() + piece.len() > MAX_LINE_BYTES {
+                return Some(Err(LineError::TooLong));
             }
-            self.held.extend_from_slice(piece);
+            self.buffer.extend_from_slice(piece);
             return None;
         };
-        if self.held.len() + end > LONGEST_LINE {
-            return Some(Err(Fault::TooLong));
+        if self.buffer.len() + end > MAX_LINE_BYTES {
+            return Some(Err(LineError::TooLong));
         }
-        self.held.extend_from_slice(&piece[..end]);
+        self.buffer.extend_from_slice(&piece[..end]);
         if end + 1 < piece.len() {
-            return Some(Err(Fault::TwoLines));
+            return Some(Err(LineError::ExtraLine));
         }
-        Some(Call::parse(self.held.strip_suffix(b"\r").unwrap_or(&self.held)))
+        Some(ConsoleCommand::parse(self.buffer.strip_suffix(b"\r").unwrap_or(&self.buffer)))
     }
 
-    /// The caller has ended its sending side: what is wrong, or nothing where it never said anything.
-    pub fn end(&self) -> Option<Fault> {
-        (!self.held.is_empty()).then_some(Fault::Half)
+    /// Handles the end of the client's sending side: an error within a line, none if nothing was sent.
+    pub fn end_of_input(&self) -> Option<LineError> {
+        (!self.buffer.is_empty()).then_some(LineError::Incomplete)
     }
 }
 
--- a/crates/gullcart-console/src/line/tests.rs
+++ b/crates/gullcart-console/src/line/tests.rs
@@ -1,56 +1,56 @@
 use super::*;
 use proptest::prelude::*;
 
-fn whole(bytes: &[u8]) -> Option<Result<Call, Fault>> {
-    Lines::default().feed(bytes)
+fn parse_at_once(bytes: &[u8]) -> Option<Result<ConsoleCommand, LineError>> {
+    LineParser::default().feed(bytes)
 }
 
 #[test]
-fn calls_are_read_however_their_line_ends() {
-    for (line, call) in [
-        (&b"STATUS\n"[..], Call::Status),
-        (b"METRICS\r\n", Call::Metrics),
-        (b"SUSPEND s-5be2a07c\n", Call::Suspend("s-5be2a07c".to_owned())),
-        (b"restore  s-5be2a07c \r\n", Call::Restore("s-5be2a07c".to_owned())),
+fn commands_are_parsed_with_either_line_ending() {
+    for (line, command) in [
+        (&b"STATUS\n"[..], ConsoleCommand::Status),
+        (b"METRICS\r\n", ConsoleCommand::Metrics),
+        (b"SUSPEND s-5be2a07c\n", ConsoleCommand::Suspend("s-5be2a07c".to_owned())),
+        (b"restore  s-5be2a07c \r\n", ConsoleCommand::Restore("s-5be2a07c".to_owned())),
     ] {
-        assert_eq!(whole(line), Some(Ok(call)));
+        assert_eq!(parse_at_once(line), Some(Ok(command)));
     }
 }
 
 #[test]
-fn what_is_no_call_is_told_why() {
-    let long = [vec![b'x'; LONGEST_LINE + 1], b"\n".to_vec()].concat();
-    let id = format!("SUSPEND {}\n", "i".repeat(LONGEST_ID + 1));
-    for (line, fault) in [
-        (&b"\n"[..], Fault::Empty),
-        (b" \r\n", Fault::Empty),
-        (b"STATUS now\n", Fault::WantsNothing),
-        (b"SUSPEND\n", Fault::WantsId),
-        (b"SUSPEND a b\n", Fault::WantsId),
-        (b"SUSPEND a\x07\n", Fault::WantsId),
-        (id.as_bytes(), Fault::WantsId),
-        (b"PING\n", Fault::Unknown),
-        (b"\xff\xfe\n", Fault::NotText),
-        (b"STATUS\nSTATUS\n", Fault::TwoLines),
-        (&long, Fault::TooLong),
-        (&long[..LONGEST_LINE + 1], Fault::TooLong),
+fn invalid_lines_are_reported_with_the_reason() {
+    let long_line = [vec![b'x'; MAX_LINE_BYTES + 1], b"\n".to_vec()].concat();
+    let long_id = format!("SUSPEND {}\n", "i".repeat(MAX_ID_BYTES + 1));
+    for (line, error) in [
+        (&b"\n"[..], LineError::Empty),
+        (b" \r\n", LineError::Empty),
+        (b"STATUS now\n", LineError::UnexpectedArgument),
+        (b"SUSPEND\n", LineError::EndpointIdExpected),
+        (b"SUSPEND a b\n", LineError::EndpointIdExpected),
+        (b"SUSPEND a\x07\n", LineError::EndpointIdExpected),
+        (long_id.as_bytes(), LineError::EndpointIdExpected),
+        (b"PING\n", LineError::UnknownCommand),
+        (b"\xff\xfe\n", LineError::NotUtf8),
+        (b"STATUS\nSTATUS\n", LineError::ExtraLine),
+        (&long_line, LineError::TooLong),
+        (&long_line[..MAX_LINE_BYTES + 1], LineError::TooLong),
     ] {
-        assert_eq!(whole(line), Some(Err(fault)), "{line:?}");
+        assert_eq!(parse_at_once(line), Some(Err(error)), "{line:?}");
     }
 }
 
 #[test]
-fn half_a_line_and_an_end_is_a_fault_and_silence_is_none() {
-    let mut lines = Lines::default();
-    assert_eq!(lines.end(), None);
-    assert_eq!(lines.feed(b"STAT"), None);
-    assert_eq!(lines.end(), Some(Fault::Half));
+fn end_of_input_is_an_error_only_within_a_line() {
+    let mut parser = LineParser::default();
+    assert_eq!(parser.end_of_input(), None);
+    assert_eq!(parser.feed(b"STAT"), None);
+    assert_eq!(parser.end_of_input(), Some(LineError::Incomplete));
 }
 
 proptest! {
-    /// The same verdict in whatever pieces one line comes, and never more held than a line may have.
+    /// The result does not depend on how a line is split into pieces, and the buffer never exceeds the maximum line size.
     #[test]
-    fn pieces_make_no_difference(
+    fn the_result_does_not_depend_on_the_pieces(
         line in prop_oneof![
             Just(b"STATUS\n".to_vec()),
             Just(b"SUSPEND s-1\r\n".to_vec()),
@@ -59,12 +59,12 @@
         ],
         size in 1usize..40,
     ) {
-        let mut lines = Lines::default();
-        let pieces = line.chunks(size).find_map(|piece| {
-            let verdict = lines.feed(piece);
-            assert!(lines.held.len() <= LONGEST_LINE);
-            verdict
+        let mut parser = LineParser::default();
+        let in_pieces = line.chunks(size).find_map(|piece| {
+            let result = parser.feed(piece);
+            assert!(parser.buffer.len() <= MAX_LINE_BYTES);
+            result
         });
-        prop_assert_eq!(pieces, whole(&line));
+        prop_assert_eq!(in_pieces, parse_at_once(&line));
     }
 }
