--- a/crates/gullcartctl/src/emulate.rs
+++ b/crates/gullcartctl/src/emulate.rs
@@ -1,8 +1,8 @@
-//! `gullcartctl emulate`: a rehearsal in virtual time, for one seed or for many.
+//! `gullcartctl emulate`: rehearsals in virtual time, for one seed or several.
 
-use crate::rehearse::{read, until, write};
+use crate::rehearse::{parse_until, read_scenario, write_file};
 use clap::Args;
-use gullcart_emulator::{emulate as play, Emulated, Options};
+use gullcart_emulator::{emulate as run_emulation, Emulated, Options};
 use gullcart_rehearsal::{page, Scenario, Until, Verdict, MOST_COURIERS};
 use indicatif::{ProgressBar, ProgressStyle};
 use std::collections::BTreeMap;
@@ -12,8 +12,7 @@
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// Couriers that a trace can tell apart.
-
+/// The arguments of the command.
 #[derive(Args)]
 #[command(after_help = "Examples:
   gullcartctl emulate smoke
@@ -21,77 +20,78 @@
   gullcartctl emulate overlap --seeds 1000
   gullcartctl emulate payday --couriers 20 --scale 6
 
-Exit codes: 0 kept, 1 a rule was broken or service lay under the scenario's floor, 2 it could not be run")]
+Exit codes: 0 all rules were kept, 1 a rule was broken or service was below the scenario's floor, 2 it could not be run")]
 pub struct Arguments {
-    /// A shipped name, or a TOML file
+    /// The name of a scenario that ships, or a TOML file
     scenario: String,
-    /// What everything is drawn from; the first of many
+    /// Seed of all random draws; the first one where there are several
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// So many seeds, on all cores
+    /// Number of consecutive seeds to run, on all cores
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// So many couriers in place of the scenario's
+    /// Number of couriers, in place of the scenario's
     #[arg(long)]
     couriers: Option<usize>,
-    /// So many times the traffic, and all that the partners allow
+    /// Factor for the traffic, and for the partners' rates and counts
     #[arg(long)]
     scale: Option<f64>,
-    /// Write the report as JSON; of many seeds, a line each
+    /// Write the report as JSON; for several seeds, one line each
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// Write the report of one seed as a page with plots
+    /// Write the report of a single seed as an HTML page with plots
     #[arg(long, value_name = "FILE", conflicts_with = "seeds")]
     html: Option<PathBuf>,
-    /// End at the first breach, or at the first of one rule
-    #[arg(long, value_name = "RULE", num_args = 0..=1, default_missing_value = crate::rehearse::ANY)]
+    /// End at the first breach of any rule, or of RULE
+    #[arg(long, value_name = "RULE", num_args = 0..=1, default_missing_value = crate::rehearse::ANY_RULE)]
     until_breach: Option<String>,
-    /// No progress line
+    /// Show no progress line
     #[arg(long, short)]
     quiet: bool,
 }
 
+/// Runs the command.
 pub fn emulate(arguments: &Arguments) -> Result<ExitCode, String> {
-    let mut scenario = read(&arguments.scenario)?;
+    let mut scenario = read_scenario(&arguments.scenario)?;
     if let Some(count) = arguments.couriers {
         if !(1..=MOST_COURIERS).contains(&count) {
-            return Err(format!("--couriers {count}: it has to lie between 1 and {MOST_COURIERS}"));
+            return Err(format!("--couriers {count}: the value has to lie between 1 and {MOST_COURIERS}"));
         }
         scenario.couriers.count = count;
     }
-    if let Some(times) = arguments.scale {
-        if !times.is_finite() || times <= 0.0 {
-            return Err(format!("--scale {times}: it has to be more than 0"));
+    if let Some(factor) = arguments.scale {
+        if !factor.is_finite() || factor <= 0.0 {
+            return Err(format!("--scale {factor}: the value has to be greater than 0"));
         }
-        scale(&mut scenario, times);
+        scale_traffic(&mut scenario, factor);
     }
-    let until = until(arguments.until_breach.as_deref())?;
+    let until = parse_until(arguments.until_breach.as_deref())?;
     if arguments.seeds > 1 {
-        return many(arguments, &scenario, until);
+        return run_seeds(arguments, &scenario, until);
     }
-    let begun = Instant::now();
+    let started = Instant::now();
     let options = Options { seed: arguments.seed, until, broken: None };
-    let day = play(&scenario, options, |_| {}).map_err(|error| error.to_string())?;
-    let took = begun.elapsed().as_secs_f64();
-    println!("{}", day.report);
+    let run = run_emulation(&scenario, options, |_| {}).map_err(|error| error.to_string())?;
+    let took_s = started.elapsed().as_secs_f64();
+    println!("{}", run.report);
     println!(
         "{:.0} times as fast as it would be in real time; trace {:08x} of {} lines, {} steps",
-        day.report.took / took.max(1e-6),
-        day.trace,
-        day.entries,
-        day.steps
+        run.report.took / took_s.max(1e-6),
+        run.trace,
+        run.entries,
+        run.steps
     );
     if let Some(path) = &arguments.json {
-        write(path, &serde_json::to_string_pretty(&day.report).map_err(|error| error.to_string())?)?;
+        write_file(path, &serde_json::to_string_pretty(&run.report).map_err(|error| error.to_string())?)?;
     }
     if let Some(path) = &arguments.html {
-        write(path, &page(&day.report))?;
+        write_file(path, &page(&run.report))?;
         println!("page: {}", path.display());
     }
-    Ok(verdict(day.report.verdict == Verdict::Kept))
+    Ok(exit_code(run.report.verdict == Verdict::Kept))
 }
 
-fn verdict(is_kept: bool) -> ExitCode {
+fn exit_code(is_kept: bool) -> ExitCode {
     if is_kept {
         ExitCode::SUCCESS
     } else {
@@ -99,61 +99,62 @@
     }
 }
 
-/// More of everything that depends on the traffic.
-fn scale(scenario: &mut Scenario, times: f64) {
-    scenario.traffic.per_second *= times;
+/// Multiplies the traffic, and the rate and number of endpoints that each partner has for it.
+fn scale_traffic(scenario: &mut Scenario, factor: f64) {
+    scenario.traffic.per_second *= factor;
     for partner in &mut scenario.partners {
-        partner.rate = partner.rate.map(|rate| rate * times);
-        partner.count = partner.count.map(|count| ((f64::from(count) * times).round() as u32).max(1));
+        partner.rate = partner.rate.map(|rate| rate * factor);
+        partner.count = partner.count.map(|count| ((f64::from(count) * factor).round() as u32).max(1));
     }
 }
 
-/// Plays many seeds, and says what came of them together.
-fn many(arguments: &Arguments, scenario: &Scenario, until: Until) -> Result<ExitCode, String> {
+/// Runs several seeds in parallel, and prints a summary.
+fn run_seeds(arguments: &Arguments, scenario: &Scenario, until: Until) -> Result<ExitCode, String> {
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     let bar = if arguments.quiet { ProgressBar::hidden() } else { ProgressBar::new(arguments.seeds) };
     let style = ProgressStyle::with_template("emulate [{bar:24}] {pos}/{len}  {elapsed_precise}  {eta} left");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
-    let next = AtomicU64::new(arguments.seed);
-    let last = arguments.seed + arguments.seeds;
-    let days: Mutex<BTreeMap<u64, Emulated>> = Mutex::default();
-    let begun = Instant::now();
-    let work = || -> Result<(), String> {
+    let next_seed = AtomicU64::new(arguments.seed);
+    let end = arguments.seed + arguments.seeds;
+    let runs: Mutex<BTreeMap<u64, Emulated>> = Mutex::default();
+    let started = Instant::now();
+    let run_remaining = || -> Result<(), String> {
         loop {
-            let seed = next.fetch_add(1, Ordering::SeqCst);
-            if seed >= last {
+            let seed = next_seed.fetch_add(1, Ordering::SeqCst);
+            if seed >= end {
                 return Ok(());
             }
             let options = Options { seed, until, broken: None };
-            let mut day = play(scenario, options, |_| {}).map_err(|error| format!("seed {seed}: {error}"))?;
-            // Plots of thousands of days are nobody's wish.
-            day.report.samples.clear();
-            days.lock().map_err(|_| "another day panicked")?.insert(seed, day);
+            let mut run =
+                run_emulation(scenario, options, |_| {}).map_err(|error| format!("seed {seed}: {error}"))?;
+            // The samples are only for plots, which are made for a single seed.
+            run.report.samples.clear();
+            runs.lock().map_err(|_| "another run panicked")?.insert(seed, run);
             bar.inc(1);
         }
     };
     std::thread::scope(|scope| {
-        let workers: Vec<_> = (0..cores).map(|_| scope.spawn(work)).collect();
-        workers.into_iter().try_for_each(|worker| worker.join().map_err(|_| "a day panicked".to_owned())?)
+        let workers: Vec<_> = (0..cores).map(|_| scope.spawn(run_remaining)).collect();
+        workers.into_iter().try_for_each(|worker| worker.join().map_err(|_| "a run panicked".to_owned())?)
     })?;
     bar.finish_and_clear();
-    let days = days.into_inner().map_err(|_| "a day panicked")?;
+    let runs = runs.into_inner().map_err(|_| "a run panicked")?;
     if let Some(path) = &arguments.json {
         let lines: Result<Vec<String>, _> =
-            days.values().map(|day| serde_json::to_string(&day.report)).collect();
-        write(path, &(lines.map_err(|error| error.to_string())?.join("\n") + "\n"))?;
+            runs.values().map(|run| serde_json::to_string(&run.report)).collect();
+        write_file(path, &(lines.map_err(|error| error.to_string())?.join("\n") + "\n"))?;
     }
-    let took = begun.elapsed().as_secs_f64();
-    Ok(verdict(summary(scenario, &days, took)))
+    let took_s = started.elapsed().as_secs_f64();
+    Ok(exit_code(print_summary(scenario, &runs, took_s)))
 }
 
-/// Prints what came of many days; whether all were kept.
-fn summary(scenario: &Scenario, days: &BTreeMap<u64, Emulated>, took: f64) -> bool {
-    let mut service: Vec<f64> = days.values().map(|day| day.report.service.service).collect();
+/// Prints the results of several runs together. Returns whether all rules were kept in all of them.
+fn print_summary(scenario: &Scenario, runs: &BTreeMap<u64, Emulated>, took_s: f64) -> bool {
+    let mut service: Vec<f64> = runs.values().map(|run| run.report.service.service).collect();
     service.sort_by(f64::total_cmp);
-    let kept = days.values().filter(|day| day.report.verdict == Verdict::Kept).count();
-    let virtual_s: f64 = days.values().map(|day| day.report.took).sum();
-    println!("{}: {} days, {kept} kept", scenario.name, days.len());
+    let kept = runs.values().filter(|run| run.report.verdict == Verdict::Kept).count();
+    let virtual_s: f64 = runs.values().map(|run| run.report.took).sum();
+    println!("{}: {} days, {kept} kept", scenario.name, runs.len());
     println!(
         "  service   least {:.3}, median {:.3}, best {:.3}; floor {:.2}",
         service.first().unwrap_or(&0.0),
@@ -162,22 +163,23 @@
         scenario.floor
     );
     println!(
-        "  played    {:.0} s of virtual time in {took:.1} s, {:.0} times as fast",
+        "  played    {:.0} s of virtual time in {took_s:.1} s, {:.0} times as fast",
         virtual_s,
-        virtual_s / took.max(1e-6)
+        virtual_s / took_s.max(1e-6)
     );
-    let mut rules: BTreeMap<String, (u64, u64)> = BTreeMap::new();
-    for (seed, day) in days {
-        for (rule, times) in &day.report.broken {
-            let entry = rules.entry(format!("{rule:?}")).or_insert((*seed, 0));
+    // By rule: the first seed that broke it, and the number of breaches in all runs.
+    let mut broken_rules: BTreeMap<String, (u64, u64)> = BTreeMap::new();
+    for (seed, run) in runs {
+        for (rule, times) in &run.report.broken {
+            let entry = broken_rules.entry(format!("{rule:?}")).or_insert((*seed, 0));
             entry.1 += times;
         }
-        if day.report.verdict == Verdict::UnderFloor {
-            println!("  seed {seed}: service {:.3} lies under the floor", day.report.service.service);
+        if run.report.verdict == Verdict::UnderFloor {
+            println!("  seed {seed}: service {:.3} lies under the floor", run.report.service.service);
         }
     }
-    for (rule, (seed, times)) in &rules {
+    for (rule, (seed, times)) in &broken_rules {
         println!("  BROKEN    {rule}: {times} times; first with --seed {seed}");
     }
-    kept == days.len()
+    kept == runs.len()
 }
--- a/crates/gullcartctl/src/fleet.rs
+++ b/crates/gullcartctl/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `gullcartctl fleet`: what many couriers did to each destination, second by second, from their logs.
+//! `gullcartctl fleet`: adds up, second by second, what the logs of many couriers report about each destination.
 
 use clap::Args;
 use serde::Serialize;
@@ -9,9 +9,10 @@
 use std::process::ExitCode;
 use std::time::SystemTime;
 
-/// Rows that are kept at most: a day of seconds for a hundred destinations. Further ones are counted and told of.
-const MOST_ROWS: usize = 8_640_000;
+/// Maximum number of rows: one day of seconds for a hundred destinations. Lines beyond it are counted and reported.
+const MAX_ROWS: usize = 8_640_000;
 
+/// The arguments of the command.
 #[derive(Args)]
 #[command(after_help = "The couriers must have been started with GULLCART_LOG=gullcart::tally=debug.
 
@@ -20,50 +21,80 @@
   gullcartctl fleet --destination 4 logs/*.log
   gullcartctl fleet --json logs/*.log
 
-Exit codes: 0 a table was made, 1 the logs hold no tally, 2 a log cannot be read")]
+Exit codes: 0 a table was printed, 1 the logs hold no tally, 2 a log cannot be read")]
 pub struct Arguments {
-    /// The couriers' logs
+    /// The couriers' log files
     #[arg(required = true)]
     logs: Vec<PathBuf>,
-    /// Only this destination
+    /// Show only this destination
     #[arg(long, value_name = "NUMBER")]
     destination: Option<u32>,
-    /// For machines: one object a row
+    /// Print JSON, one object a row
     #[arg(long)]
     json: bool,
 }
 
-/// What all couriers did in one second.
+/// Sums over all couriers for one second and destination. The fields have the names of the log's fields.
 #[derive(Default, Serialize)]
 struct Row {
+    /// Messages that were accepted.
     taken: u64,
+    /// Calls that succeeded.
     ok: u64,
+    /// Calls that were rejected with backpressure.
     full: u64,
+    /// Calls that timed out, were reset or were cancelled.
     lost: u64,
+    /// Calls with an error or a malformed response.
     error: u64,
+    /// Calls for which no connection could be opened.
     unconnected: u64,
+    /// Messages that wait to be sent.
     waiting: u64,
-    /// Messages that wait, by what for.
+    /// Waiting messages by what they wait for.
     holds: BTreeMap<String, u64>,
-    /// Calls a second that the couriers which have messages allow themselves, in sum.
+    /// Sum of the rates, in calls a second, to which the couriers with messages limit themselves.
     pace: f64,
-    /// Of the limit and of the share of it that is left: sums and numbers of those who told.
+    /// The destination's limit, as the couriers know it.
     #[serde(skip)]
-    limit: (f64, u32),
+    limit: Mean,
+    /// The share of the limit that is left, as the destination reported it.
     #[serde(skip)]
-    left: (f64, u32),
+    left: Mean,
 }
 
-/// The table; rows by the second since the first line, and by destination.
+/// The mean of the values that the couriers' lines hold.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+struct Mean {
+    sum: f64,
+    count: u32,
+}
+
+impl Mean {
+    fn add(&mut self, value: f64) {
+        self.sum += value;
+        self.count += 1;
+    }
+
+    /// The mean; none without a value.
+    fn value(self) -> Option<f64> {
+        (self.count > 0).then(|| self.sum / f64::from(self.count))
+    }
+}
+
+/// The table. Rows are ordered by second and destination; seconds count from the first line that was read, and are negative
+/// before it.
 #[derive(Default)]
 struct Table {
-    begin: Option<SystemTime>,
+    /// Time of the first line that was read; second 0 of `rows`.
+    start: Option<SystemTime>,
     rows: BTreeMap<(i64, u32), Row>,
-    dropped: u64,
+    /// Lines that were left out because of [`MAX_ROWS`].
+    dropped_lines: u64,
 }
 
 impl Table {
-    /// Takes one line of a log in; lines of another kind are passed over.
+    /// Adds one line of a log; lines that are no tally are skipped. With `only`, so are those of other destinations.
     fn add(&mut self, line: &str, only: Option<u32>) {
         let Some((head, tail)) = line.split_once(" tally ") else { return };
         let Some(at) = head.split_whitespace().find_map(|word| humantime::parse_rfc3339(word).ok()) else {
@@ -72,23 +103,23 @@
         let fields: BTreeMap<&str, &str> =
             tail.split_whitespace().filter_map(|word| word.split_once('=')).collect();
         let Some(destination) = fields.get("destination").and_then(|text| text.parse().ok()) else { return };
-        let begin = *self.begin.get_or_insert(at);
+        let start = *self.start.get_or_insert(at);
         if only.is_some_and(|only| only != destination) {
             return;
         }
-        // Logs come one after the other, and each may have begun before the first.
-        let second = match at.duration_since(begin) {
+        // The logs are read one after the other, and any of them may begin earlier than the first.
+        let second = match at.duration_since(start) {
             Ok(after) => after.as_secs() as i64,
             Err(before) => -1 - before.duration().as_secs() as i64,
         };
-        if self.rows.len() >= MOST_ROWS && !self.rows.contains_key(&(second, destination)) {
-            self.dropped += 1;
+        if self.rows.len() >= MAX_ROWS && !self.rows.contains_key(&(second, destination)) {
+            self.dropped_lines += 1;
             return;
         }
         let row = self.rows.entry((second, destination)).or_default();
         let count =
             |name: &str| fields.get(name).and_then(|text| text.parse::<u64>().ok()).unwrap_or_default();
-        let figure =
+        let number =
             |name: &str| fields.get(name).and_then(|text| text.parse::<f64>().ok()).filter(|n| n.is_finite());
         row.taken += count("taken");
         row.ok += count("ok");
@@ -101,15 +132,16 @@
         {
             *row.holds.entry(hold.to_owned()).or_default() += count("waiting");
         }
-        row.pace += figure("pace").unwrap_or_default();
-        if let Some(limit) = figure("limit").filter(|limit| *limit > 0.0) {
-            row.limit = (row.limit.0 + limit, row.limit.1 + 1);
+        row.pace += number("pace").unwrap_or_default();
+        if let Some(limit) = number("limit").filter(|limit| *limit > 0.0) {
+            row.limit.add(limit);
         }
-        if let Some(left) = figure("left") {
-            row.left = (row.left.0 + left, row.left.1 + 1);
+        if let Some(left) = number("left") {
+            row.left.add(left);
         }
     }
 
+    /// Prints the table as text.
     fn print(&self, out: &mut impl Write) -> io::Result<()> {
         writeln!(
             out,
@@ -129,13 +161,13 @@
         )?;
         for ((second, destination), row) in &self.rows {
             let holds: Vec<String> =
-                row.holds.iter().map(|(hold, number)| format!("{hold} {number}")).collect();
-            let limit = mean(row.limit).map_or_else(|| "-".to_owned(), |limit| format!("{limit:.0}"));
-            let left = mean(row.left).map_or_else(|| "-".to_owned(), |left| format!("{left:.2}"));
+                row.holds.iter().map(|(reason, count)| format!("{reason} {count}")).collect();
+            let limit = row.limit.value().map_or_else(|| "-".to_owned(), |limit| format!("{limit:.0}"));
+            let left = row.left.value().map_or_else(|| "-".to_owned(), |left| format!("{left:.2}"));
             writeln!(
                 out,
                 "{:>6} {destination:>5} {:>6} {:>6} {:>6} {:>5} {:>5} {:>7} {:>7} {:>7.0} {limit:>7} {left:>5}  {}",
-                second - self.first(),
+                second - self.first_second(),
                 row.taken,
                 row.ok,
                 row.full,
@@ -150,30 +182,31 @@
         out.flush()
     }
 
+    /// Prints the rows as JSON objects, one a line.
     fn print_json(&self, out: &mut impl Write) -> io::Result<()> {
         for ((second, destination), row) in &self.rows {
-            let value = serde_json::json!({"second": second - self.first(), "destination": destination,
-                "counts": row, "limit": mean(row.limit), "left": mean(row.left)});
+            let value = serde_json::json!({"second": second - self.first_second(), "destination": destination,
+                "counts": row, "limit": row.limit.value(), "left": row.left.value()});
             writeln!(out, "{value}")?;
         }
         out.flush()
     }
 
-    /// The second of the earliest line of all logs.
-    fn first(&self) -> i64 {
+    /// The earliest second of all rows.
+    fn first_second(&self) -> i64 {
         self.rows.keys().next().map_or(0, |(second, _)| *second)
     }
 }
 
-/// Makes the table.
+/// Runs the command.
 pub fn fleet(arguments: &Arguments) -> Result<ExitCode, String> {
     let mut table = Table::default();
     for path in &arguments.logs {
-        let cannot = |error| format!("cannot read the log {}: {error}", path.display());
-        let mut reader = BufReader::new(File::open(path).map_err(cannot)?);
+        let read_error = |error| format!("cannot read the log {}: {error}", path.display());
+        let mut reader = BufReader::new(File::open(path).map_err(read_error)?);
         let mut line = Vec::new();
-        // A log may hold bytes that are no text.
-        while reader.read_until(b'\n', &mut line).map_err(cannot)? > 0 {
+        // A log may hold bytes that are not UTF-8.
+        while reader.read_until(b'\n', &mut line).map_err(read_error)? > 0 {
             table.add(&String::from_utf8_lossy(&line), arguments.destination);
             line.clear();
         }
@@ -188,23 +221,19 @@
     let mut out = BufWriter::new(io::stdout().lock());
     let printed = if arguments.json { table.print_json(&mut out) } else { table.print(&mut out) };
     match printed {
-        // Whoever reads has seen enough.
+        // The reader of the output, such as `head`, has closed the pipe.
         Err(error) if error.kind() == io::ErrorKind::BrokenPipe => return Ok(ExitCode::SUCCESS),
         Err(error) => return Err(format!("cannot print the table: {error}")),
         Ok(()) => {}
     }
-    if table.dropped > 0 {
+    if table.dropped_lines > 0 {
         eprintln!(
-            "gullcartctl: {} lines are beyond {MOST_ROWS} rows and were left out; name a destination",
-            table.dropped
+            "gullcartctl: {} lines were left out, as the table has {MAX_ROWS} rows at most; name a destination",
+            table.dropped_lines
         );
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn mean((sum, number): (f64, u32)) -> Option<f64> {
-    (number > 0).then(|| sum / f64::from(number))
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/gullcartctl/src/group/tests.rs
+++ b/crates/gullcartctl/src/group/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-fn told(number: u64, status: Option<Status>) -> Told {
+fn answer(number: u64, status: Option<Status>) -> MemberAnswer {
     let error = status.is_none().then(|| "refused".to_owned());
     let (name, address) = (format!("m{number}"), format!("127.0.0.1:{number}"));
-    Told { name, number, address, is_voter: number <= 3, status, error }
+    MemberAnswer { name, number, address, is_voter: number <= 3, status, error }
 }
 
 fn status(me: u64, leader: Option<u64>, version: u64) -> Status {
@@ -25,31 +25,31 @@
 }
 
 #[test]
-fn what_the_newest_knows_counts_and_a_majority_says_who_leads() {
-    let report = Report::of(vec![
-        told(1, Some(status(1, Some(2), 40))),
-        told(2, Some(status(2, Some(2), 42))),
-        told(3, Some(status(3, Some(3), 7))),
+fn the_newest_status_counts_and_a_majority_names_the_leader() {
+    let report = Report::from_answers(vec![
+        answer(1, Some(status(1, Some(2), 40))),
+        answer(2, Some(status(2, Some(2), 42))),
+        answer(3, Some(status(3, Some(3), 7))),
     ]);
     assert_eq!((report.leader.as_deref(), report.version), (Some("m2"), 42));
     assert_eq!(report.duties[0].epoch, Some(42));
-    assert_eq!(report.duties[1].why.as_deref(), Some("because"));
-    assert_eq!(report.wrong, Vec::<String>::new());
-    assert!(report.members()[3].contains(" 35 "), "{:?}", report.members());
-    assert!(report.duties()[1].contains("m2") && report.duties()[2].contains("NOBODY"));
+    assert_eq!(report.duties[1].reason.as_deref(), Some("because"));
+    assert_eq!(report.problems, Vec::<String>::new());
+    assert!(report.member_lines()[3].contains(" 35 "), "{:?}", report.member_lines());
+    assert!(report.duty_lines()[1].contains("m2") && report.duty_lines()[2].contains("NOBODY"));
 }
 
 #[test]
-fn what_is_wrong_is_said_in_words() {
-    let lost = Status { votes: false, trouble: Some("replace it".to_owned()), ..status(1, None, 0) };
-    let report = Report::of(vec![
-        told(1, Some(lost)),
-        told(2, Some(status(2, Some(2), 42))),
-        told(3, None),
-        told(4, Some(status(4, None, 0))),
+fn problems_are_described() {
+    let without_state = Status { votes: false, trouble: Some("replace it".to_owned()), ..status(1, None, 0) };
+    let report = Report::from_answers(vec![
+        answer(1, Some(without_state)),
+        answer(2, Some(status(2, Some(2), 42))),
+        answer(3, None),
+        answer(4, Some(status(4, None, 0))),
     ]);
     assert_eq!(report.leader, None, "one of three is no majority");
-    let text = report.wrong.join("\n");
+    let text = report.problems.join("\n");
     for word in ["no leader", "m1: replace it", "m3 at 127.0.0.1:3 cannot be asked: refused"] {
         assert!(text.contains(word), "{text}");
     }
--- a/crates/gullcartctl/src/journal.rs
+++ b/crates/gullcartctl/src/journal.rs
@@ -1,18 +1,19 @@
-//! `gullcartctl journal`: looking at the journal of a courier that does not run, and repairing it.
+//! `gullcartctl journal`: inspects, verifies and repairs the journal of a courier that does not run.
 
 use clap::{Args, Subcommand};
 use gullcart_journal::{inspect, repair, Folder, JournalReport, Options};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
+/// The arguments of the command.
 #[derive(Args)]
 #[command(after_help = "Examples:
   gullcartctl journal inspect /run/state
   gullcartctl journal verify /run/state --json
   gullcartctl journal repair /run/state --disk-mb 3 --yes
 
-Exit codes: 0 all that was promised is there, 1 something is damaged, 2 it could not be done (a courier uses the
-folder, or it cannot be read)")]
+Exit codes: 0 the journal is sound, 1 it is damaged, 2 the command could not be run (a courier uses the folder, or it
+cannot be read)")]
 pub struct Arguments {
     #[command(subcommand)]
     command: Command,
@@ -20,57 +21,59 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Show segments, what of them is live, and what is held
+    /// Show the segments, how much of them is live, and the pending messages
     Inspect {
         /// The courier's state folder
         folder: PathBuf,
-        /// For machines
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Read all of it and tell damage from a torn end
+    /// Read the whole journal and check for damage, other than an incomplete last write
     Verify {
         /// The courier's state folder
         folder: PathBuf,
-        /// For machines
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Keep a damaged journal aside, and take over what can be proven
+    /// Replace a damaged journal by the messages that can be proven, and keep the old files
     Repair {
         /// The courier's state folder
         folder: PathBuf,
-        /// What the courier may use of the disk, in millions of bytes, as in its configuration
+        /// Disk space for the courier in millions of bytes, as in its configuration
         #[arg(long, value_name = "MB")]
         disk_mb: f64,
-        /// Do it; without this it only says what it would do
+        /// Do the repair; without this, only print what it would do
         #[arg(long)]
         yes: bool,
     },
 }
 
+/// Runs the command.
 pub fn journal(arguments: &Arguments) -> Result<ExitCode, String> {
     match &arguments.command {
         Command::Inspect { folder, json } => {
-            let report = looked(folder)?;
-            print(&report, *json, inspected)?;
+            let report = read_report(folder)?;
+            print(&report, *json, inspection_text)?;
             Ok(ExitCode::SUCCESS)
         }
         Command::Verify { folder, json } => {
-            let report = looked(folder)?;
-            print(&report, *json, verified)?;
-            Ok(verdict(&report))
+            let report = read_report(folder)?;
+            print(&report, *json, verification_text)?;
+            Ok(exit_code(&report))
         }
-        Command::Repair { folder, disk_mb, yes } => repaired(folder, *disk_mb, *yes),
+        Command::Repair { folder, disk_mb, yes } => run_repair(folder, *disk_mb, *yes),
     }
 }
 
-fn looked(folder: &Path) -> Result<JournalReport, String> {
-    let store = Folder::lock(folder).map_err(|error| error.to_string())?;
-    inspect(&store).map_err(|error| error.to_string())
+/// Reads the journal of a folder, which no courier may use meanwhile.
+fn read_report(folder: &Path) -> Result<JournalReport, String> {
+    let locked_folder = Folder::lock(folder).map_err(|error| error.to_string())?;
+    inspect(&locked_folder).map_err(|error| error.to_string())
 }
 
-fn verdict(report: &JournalReport) -> ExitCode {
+fn exit_code(report: &JournalReport) -> ExitCode {
     if report.is_undamaged() {
         ExitCode::SUCCESS
     } else {
@@ -78,16 +81,22 @@
     }
 }
 
-fn print(report: &JournalReport, json: bool, words: impl Fn(&JournalReport) -> String) -> Result<(), String> {
+/// Prints a report as JSON or as text.
+fn print(
+    report: &JournalReport,
+    json: bool,
+    describe: impl Fn(&JournalReport) -> String,
+) -> Result<(), String> {
     if json {
         println!("{}", serde_json::to_string_pretty(report).map_err(|error| error.to_string())?);
     } else {
-        println!("{}", words(report));
+        println!("{}", describe(report));
     }
     Ok(())
 }
 
-fn inspected(report: &JournalReport) -> String {
+/// The segments as a table, the messages, and the result of the verification.
+fn inspection_text(report: &JournalReport) -> String {
     let mut lines =
         vec![format!("{:<30} {:>10} {:>10} {:>8} {:>7}", "segment", "on disk", "records", "live", "live")];
     for segment in &report.segments {
@@ -103,29 +112,33 @@
     }
     lines.push(format!("{} bytes on disk in all", report.used_bytes));
     lines.push(format!(
-        "{} messages held, {} of them with an attempt out, {} with an end to be told",
+        "{} messages pending, {} of them with an attempt in flight, {} with a notice to be acknowledged",
         report.pending, report.in_flight, report.unacknowledged
     ));
     lines.push(format!(
-        "{} endpoints of list {}, {} destinations, {} outages remembered",
+        "{} endpoints of list {}, {} destinations, {} outages recorded",
         report.endpoints, report.rev, report.destinations, report.outages
     ));
-    lines.push(verified(report));
+    lines.push(verification_text(report));
     lines.join("\n")
 }
 
-fn verified(report: &JournalReport) -> String {
+/// What is wrong with a journal, and whether it is sound.
+fn verification_text(report: &JournalReport) -> String {
     let mut lines = Vec::new();
     if report.torn_bytes > 0 {
-        lines.push(format!("{} bytes at the end are torn; they promised nothing", report.torn_bytes));
+        lines.push(format!(
+            "{} bytes at the end belong to an incomplete last write; nothing relied on them",
+            report.torn_bytes
+        ));
     }
     lines.extend(report.damage.iter().cloned());
     if report.is_undamaged() {
-        lines.push("sound: all that was promised is there".to_owned());
+        lines.push("sound: all durable records are there".to_owned());
     } else {
         lines.push(format!(
-            "DAMAGED: {} held messages can be proven, {} of them may have run for all that is known; {} are lost that \
-             later records speak of",
+            "DAMAGED: {} pending messages can be proven, and {} of them may have run; {} messages are lost that later \
+             records refer to",
             report.pending,
             report.in_doubt.len(),
             report.lost.len()
@@ -134,23 +147,26 @@
     lines.join("\n")
 }
 
-fn repaired(folder: &Path, disk_mb: f64, yes: bool) -> Result<ExitCode, String> {
+/// Repairs a journal, or prints what a repair would do.
+fn run_repair(folder: &Path, disk_mb: f64, yes: bool) -> Result<ExitCode, String> {
     if disk_mb.is_nan() || disk_mb <= 0.0 {
-        return Err(format!("--disk-mb {disk_mb}: it has to be more than 0"));
+        return Err(format!("--disk-mb {disk_mb}: the value has to be greater than 0"));
     }
     if !yes {
-        let report = looked(folder)?;
-        println!("{}", verified(&report));
+        let report = read_report(folder)?;
+        println!("{}", verification_text(&report));
         if !report.is_undamaged() {
-            println!("nothing was changed; with --yes the files are kept aside, and this is taken over");
+            println!(
+                "nothing was changed; --yes replaces the journal by these messages, and keeps the old files"
+            );
         }
-        return Ok(verdict(&report));
+        return Ok(exit_code(&report));
     }
-    let done =
+    let repaired =
         repair(folder, (disk_mb * 1e6) as u64, Options::default()).map_err(|error| error.to_string())?;
-    println!("{}", verified(&done.report));
-    match done.backup_folder {
-        Some(kept) => println!("repaired; the old files are in {}", kept.display()),
+    println!("{}", verification_text(&repaired.report));
+    match repaired.backup_folder {
+        Some(backup) => println!("repaired; the old files are in {}", backup.display()),
         None => println!("there was nothing to repair"),
     }
     Ok(ExitCode::SUCCESS)
--- a/crates/gullcartctl/src/main.rs
+++ b/crates/gullcartctl/src/main.rs
@@ -1,5 +1,5 @@
-//! `gullcartctl`: what operators do around the daemon. Exit codes: 0 all is well, 1 what was asked about is not, 2 it
-//! could not be done.
+//! `gullcartctl`: the operators' command-line tool. Exit codes: 0 success, 1 the command ran and its result is negative (a rule
+//! was broken, damage was found, ...), 2 the command could not be run.
 #![forbid(unsafe_code)]
 
 mod emulate;
@@ -24,21 +24,21 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Rehearse a day with real couriers among stand-ins, on loopback alone
+    /// Rehearse a day with real couriers and stand-ins for everything around them, on loopback only
     Rehearse(rehearse::Arguments),
-    /// Rehearse in virtual time, hundreds of times as fast
+    /// Rehearse in virtual time, hundreds of times as fast as real time
     Emulate(emulate::Arguments),
-    /// Prove that the judge catches each deliberately broken courier, and make the table
+    /// Prove that the judge catches each deliberately broken courier, and print a table of the results
     Prove(prove::Arguments),
-    /// Look at the journal of a courier that does not run, and repair it
+    /// Inspect or repair the journal of a courier that does not run
     Journal(journal::Arguments),
-    /// Ask the members of a group how it stands
+    /// Ask the members of a group for its status
     Group(group::Arguments),
-    /// Add up, second by second, what many couriers say of each destination in their logs
+    /// Add up, second by second, what the logs of many couriers report about each destination
     Fleet(fleet::Arguments),
-    /// Measure what daemons cost by size, and keep the results
+    /// Measure how a daemon's costs grow with size, and keep the results
     Scale(scale::Arguments),
-    /// Run a program that dies with the process that started it
+    /// Run a program that is killed when the process that started it ends
     #[command(hide = true)]
     CourierGuard {
         program: OsString,
@@ -47,8 +47,8 @@
     },
 }
 
-/// What could not be done.
-const CANNOT: u8 = 2;
+/// Exit code of a command that could not be run.
+const EXIT_NOT_RUN: u8 = 2;
 
 fn main() -> ExitCode {
     let result = match Cli::parse().command {
@@ -67,13 +67,13 @@
     };
     result.unwrap_or_else(|error| {
         eprintln!("gullcartctl: {error}");
-        ExitCode::from(CANNOT)
+        ExitCode::from(EXIT_NOT_RUN)
     })
 }
 
-/// The program of that name that lies beside this one.
-fn beside(name: &str) -> Result<PathBuf, String> {
-    let own =
-        std::env::current_exe().map_err(|error| format!("cannot tell where this program is: {error}"))?;
+/// The path of another program in the folder of this one.
+fn sibling_program(name: &str) -> Result<PathBuf, String> {
+    let own = std::env::current_exe()
+        .map_err(|error| format!("cannot determine the path of this program: {error}"))?;
     Ok(own.with_file_name(name))
 }
--- a/crates/gullcartctl/src/prove.rs
+++ b/crates/gullcartctl/src/prove.rs
@@ -1,5 +1,6 @@
-//! `gullcartctl prove`: every broken courier against the scenario that should catch it, and the honest one against all
-//! short scenarios, for many seeds. Results are kept in a file, so that it goes on where it was cut off.
+//! `gullcartctl prove`: runs each deliberately broken courier in the scenario that should detect its fault, and the honest
+//! courier in all short scenarios, each with several seeds. The results are appended to a file, from which an interrupted run of
+//! the command continues.
 
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -13,161 +14,188 @@
 use std::process::{Command, ExitCode, Stdio};
 use std::sync::Mutex;
 
-/// Each fault of a broken build, the rule that it breaks, and the scenario that shows it.
-const FAULTS: &[(&str, &str, &str)] = &[
-    ("forgets-at-restart", "lost", "gauntlet"),
-    ("early-ok", "lost", "gauntlet"),
-    ("swallows", "lost", "gauntlet"),
-    ("never-tells", "lost", "gauntlet"),
-    ("resends-unsafe", "twice", "gauntlet"),
-    ("new-key", "twice", "gauntlet"),
-    ("side-by-side", "twice", "gauntlet"),
-    ("hands-back", "twice", "gauntlet"),
-    ("past-window", "twice", "gauntlet"),
-    ("late-repeats", "twice", "cut-off"),
-    ("deaf-to-drains", "drains", "gauntlet"),
-    ("late-to-drains", "drains", "gauntlet"),
-    ("rushes-cold", "returning", "cold-return"),
-    ("overestimates-cold", "returning", "cold-return"),
-    ("overtakes", "order", "gauntlet"),
-    ("no-rest", "order", "gauntlet"),
-    ("reorders-at-restart", "order", "gauntlet"),
-    ("ignores-wait", "waits", "gauntlet"),
-    ("halves-wait", "waits", "gauntlet"),
-    ("ends-twice", "final-answer", "gauntlet"),
-    ("keeps-back", "final-answer", "gauntlet"),
-    ("goes-astray", "destination", "gauntlet"),
-    ("believes-copies", "lost", "copies"),
+/// A fault of a broken build, and how it has to be detected.
+struct FaultCase {
+    /// The fault's name in the variable `GULLCART_BROKEN`.
+    fault: &'static str,
+    /// The rule that it breaks.
+    rule: &'static str,
+    /// The scenario that shows it.
+    scenario: &'static str,
+}
+
+const fn case(fault: &'static str, rule: &'static str, scenario: &'static str) -> FaultCase {
+    FaultCase { fault, rule, scenario }
+}
+
+/// All faults: name, broken rule, scenario.
+const FAULT_CASES: &[FaultCase] = &[
+    case("forgets-at-restart", "lost", "gauntlet"),
+    case("early-ok", "lost", "gauntlet"),
+    case("swallows", "lost", "gauntlet"),
+    case("never-tells", "lost", "gauntlet"),
+    case("resends-unsafe", "twice", "gauntlet"),
+    case("new-key", "twice", "gauntlet"),
+    case("side-by-side", "twice", "gauntlet"),
+    case("hands-back", "twice", "gauntlet"),
+    case("past-window", "twice", "gauntlet"),
+    case("late-repeats", "twice", "cut-off"),
+    case("deaf-to-drains", "drains", "gauntlet"),
+    case("late-to-drains", "drains", "gauntlet"),
+    case("rushes-cold", "returning", "cold-return"),
+    case("overestimates-cold", "returning", "cold-return"),
+    case("overtakes", "order", "gauntlet"),
+    case("no-rest", "order", "gauntlet"),
+    case("reorders-at-restart", "order", "gauntlet"),
+    case("ignores-wait", "waits", "gauntlet"),
+    case("halves-wait", "waits", "gauntlet"),
+    case("ends-twice", "final-answer", "gauntlet"),
+    case("keeps-back", "final-answer", "gauntlet"),
+    case("goes-astray", "destination", "gauntlet"),
+    case("believes-copies", "lost", "copies"),
 ];
 
-/// What the honest build is rehearsed with.
-const SHORT: &[&str] =
+/// The scenarios in which the honest build runs by default.
+const SHORT_SCENARIOS: &[&str] =
     &["smoke", "copies", "gauntlet", "cut-off", "cold-return", "overlap", "mid-drain", "restarts"];
 
-/// The name under which the honest build stands in the results.
+/// Stands for the honest build in place of a fault's name.
 const HONEST: &str = "none";
-/// A run that is void is played again so often.
-const AGAIN: u32 = 3;
+/// Maximum number of times that a run is made, as long as it is void.
+const MAX_ATTEMPTS: u32 = 3;
 
+/// The arguments of the command.
 #[derive(Args)]
 #[command(after_help = "Examples:
   cargo build --release -p gullcart --features broken --target-dir target/broken
   gullcartctl prove --broken target/broken/release/gullcart --seeds 20 --markdown table.md
   gullcartctl prove --broken target/broken/release/gullcart --only no-rest,none --seeds 3
 
-Exit codes: 0 every fault was caught and the honest build kept all, 1 not so, 2 it could not be done")]
+Exit codes: 0 every fault was caught and the honest build kept all rules, 1 some fault was missed or some rule broken, 2 it
+could not be run")]
 pub struct Arguments {
     /// A daemon built with the feature 'broken'
     #[arg(long, value_name = "PATH")]
     broken: PathBuf,
-    /// The honest daemon [default: the gullcart beside this program]
+    /// The honest daemon [default: the gullcart in the folder of this program]
     #[arg(long, value_name = "PATH")]
     program: Option<PathBuf>,
-    /// Seeds for each, from 1 on
+    /// Number of seeds for each fault and scenario, starting at 1
     #[arg(long, default_value_t = 20)]
     seeds: u64,
-    /// Only these faults, and 'none' for the honest build
+    /// Only these faults; 'none' stands for the honest build
     #[arg(long, value_delimiter = ',', value_name = "FAULT")]
     only: Vec<String>,
-    /// Scenarios for the honest build [default: all short ones that ship]
+    /// Scenarios for the honest build [default: all short scenarios that ship]
     #[arg(long, value_delimiter = ',', value_name = "SCENARIO")]
     honest: Vec<String>,
-    /// Runs side by side [default: one for each core]
+    /// Number of parallel runs [default: one for each core]
     #[arg(long)]
     jobs: Option<usize>,
-    /// Where results are kept, a line each; runs that stand there are not played again
+    /// File of results, one line a run; runs whose results it holds are not repeated
     #[arg(long, value_name = "FILE", default_value = "target/prove.jsonl")]
     results: PathBuf,
-    /// Write the table
+    /// Write the table to this file too
     #[arg(long, value_name = "FILE")]
     markdown: Option<PathBuf>,
 }
 
-/// A run to play.
+/// A run to make.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Task {
     fault: String,
+    /// The rule that the fault breaks; none for the honest build.
     rule: Option<&'static str>,
     scenario: String,
     seed: u64,
 }
 
-/// A run that was played.
+/// The result of a run, as a line of the results file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Played {
+struct RunResult {
     fault: String,
     scenario: String,
     seed: u64,
-    /// A broken build was caught for the right rule, or the honest one kept all.
-    good: bool,
-    void: bool,
+    /// Whether the broken build was caught breaking the expected rule, or the honest one kept all rules.
+    #[serde(rename = "good")]
+    is_expected: bool,
+    /// Whether the rehearsal itself was too slow, so that the run does not count.
+    #[serde(rename = "void")]
+    is_void: bool,
+    /// The share of service that was kept.
     service: f64,
-    /// Until the breach of that rule.
-    seconds: Option<f64>,
-    broken: Vec<String>,
-    /// The first breach in words.
-    #[serde(default)]
-    what: Option<String>,
+    /// Seconds from the start to the first breach of the expected rule.
+    #[serde(rename = "seconds")]
+    seconds_to_breach: Option<f64>,
+    /// Names of all rules that were broken.
+    #[serde(rename = "broken")]
+    broken_rules: Vec<String>,
+    /// The first breach of any rule in words.
+    #[serde(default, rename = "what")]
+    first_breach: Option<String>,
 }
 
+/// Runs the command.
 pub fn prove(arguments: &Arguments) -> Result<ExitCode, String> {
-    let known: BTreeSet<&str> = FAULTS.iter().map(|(fault, ..)| *fault).chain([HONEST]).collect();
+    let known: BTreeSet<&str> = FAULT_CASES.iter().map(|case| case.fault).chain([HONEST]).collect();
     if let Some(unknown) = arguments.only.iter().find(|name| !known.contains(name.as_str())) {
         let known: Vec<&str> = known.into_iter().collect();
-        return Err(format!("no fault '{unknown}'; there are {}", known.join(", ")));
+        return Err(format!("there is no fault '{unknown}'; the faults are {}", known.join(", ")));
     }
     let honest = match &arguments.program {
         Some(program) => program.clone(),
-        None => crate::beside("gullcart")?,
+        None => crate::sibling_program("gullcart")?,
     };
     for program in [&honest, &arguments.broken] {
         if !program.is_file() {
             return Err(format!("there is no daemon at {}", program.display()));
         }
     }
-    let mut played = read(&arguments.results)?;
-    let done: BTreeSet<(String, String, u64)> = played
+    let mut results = read_results(&arguments.results)?;
+    let done: BTreeSet<(String, String, u64)> = results
         .iter()
-        .filter(|run| !run.void)
-        .map(|r| (r.fault.clone(), r.scenario.clone(), r.seed))
+        .filter(|run| !run.is_void)
+        .map(|run| (run.fault.clone(), run.scenario.clone(), run.seed))
         .collect();
     let is_done = |task: &Task| done.contains(&(task.fault.clone(), task.scenario.clone(), task.seed));
     let tasks: VecDeque<Task> = tasks(arguments).into_iter().filter(|task| !is_done(task)).collect();
     if let Some(folder) = arguments.results.parent().filter(|folder| !folder.as_os_str().is_empty()) {
         std::fs::create_dir_all(folder)
-            .map_err(|error| format!("cannot make {}: {error}", folder.display()))?;
+            .map_err(|error| format!("cannot create {}: {error}", folder.display()))?;
     }
     let file = OpenOptions::new().create(true).append(true).open(&arguments.results);
     let file = file.map_err(|error| format!("cannot write {}: {error}", arguments.results.display()))?;
-    played.extend(play_all(arguments, &honest, tasks, file)?);
-    let (table, good) = table(arguments, &played);
+    results.extend(run_all(arguments, &honest, tasks, file)?);
+    let (table, all_expected) = table(arguments, &results);
     print!("{table}");
     if let Some(path) = &arguments.markdown {
         std::fs::write(path, &table).map_err(|error| format!("cannot write {}: {error}", path.display()))?;
     }
-    Ok(if good { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if all_expected { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-fn wanted(arguments: &Arguments, fault: &str) -> bool {
+/// Whether `--only` names the fault, or is not given.
+fn is_selected(arguments: &Arguments, fault: &str) -> bool {
     arguments.only.is_empty() || arguments.only.iter().any(|name| name == fault)
 }
 
+/// The scenarios for the honest build.
 fn honest_scenarios(arguments: &Arguments) -> Vec<String> {
     if arguments.honest.is_empty() {
-        return SHORT.iter().map(|name| (*name).to_owned()).collect();
+        return SHORT_SCENARIOS.iter().map(|name| (*name).to_owned()).collect();
     }
     arguments.honest.clone()
 }
 
-/// All runs, seed by seed, so that a cut leaves some seeds of everything.
+/// All runs, ordered by seed, so that an interrupted command has made some runs of each fault and scenario.
 fn tasks(arguments: &Arguments) -> Vec<Task> {
     let mut all = Vec::new();
     for seed in 1..=arguments.seeds {
-        for (fault, rule, scenario) in FAULTS.iter().filter(|(fault, ..)| wanted(arguments, fault)) {
-            let (fault, scenario) = ((*fault).to_owned(), (*scenario).to_owned());
-            all.push(Task { fault, rule: Some(rule), scenario, seed });
+        for case in FAULT_CASES.iter().filter(|case| is_selected(arguments, case.fault)) {
+            let (fault, scenario) = (case.fault.to_owned(), case.scenario.to_owned());
+            all.push(Task { fault, rule: Some(case.rule), scenario, seed });
         }
-        if wanted(arguments, HONEST) {
+        if is_selected(arguments, HONEST) {
             for scenario in honest_scenarios(arguments) {
                 all.push(Task { fault: HONEST.to_owned(), rule: None, scenario, seed });
             }
@@ -176,19 +204,21 @@
     all
 }
 
-fn read(path: &Path) -> Result<Vec<Played>, String> {
+/// Reads the results of earlier runs; none if there is no such file.
+fn read_results(path: &Path) -> Result<Vec<RunResult>, String> {
     let Ok(file) = File::open(path) else { return Ok(Vec::new()) };
     let lines = BufReader::new(file).lines().map_while(Result::ok);
-    // A line that was cut off is a run to be played again.
+    // A truncated line is skipped, so that its run is made again.
     Ok(lines.filter_map(|line| serde_json::from_str(&line).ok()).collect())
 }
 
-fn play_all(
+/// Makes the runs in parallel, and appends each result to the file.
+fn run_all(
     arguments: &Arguments,
     honest: &Path,
     tasks: VecDeque<Task>,
     file: File,
-) -> Result<Vec<Played>, String> {
+) -> Result<Vec<RunResult>, String> {
     let cores = std::thread::available_parallelism().map_or(2, usize::from);
     let jobs = arguments.jobs.unwrap_or(cores).clamp(1, 64);
     let bar = ProgressBar::new(tasks.len() as u64);
@@ -196,22 +226,22 @@
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     let (tasks, file) = (Mutex::new(tasks), Mutex::new(file));
     let all = Mutex::new(Vec::new());
-    let work = || -> Result<(), String> {
+    let run_remaining = || -> Result<(), String> {
         loop {
             let task = tasks.lock().map_err(|_| "another run panicked")?.pop_front();
             let Some(task) = task else { return Ok(()) };
-            let mut run = play(arguments, honest, &task)?;
-            for _ in 1..AGAIN {
-                if run.void {
-                    run = play(arguments, honest, &task)?;
+            let mut run = run_task(arguments, honest, &task)?;
+            for _ in 1..MAX_ATTEMPTS {
+                if run.is_void {
+                    run = run_task(arguments, honest, &task)?;
                 }
             }
             let line = serde_json::to_string(&run).map_err(|error| error.to_string())? + "\n";
             let mut file = file.lock().map_err(|_| "another run panicked")?;
-            file.write_all(line.as_bytes()).map_err(|error| format!("cannot keep a result: {error}"))?;
-            if !run.good {
-                let told = run.what.as_deref().unwrap_or("no breach of that rule");
-                bar.suspend(|| eprintln!("{} in {}, seed {}: {told}", run.fault, run.scenario, run.seed));
+            file.write_all(line.as_bytes()).map_err(|error| format!("cannot write a result: {error}"))?;
+            if !run.is_expected {
+                let reason = run.first_breach.as_deref().unwrap_or("the expected rule was not broken");
+                bar.suspend(|| eprintln!("{} in {}, seed {}: {reason}", run.fault, run.scenario, run.seed));
             }
             bar.set_message(format!("{} {}", task.fault, task.seed));
             bar.inc(1);
@@ -219,21 +249,21 @@
         }
     };
     let results: Vec<Result<(), String>> = std::thread::scope(|scope| {
-        let workers: Vec<_> = (0..jobs).map(|_| scope.spawn(work)).collect();
-        let ended = |worker: std::thread::ScopedJoinHandle<'_, Result<(), String>>| {
+        let workers: Vec<_> = (0..jobs).map(|_| scope.spawn(run_remaining)).collect();
+        let join = |worker: std::thread::ScopedJoinHandle<'_, Result<(), String>>| {
             worker.join().unwrap_or_else(|_| Err("a run panicked".to_owned()))
         };
-        workers.into_iter().map(ended).collect()
+        workers.into_iter().map(join).collect()
     });
     bar.finish_and_clear();
     results.into_iter().collect::<Result<Vec<()>, String>>()?;
     all.into_inner().map_err(|_| "a run panicked".to_owned())
 }
 
-/// Plays one run as a process of its own.
-fn play(arguments: &Arguments, honest: &Path, task: &Task) -> Result<Played, String> {
-    let own =
-        std::env::current_exe().map_err(|error| format!("cannot tell where this program is: {error}"))?;
+/// Makes one run, as a rehearsal in a process of its own.
+fn run_task(arguments: &Arguments, honest: &Path, task: &Task) -> Result<RunResult, String> {
+    let own = std::env::current_exe()
+        .map_err(|error| format!("cannot determine the path of this program: {error}"))?;
     let program = if task.rule.is_some() { &arguments.broken } else { honest };
     let name =
         format!("gullcart-prove-{}-{}-{}-{}", std::process::id(), task.fault, task.scenario, task.seed);
@@ -248,72 +278,77 @@
         command.stdin(Stdio::null()).output().map_err(|error| format!("cannot run a rehearsal: {error}"))?;
     let report = std::fs::read(&json).ok().and_then(|text| serde_json::from_slice::<Value>(&text).ok());
     let _ = std::fs::remove_file(&json);
-    let said = || String::from_utf8_lossy(&output.stderr).trim().to_owned();
-    let report = report.ok_or_else(|| format!("{} in {}: {}", task.fault, task.scenario, said()))?;
-    let broken: Vec<String> =
+    let error_output = || String::from_utf8_lossy(&output.stderr).trim().to_owned();
+    let report = report.ok_or_else(|| format!("{} in {}: {}", task.fault, task.scenario, error_output()))?;
+    let broken_rules: Vec<String> =
         report["broken"].as_object().map(|rules| rules.keys().cloned().collect()).unwrap_or_default();
-    let void = report["verdict"] == "void";
-    let of_rule = |breach: &&Value| task.rule.is_some_and(|rule| breach["rule"] == rule);
-    let first = report["breaches"].as_array().and_then(|all| all.iter().find(of_rule));
-    Ok(Played {
+    let is_void = report["verdict"] == "void";
+    let is_of_rule = |breach: &&Value| task.rule.is_some_and(|rule| breach["rule"] == rule);
+    let first = report["breaches"].as_array().and_then(|all| all.iter().find(is_of_rule));
+    Ok(RunResult {
         fault: task.fault.clone(),
         scenario: task.scenario.clone(),
         seed: task.seed,
-        good: !void
-            && task.rule.map_or(report["verdict"] == "kept", |rule| broken.iter().any(|it| it == rule)),
-        void,
+        is_expected: !is_void
+            && task
+                .rule
+                .map_or(report["verdict"] == "kept", |rule| broken_rules.iter().any(|name| name == rule)),
+        is_void,
         service: report["service"]["service"].as_f64().unwrap_or(0.0),
-        seconds: first.and_then(|breach| breach["at"].as_f64()),
-        broken,
-        what: report["breaches"][0]["what"].as_str().map(str::to_owned),
+        seconds_to_breach: first.and_then(|breach| breach["at"].as_f64()),
+        broken_rules,
+        first_breach: report["breaches"][0]["what"].as_str().map(str::to_owned),
     })
 }
 
-/// The table, and whether all is as it should be.
-fn table(arguments: &Arguments, played: &[Played]) -> (String, bool) {
-    // The last run of each counts.
-    let mut last: BTreeMap<(&str, &str, u64), &Played> = BTreeMap::new();
-    for run in played.iter().filter(|run| run.seed <= arguments.seeds) {
+/// The table of results in Markdown, and whether every run had the expected result.
+fn table(arguments: &Arguments, results: &[RunResult]) -> (String, bool) {
+    // If a run was made several times, its last result counts.
+    let mut last: BTreeMap<(&str, &str, u64), &RunResult> = BTreeMap::new();
+    for run in results.iter().filter(|run| run.seed <= arguments.seeds) {
         last.insert((&run.fault, &run.scenario, run.seed), run);
     }
-    let of = |fault: &str, scenario: &str| -> Vec<&Played> {
+    let runs_of = |fault: &str, scenario: &str| -> Vec<&RunResult> {
         last.iter().filter(|((f, s, _), _)| *f == fault && *s == scenario).map(|(_, run)| *run).collect()
     };
+    // Errors of `writeln!` are ignored: writing to a string cannot fail.
     let mut text =
         String::from("| fault | rule | scenario | seeds caught | seconds until caught (median, most) |\n");
     text.push_str("| --- | --- | --- | --- | --- |\n");
-    let mut all_good = true;
-    // Writing to a string cannot fail.
-    for (fault, rule, scenario) in FAULTS.iter().filter(|(fault, ..)| wanted(arguments, fault)) {
-        let runs = of(fault, scenario);
-        let caught = runs.iter().filter(|run| run.good).count();
-        let mut seconds: Vec<f64> = runs.iter().filter_map(|run| run.seconds).collect();
+    let mut all_expected = true;
+    for FaultCase { fault, rule, scenario } in
+        FAULT_CASES.iter().filter(|case| is_selected(arguments, case.fault))
+    {
+        let runs = runs_of(fault, scenario);
+        let caught = runs.iter().filter(|run| run.is_expected).count();
+        let mut seconds: Vec<f64> = runs.iter().filter_map(|run| run.seconds_to_breach).collect();
         seconds.sort_by(f64::total_cmp);
-        all_good &= caught as u64 == arguments.seeds;
-        let (median, most) = (seconds.get(seconds.len() / 2), seconds.last());
+        all_expected &= caught as u64 == arguments.seeds;
+        let median = seconds.get(seconds.len() / 2);
+        let max = seconds.last();
         let show = |value: Option<&f64>| value.map_or("-".to_owned(), |value| format!("{value:.1}"));
         let _ = writeln!(
             text,
             "| {fault} | {rule} | {scenario} | {caught} of {} | {}, {} |",
             runs.len(),
             show(median),
-            show(most)
+            show(max)
         );
     }
-    if wanted(arguments, HONEST) {
+    if is_selected(arguments, HONEST) {
         text.push_str("\n| honest build in | seeds kept | service (least, median) |\n| --- | --- | --- |\n");
         for scenario in honest_scenarios(arguments) {
-            let runs = of(HONEST, &scenario);
-            let kept = runs.iter().filter(|run| run.good).count();
-            all_good &= kept as u64 == arguments.seeds;
+            let runs = runs_of(HONEST, &scenario);
+            let kept = runs.iter().filter(|run| run.is_expected).count();
+            all_expected &= kept as u64 == arguments.seeds;
             let mut service: Vec<f64> = runs.iter().map(|run| run.service).collect();
             service.sort_by(f64::total_cmp);
-            let (least, median) =
-                (service.first().unwrap_or(&0.0), service.get(service.len() / 2).unwrap_or(&0.0));
-            let _ = writeln!(text, "| {scenario} | {kept} of {} | {least:.3}, {median:.3} |", runs.len());
+            let min = service.first().unwrap_or(&0.0);
+            let median = service.get(service.len() / 2).unwrap_or(&0.0);
+            let _ = writeln!(text, "| {scenario} | {kept} of {} | {min:.3}, {median:.3} |", runs.len());
         }
     }
-    (text, all_good)
+    (text, all_expected)
 }
 
 #[cfg(test)]
--- a/crates/gullcartctl/src/scale.rs
+++ b/crates/gullcartctl/src/scale.rs
@@ -1,4 +1,4 @@
-//! `gullcartctl scale`: what a daemon costs by size, measured on real processes and kept as records.
+//! `gullcartctl scale`: measures on real processes how a daemon's costs grow with size, and keeps the results as records.
 
 mod page;
 mod shared;
@@ -14,12 +14,15 @@
 use std::thread;
 use std::time::Duration;
 
+/// Default folder of the records.
 const RESULTS: &str = "docs/capacity/results";
+/// Stands for the commit of a daemon that lies in no git repository.
 const UNKNOWN_COMMIT: &str = "unknown";
-/// Files whose changes are not in a daemon.
+/// Git pathspecs that exclude files which are not part of a daemon.
 const NOT_IN_A_DAEMON: [&str; 3] = [":!docs", ":!journal", ":!*.md"];
-/// Points that are so much farther from a line than their own size lie on none.
-const NO_LINE: f64 = 10.0;
+/// Points do not lie on a line if one is off the fitted line by at least this multiple of its own value.
+const MAX_RELATIVE_RESIDUAL: f64 = 10.0;
+/// Widths of the columns in characters.
 const NAME_WIDTH: usize = 44;
 const VALUE_WIDTH: usize = 12;
 
@@ -30,51 +33,51 @@
   gullcartctl scale endpoints
   gullcartctl scale held --sizes 1000,10000 --daemon old/target/release/gullcart --name held-before
 
-Exit codes: 0 all sizes were measured, 1 some were not reached, 2 it could not be run")]
+Exit codes: 0 all sizes were measured, 1 some sizes were not reached, 2 it could not be run")]
 pub struct Arguments {
     #[command(subcommand)]
-    what: What,
+    measurement: MeasurementCommand,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// By the endpoints that a daemon is told of: memory, start, turns, changes, deliveries
-    Endpoints(Run),
-    /// By the messages that it holds for partners that never answer: memory, turns, hand-ins, replay
-    Held(Run),
-    /// By the destinations that have messages waiting: turns
-    Waiting(Run),
-    /// By the length of the list: changes and what they add to the journal, reloads of the configuration
-    Changes(Run),
-    /// By the messages that it holds: a restart for a changed setting, and how long no client is served
-    Restart(Run),
-    /// By the couriers that it is told of: memory, and calls for the list while discovery is down
-    Couriers(Run),
-    /// By the couriers of a deployment, without daemons: what all of them do toward what they share
+enum MeasurementCommand {
+    /// By the number of listed endpoints: memory, start, turns, changes, deliveries
+    Endpoints(MeasurementOptions),
+    /// By the number of messages held for partners that never answer: memory, turns, enqueueing, replay
+    Held(MeasurementOptions),
+    /// By the number of destinations with waiting messages: turns
+    Waiting(MeasurementOptions),
+    /// By the length of the list: changes and the bytes they add to the journal, reloads of the configuration
+    Changes(MeasurementOptions),
+    /// By the number of messages held: a restart for a changed setting, and how long no client is served
+    Restart(MeasurementOptions),
+    /// By the number of listed couriers: memory, and calls for the list while discovery is down
+    Couriers(MeasurementOptions),
+    /// By the number of couriers of a deployment, without daemons: their load on the systems they share
     Shared(shared::Arguments),
-    /// Render the figures of docs/CAPACITY.md from the records, or compare them
+    /// Render the figures of docs/CAPACITY.md from the records, or check that they are up to date
     Page(page::Arguments),
 }
 
-/// What all measurements of a daemon take.
+/// The options of all measurements of a daemon.
 #[derive(Args)]
-struct Run {
+struct MeasurementOptions {
     /// Sizes to measure [default: four or more, over two decades]
     #[arg(long, value_delimiter = ',', value_name = "N,...")]
     sizes: Vec<usize>,
-    /// The daemon [default: the gullcart beside this program]
+    /// The daemon [default: the gullcart in the folder of this program]
     #[arg(long, value_name = "PATH")]
     daemon: Option<PathBuf>,
-    /// Where the record goes
+    /// Folder for the record
     #[arg(long, value_name = "DIR", default_value = RESULTS)]
     results: PathBuf,
-    /// What the record is called [default: the measurement]
+    /// Name of the record [default: that of the measurement]
     #[arg(long)]
     name: Option<String>,
-    /// The daemon's commit [default: that of the folder it lies in]
+    /// The daemon's commit [default: that of the git repository it lies in]
     #[arg(long)]
     commit: Option<String>,
-    /// Samples of each cost; the median of them is kept
+    /// Samples of each cost; their median is kept
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u32).range(1..=1000))]
     samples: u32,
     /// How long one size may take to set up; a size that takes longer is recorded as not reached
@@ -82,46 +85,68 @@
     limit: Duration,
 }
 
-type Measure = fn(&[usize], &Settings, &Limits, &mut dyn FnMut(&str)) -> Result<Collector, MeasureError>;
+/// Measures a daemon at the given sizes, and reports its progress.
+type MeasureFn = fn(&[usize], &Settings, &Limits, &mut dyn FnMut(&str)) -> Result<Collector, MeasureError>;
 
-/// A measurement of the daemon.
-struct Kind {
+/// A measurement of a daemon.
+struct DaemonMeasurement {
     name: &'static str,
-    sizes: &'static [usize],
-    measure: Measure,
+    default_sizes: &'static [usize],
+    measure: MeasureFn,
 }
 
-const ENDPOINTS: Kind =
-    Kind { name: "endpoints", sizes: &[100, 1_000, 10_000, 50_000, 200_000], measure: endpoints::measure };
-const HELD: Kind = Kind { name: "held", sizes: &[1_000, 10_000, 50_000, 100_000], measure: held::measure };
-const WAITING: Kind = Kind { name: "waiting", sizes: &[10, 100, 1_000, 10_000], measure: waiting::measure };
-const CHANGES: Kind =
-    Kind { name: "changes", sizes: &[100, 1_000, 10_000, 50_000], measure: changes::measure };
-const RESTART: Kind = Kind { name: "restart", sizes: &[10, 100, 1_000, 10_000], measure: restart::measure };
-const COURIERS: Kind =
-    Kind { name: "couriers", sizes: &[10, 100, 1_000, 11_000], measure: couriers::measure };
+const ENDPOINTS: DaemonMeasurement = DaemonMeasurement {
+    name: "endpoints",
+    default_sizes: &[100, 1_000, 10_000, 50_000, 200_000],
+    measure: endpoints::measure,
+};
+const HELD: DaemonMeasurement = DaemonMeasurement {
+    name: "held",
+    default_sizes: &[1_000, 10_000, 50_000, 100_000],
+    measure: held::measure,
+};
+const WAITING: DaemonMeasurement = DaemonMeasurement {
+    name: "waiting",
+    default_sizes: &[10, 100, 1_000, 10_000],
+    measure: waiting::measure,
+};
+const CHANGES: DaemonMeasurement = DaemonMeasurement {
+    name: "changes",
+    default_sizes: &[100, 1_000, 10_000, 50_000],
+    measure: changes::measure,
+};
+const RESTART: DaemonMeasurement = DaemonMeasurement {
+    name: "restart",
+    default_sizes: &[10, 100, 1_000, 10_000],
+    measure: restart::measure,
+};
+const COURIERS: DaemonMeasurement = DaemonMeasurement {
+    name: "couriers",
+    default_sizes: &[10, 100, 1_000, 11_000],
+    measure: couriers::measure,
+};
 
-/// Runs a measurement, shows it and keeps it.
+/// Runs the command.
 pub fn scale(arguments: &Arguments) -> Result<ExitCode, String> {
-    let (kind, run) = match &arguments.what {
-        What::Endpoints(run) => (ENDPOINTS, run),
-        What::Held(run) => (HELD, run),
-        What::Waiting(run) => (WAITING, run),
-        What::Changes(run) => (CHANGES, run),
-        What::Restart(run) => (RESTART, run),
-        What::Couriers(run) => (COURIERS, run),
-        What::Shared(arguments) => return shared::shared(arguments),
-        What::Page(arguments) => return page::page(arguments),
+    let (measurement, options) = match &arguments.measurement {
+        MeasurementCommand::Endpoints(options) => (ENDPOINTS, options),
+        MeasurementCommand::Held(options) => (HELD, options),
+        MeasurementCommand::Waiting(options) => (WAITING, options),
+        MeasurementCommand::Changes(options) => (CHANGES, options),
+        MeasurementCommand::Restart(options) => (RESTART, options),
+        MeasurementCommand::Couriers(options) => (COURIERS, options),
+        MeasurementCommand::Shared(arguments) => return shared::shared(arguments),
+        MeasurementCommand::Page(arguments) => return page::page(arguments),
     };
-    let record = measure(&kind, run).map_err(|error| error.to_string())?;
+    let record = measure(&measurement, options).map_err(|error| error.to_string())?;
     show(&record);
-    let path = record.write(&run.results).map_err(|error| error.to_string())?;
+    let path = record.write(&options.results).map_err(|error| error.to_string())?;
     println!("record: {}", path.display());
-    let is_whole = !record.parameters.keys().any(|name| name.starts_with(NOT_REACHED));
-    Ok(if is_whole { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let is_complete = !record.parameters.keys().any(|name| name.starts_with(NOT_REACHED));
+    Ok(if is_complete { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Why a run gave no record.
+/// Why a measurement made no record.
 #[derive(Debug, thiserror::Error)]
 enum ScaleError {
     #[error("{0}")]
@@ -130,25 +155,27 @@
     Measure(#[from] MeasureError),
 }
 
-fn measure(kind: &Kind, run: &Run) -> Result<RunRecord, ScaleError> {
-    let sizes = sizes(kind, run)?;
-    let launch = launch(run.daemon.as_deref()).map_err(ScaleError::Daemon)?;
-    let commit = run.commit.clone().unwrap_or_else(|| commit_of(&launch.program));
+/// Runs a measurement of a daemon.
+fn measure(measurement: &DaemonMeasurement, options: &MeasurementOptions) -> Result<RunRecord, ScaleError> {
+    let sizes = sizes(measurement, options)?;
+    let launch = launch(options.daemon.as_deref()).map_err(ScaleError::Daemon)?;
+    let commit = options.commit.clone().unwrap_or_else(|| commit_of(&launch.program));
     let cancellation = Cancellation::default();
     cancel_on_signals(cancellation.clone());
-    let settings = Settings { launch, samples: run.samples, limit: run.limit, cancellation };
+    let settings = Settings { launch, samples: options.samples, limit: options.limit, cancellation };
     let limits = Limits::of_this_machine()?;
-    let mut progress = |what: &str| eprintln!("{}: {what}", kind.name);
-    let mut collector = (kind.measure)(&sizes, &settings, &limits, &mut progress)?;
-    collector.parameter("samples", run.samples);
-    let name = run.name.clone().unwrap_or_else(|| kind.name.to_owned());
-    let command = command(kind, run, &sizes);
+    let mut progress = |what: &str| eprintln!("{}: {what}", measurement.name);
+    let mut collector = (measurement.measure)(&sizes, &settings, &limits, &mut progress)?;
+    collector.parameter("samples", options.samples);
+    let name = options.name.clone().unwrap_or_else(|| measurement.name.to_owned());
+    let command = command(measurement, options, &sizes);
     Ok(collector.record(RunTitle { name, command, commit })?)
 }
 
-/// The sizes to measure, from the smallest on.
-fn sizes(kind: &Kind, run: &Run) -> Result<Vec<usize>, MeasureError> {
-    let mut sizes = if run.sizes.is_empty() { kind.sizes.to_vec() } else { run.sizes.clone() };
+/// The sizes to measure, in ascending order.
+fn sizes(measurement: &DaemonMeasurement, options: &MeasurementOptions) -> Result<Vec<usize>, MeasureError> {
+    let mut sizes =
+        if options.sizes.is_empty() { measurement.default_sizes.to_vec() } else { options.sizes.clone() };
     sizes.sort_unstable();
     sizes.dedup();
     match sizes.first() {
@@ -157,25 +184,25 @@
     }
 }
 
-/// The command that repeats a run, without where things lie on this machine.
-fn command(kind: &Kind, run: &Run, sizes: &[usize]) -> String {
+/// The command that repeats a measurement, without the paths of this machine.
+fn command(measurement: &DaemonMeasurement, options: &MeasurementOptions, sizes: &[usize]) -> String {
     let sizes: Vec<String> = sizes.iter().map(usize::to_string).collect();
-    let limit = humantime::format_duration(run.limit).to_string().replace(' ', "");
+    let limit = humantime::format_duration(options.limit).to_string().replace(' ', "");
     format!(
         "gullcartctl scale {} --sizes {} --samples {} --limit {limit}",
-        kind.name,
+        measurement.name,
         sizes.join(","),
-        run.samples
+        options.samples
     )
 }
 
-/// How daemons are started: tied to this process, whatever happens to it.
+/// How daemons are started: by a guard that kills them when this process ends for any reason.
 fn launch(daemon: Option<&Path>) -> Result<Launch, String> {
     let launch = crate::rehearse::launch(daemon, &[])?;
     Ok(Launch { program: launch.program, guard: launch.guard })
 }
 
-/// The commit of the folder that a daemon lies in, marked where what it is built from was changed.
+/// The commit of the git repository that a daemon lies in, marked as changed if its sources differ from the commit.
 fn commit_of(daemon: &Path) -> String {
     let folder = daemon.canonicalize().ok().and_then(|path| path.parent().map(Path::to_owned));
     let Some(folder) = folder else { return UNKNOWN_COMMIT.to_owned() };
@@ -194,7 +221,7 @@
     output.status.success().then(|| text.trim().to_owned())
 }
 
-/// Ctrl-C and SIGTERM end the run at its next step.
+/// Makes Ctrl-C and SIGTERM end the measurement at its next step.
 fn cancel_on_signals(cancellation: Cancellation) {
     thread::spawn(move || {
         let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else { return };
@@ -210,23 +237,25 @@
     });
 }
 
+/// Prints a record.
 fn show(record: &RunRecord) {
     println!("{} of {}, {}", record.name, record.commit, record.date);
     for (name, value) in &record.parameters {
         println!("  {name}: {value}");
     }
     for measurement in &record.measurements {
-        println!("{}", row(measurement));
+        println!("{}", measurement_text(measurement));
     }
     for figure in &record.figures {
-        println!("{:<NAME_WIDTH$}{:>VALUE_WIDTH$} {}", figure.name, short(figure.value), figure.unit);
+        println!("{:<NAME_WIDTH$}{:>VALUE_WIDTH$} {}", figure.name, format_number(figure.value), figure.unit);
     }
 }
 
-/// A quantity: a line of its sizes, one of its values, and what they grow by.
-fn row(measurement: &Measurement) -> String {
-    let sizes = measurement.points.iter().map(|point| format!("{:>VALUE_WIDTH$}", short(point.size)));
-    let values = measurement.points.iter().map(|point| format!("{:>VALUE_WIDTH$}", short(point.value)));
+/// A quantity as text: a line of its sizes, one of its values, and one of the fitted growth.
+fn measurement_text(measurement: &Measurement) -> String {
+    let sizes = measurement.points.iter().map(|point| format!("{:>VALUE_WIDTH$}", format_number(point.size)));
+    let values =
+        measurement.points.iter().map(|point| format!("{:>VALUE_WIDTH$}", format_number(point.value)));
     let fit = &measurement.fit;
     let exponent = match (fit.exponent, fit.exponent_error) {
         (Some(exponent), Some(error)) => format!(", grows as size^{exponent:.2} (error {error:.2})"),
@@ -238,24 +267,24 @@
         sizes.collect::<String>(),
         format!("{}, {}", measurement.name, measurement.unit),
         values.collect::<String>(),
-        short(fit.slope),
+        format_number(fit.slope),
         measurement.unit,
-        short(fit.slope_error),
-        short(fit.intercept),
-        distance(fit.worst_relative_residual),
+        format_number(fit.slope_error),
+        format_number(fit.intercept),
+        residual_text(fit.worst_relative_residual),
     )
 }
 
-/// How far the points are from the line.
-fn distance(relative: f64) -> String {
-    match relative < NO_LINE {
-        true => format!("off by {:.0} % at most", relative * 100.0),
+/// Describes how far the points are from the fitted line.
+fn residual_text(relative_residual: f64) -> String {
+    match relative_residual < MAX_RELATIVE_RESIDUAL {
+        true => format!("off by {:.0} % at most", relative_residual * 100.0),
         false => "no line".to_owned(),
     }
 }
 
-/// A number with some digits, none of them after the point where it is large.
-fn short(value: f64) -> String {
+/// Formats a number: without decimals from 1000 on, with two decimals from 1 on, in scientific notation below.
+fn format_number(value: f64) -> String {
     match value.abs() {
         0.0 => "0".to_owned(),
         large if large >= 1_000.0 => format!("{value:.0}"),
--- a/crates/gullcartctl/src/scale/shared.rs
+++ b/crates/gullcartctl/src/scale/shared.rs
@@ -1,4 +1,4 @@
-//! `gullcartctl scale shared`: what couriers do toward what they share, by their number, in virtual time.
+//! `gullcartctl scale shared`: the load of many couriers on the systems they share, by their number, in virtual time.
 
 use super::RESULTS;
 use clap::Args;
@@ -6,21 +6,22 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
+/// The command that repeats the measurements, as the records name it.
 const COMMAND: &str = "gullcartctl scale shared";
 
 /// The arguments of the command.
 #[derive(Args)]
 pub struct Arguments {
-    /// Where the records go
+    /// Folder for the records
     #[arg(long, value_name = "DIR", default_value = RESULTS)]
     results: PathBuf,
 }
 
-/// Measures all that is shared, and keeps the records.
+/// Runs all measurements of shared systems, and writes their records.
 pub fn shared(arguments: &Arguments) -> Result<ExitCode, String> {
     let place = RunPlace::here().map_err(|error| error.to_string())?;
-    let measured = shared::all().map_err(|error| error.to_string())?;
-    for (name, measurements) in measured {
+    let measurements_by_name = shared::all().map_err(|error| error.to_string())?;
+    for (name, measurements) in measurements_by_name {
         let record = place.record(name, COMMAND, measurements);
         super::show(&record);
         let path = record.write(&arguments.results).map_err(|error| error.to_string())?;
