--- a/crates/gullcartctl/tests/rehearse.rs
+++ b/crates/gullcartctl/tests/rehearse.rs
@@ -1,14 +1,15 @@
-//! The command as an operator meets it: exit codes, what it says, and that nothing outlives it.
+//! `gullcartctl rehearse` as a process: exit codes, output, and the end of all couriers with it.
 
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
 const CTL: &str = env!("CARGO_BIN_EXE_gullcartctl");
-/// Only a failing test waits for so long.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Maximum time to wait for a condition; only a failing test takes that long.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-const SHORT: &str = r#"name = "short"
+/// A scenario of two seconds, with a placeholder for its floor.
+const SHORT_SCENARIO: &str = r#"name = "short"
 seconds = 2
 floor = FLOOR
 
@@ -27,18 +28,21 @@
 per_second = 20
 "#;
 
+/// Creates a folder for a test.
 fn folder(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("gullcartctl-test-{}-{name}", std::process::id()));
     std::fs::create_dir_all(&path).unwrap();
     path
 }
 
+/// Writes a scenario to a file.
 fn scenario(folder: &Path, text: &str) -> PathBuf {
     let path = folder.join("scenario.toml");
     std::fs::write(&path, text).unwrap();
     path
 }
 
+/// Runs `gullcartctl` to its end.
 fn run(arguments: &[&str]) -> Output {
     assert!(
         Path::new(CTL).with_file_name("gullcart").is_file(),
@@ -47,19 +51,20 @@
     Command::new(CTL).args(arguments).stdin(Stdio::null()).output().unwrap()
 }
 
-fn said(output: &Output) -> String {
+/// Both output streams as text.
+fn output_text(output: &Output) -> String {
     format!("{}{}", String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr))
 }
 
 #[test]
-fn a_short_day_is_kept_and_reported() {
+fn a_short_run_keeps_all_rules_and_is_reported() {
     let folder = folder("kept");
-    let path = scenario(&folder, &SHORT.replace("FLOOR", "0.5"));
+    let path = scenario(&folder, &SHORT_SCENARIO.replace("FLOOR", "0.5"));
     let (json, html) = (folder.join("report.json"), folder.join("report.html"));
     let to = |path: &Path| path.to_str().unwrap().to_owned();
     let output = run(&["rehearse", &to(&path), "--json", &to(&json), "--html", &to(&html)]);
-    // A machine too busy for the kit makes the run void, which is said and is not the couriers' fault.
-    let text = said(&output);
+    // On a machine that is too busy the run is void, which is reported and says nothing about the couriers.
+    let text = output_text(&output);
     assert!(output.status.code() == Some(0) || text.contains("VOID"), "{text}");
     let report: serde_json::Value = serde_json::from_slice(&std::fs::read(&json).unwrap()).unwrap();
     assert_eq!(report["scenario"], "short");
@@ -72,13 +77,13 @@
 }
 
 #[test]
-fn service_under_the_floor_is_told_by_the_exit_code() {
+fn service_under_the_floor_is_reported_by_the_exit_code() {
     let folder = folder("floor");
-    // Silent all day: nothing can be delivered.
+    // The partner never answers, so nothing can be delivered.
     let fault = "\n[[fault]]\nname = \"s\"\nkind = \"silent\"\nlength_s = 30\n";
-    let path = scenario(&folder, &(SHORT.replace("FLOOR", "0.9") + fault));
+    let path = scenario(&folder, &(SHORT_SCENARIO.replace("FLOOR", "0.9") + fault));
     let output = run(&["rehearse", path.to_str().unwrap(), "-q"]);
-    let text = said(&output);
+    let text = output_text(&output);
     assert!(
         output.status.code() == Some(1) && text.contains("UNDER THE FLOOR") || text.contains("VOID"),
         "{text}"
@@ -86,23 +91,23 @@
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// While nothing can be written, messages are refused at once; then service goes on by itself, and no rule is broken.
+/// While the disk is full, messages are rejected at once. Afterwards service recovers by itself, and no rule is broken.
 #[test]
-fn a_full_folder_is_answered_by_refusals_and_service_goes_on() {
+fn messages_are_rejected_while_the_disk_is_full_and_service_recovers() {
     let folder = folder("full");
-    let more =
+    let additions =
         "retries = false\n\n[couriers]\ncount = 1\n\n[[fault]]\nname = \"full\"\nkind = \"disk-full\"\n\
                 start_s = 2\nlength_s = 2\ntargets = [\"courier-0\"]\n";
-    let text = SHORT.replace("seconds = 2", "seconds = 6").replace("FLOOR", "0.1") + more;
+    let text = SHORT_SCENARIO.replace("seconds = 2", "seconds = 6").replace("FLOOR", "0.1") + additions;
     let path = scenario(&folder, &text);
     let json = folder.join("report.json");
     let output = run(&["rehearse", path.to_str().unwrap(), "-q", "--json", json.to_str().unwrap()]);
-    let text = said(&output);
+    let text = output_text(&output);
     assert!(output.status.code() == Some(0) || text.contains("VOID"), "{text}");
     let report: serde_json::Value = serde_json::from_slice(&std::fs::read(&json).unwrap()).unwrap();
     assert_eq!(report["broken"], serde_json::json!({}));
     let count = |name: &str| report["counts"][name].as_u64().unwrap();
-    // Two seconds at twenty messages a second, drawn by chance.
+    // About 40 are expected: two seconds at twenty messages a second, drawn at random.
     assert!((20..60).contains(&count("busy")), "{report}");
     assert!(
         count("delivered") + count("busy") + 5 >= count("messages") && count("delivered") >= 50,
@@ -114,37 +119,41 @@
 #[test]
 fn what_cannot_be_run_exits_with_2_before_anything_starts() {
     let folder = folder("bad");
-    let path = scenario(&folder, &SHORT.replace("FLOOR", "7"));
+    let path = scenario(&folder, &SHORT_SCENARIO.replace("FLOOR", "7"));
     let output = run(&["rehearse", path.to_str().unwrap()]);
     assert_eq!(output.status.code(), Some(2));
-    let text = said(&output);
+    let text = output_text(&output);
     assert!(text.contains("scenario.toml:3: floor: ") && text.lines().count() == 1, "{text}");
     let output = run(&["rehearse", "no-such-day"]);
-    assert!(output.status.code() == Some(2) && said(&output).contains("smoke"), "{}", said(&output));
+    assert!(
+        output.status.code() == Some(2) && output_text(&output).contains("smoke"),
+        "{}",
+        output_text(&output)
+    );
     let output = run(&["rehearse", "smoke", "--program", "/no/such/daemon"]);
     assert!(
-        output.status.code() == Some(2) && said(&output).contains("/no/such/daemon"),
+        output.status.code() == Some(2) && output_text(&output).contains("/no/such/daemon"),
         "{}",
-        said(&output)
+        output_text(&output)
     );
     std::fs::remove_dir_all(folder).unwrap();
 }
 
 #[test]
 fn what_ships_is_listed_and_printed() {
-    let list = said(&run(&["rehearse", "--list"]));
+    let list = output_text(&run(&["rehearse", "--list"]));
     assert!(["smoke", "christmas", "overlap", "mid-drain", "restarts", "payday"]
         .iter()
         .all(|n| list.contains(n)));
     let folder = folder("print");
-    let text = said(&run(&["rehearse", "--print", "smoke"]));
+    let text = output_text(&run(&["rehearse", "--print", "smoke"]));
     assert!(text.starts_with("name = \"smoke\""), "{text}");
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// Processes whose configuration lies in a rehearsal of that kit.
-fn couriers_of(kit: u32) -> Vec<u32> {
-    let mark = format!("gullcart-rehearsal-{kit}-");
+/// Processes whose environment names the folder of the rehearsal with this process id.
+fn couriers_of(rehearsal: u32) -> Vec<u32> {
+    let folder_prefix = format!("gullcart-rehearsal-{rehearsal}-");
     let mut found = Vec::new();
     for entry in std::fs::read_dir("/proc").unwrap().flatten() {
         let Some(pid) = entry.file_name().to_str().and_then(|name| name.parse::<u32>().ok()) else {
@@ -152,46 +161,48 @@
         };
         let environment = std::fs::read(entry.path().join("environ")).unwrap_or_default();
         let state = std::fs::read_to_string(entry.path().join("stat")).unwrap_or_default();
-        // One that has ended and was not waited for has no environment, but may race with this look.
-        let is_there = !state.contains(") Z ");
-        if pid != kit && is_there && String::from_utf8_lossy(&environment).contains(&mark) {
+        // A process may end between the two reads; a zombie is not running.
+        let is_running = !state.contains(") Z ");
+        if pid != rehearsal && is_running && String::from_utf8_lossy(&environment).contains(&folder_prefix) {
             found.push(pid);
         }
     }
     found
 }
 
-fn until(what: &str, is: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
-    while !is() {
-        assert!(Instant::now() < end, "{what}");
+/// Waits until a condition is true.
+fn wait_until(description: &str, is_true: impl Fn() -> bool) {
+    let deadline = Instant::now() + TIMEOUT;
+    while !is_true() {
+        assert!(Instant::now() < deadline, "{description}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-fn started() -> Child {
+/// Starts a rehearsal, and waits until its three couriers run.
+fn start_rehearsal() -> Child {
     let mut command = Command::new(CTL);
     command.args(["rehearse", "payday", "-q"]).stdout(Stdio::null()).stderr(Stdio::null());
     let child = command.spawn().unwrap();
-    until("three couriers run", || couriers_of(child.id()).len() == 3);
+    wait_until("three couriers run", || couriers_of(child.id()).len() == 3);
     child
 }
 
 #[test]
-fn couriers_end_with_a_kit_that_is_killed() {
-    let mut kit = started();
-    let id = kit.id();
-    kit.kill().unwrap();
-    kit.wait().unwrap();
-    until("all couriers have ended", || couriers_of(id).is_empty());
+fn couriers_end_with_a_rehearsal_that_is_killed() {
+    let mut rehearsal = start_rehearsal();
+    let id = rehearsal.id();
+    rehearsal.kill().unwrap();
+    rehearsal.wait().unwrap();
+    wait_until("all couriers have ended", || couriers_of(id).is_empty());
 }
 
 #[test]
-fn couriers_end_with_a_kit_that_is_interrupted() {
-    let mut kit = started();
-    let id = kit.id();
-    let sent = Command::new("/bin/sh").args(["-c", &format!("kill -INT {id}")]).status().unwrap();
-    assert!(sent.success());
-    assert_eq!(kit.wait().unwrap().code(), Some(2));
-    until("all couriers have ended", || couriers_of(id).is_empty());
+fn couriers_end_with_a_rehearsal_that_is_interrupted() {
+    let mut rehearsal = start_rehearsal();
+    let id = rehearsal.id();
+    let status = Command::new("/bin/sh").args(["-c", &format!("kill -INT {id}")]).status().unwrap();
+    assert!(status.success());
+    assert_eq!(rehearsal.wait().unwrap().code(), Some(2));
+    wait_until("all couriers have ended", || couriers_of(id).is_empty());
 }
--- a/crates/gullcartctl/tests/stops.rs
+++ b/crates/gullcartctl/tests/stops.rs
@@ -1,19 +1,21 @@
-//! Rehearsals among couriers that stand still for a moment before some of their writes.
+//! Rehearsals in which a preloaded library pauses the couriers for a moment before some of their writes.
 
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 
 const SEEDS: [u64; 6] = [11, 12, 13, 21, 22, 31];
 
-/// Builds the library that stops couriers.
-fn stops() -> std::path::PathBuf {
+/// Builds the library that pauses couriers.
+fn build_library() -> std::path::PathBuf {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/stops/stops.c");
     let library = Path::new(env!("CARGO_TARGET_TMPDIR")).join("stops.so");
-    let built = Command::new("cc").args(["-O1", "-shared", "-fPIC", "-o"]).arg(&library).arg(source).status();
-    assert!(built.unwrap().success());
+    let status =
+        Command::new("cc").args(["-O1", "-shared", "-fPIC", "-o"]).arg(&library).arg(source).status();
+    assert!(status.unwrap().success());
     library
 }
 
+/// Starts a rehearsal of the scenario `gauntlet` with the library.
 fn rehearse(seed: u64, library: &Path) -> Child {
     let daemon = Path::new(env!("CARGO_BIN_EXE_gullcartctl")).with_file_name("gullcart");
     let mut rehearsal = Command::new(env!("CARGO_BIN_EXE_gullcartctl"));
@@ -24,14 +26,14 @@
 
 #[test]
 fn gauntlet_is_kept_while_couriers_stand_still() {
-    let library = stops();
+    let library = build_library();
     let rehearsals = SEEDS.map(|seed| (seed, rehearse(seed, &library)));
-    let mut broken = String::new();
+    let mut failures = String::new();
     for (seed, rehearsal) in rehearsals {
         let output = rehearsal.wait_with_output().unwrap();
         if !output.status.success() {
-            broken += &format!("seed {seed}: {}\n", String::from_utf8_lossy(&output.stdout));
+            failures += &format!("seed {seed}: {}\n", String::from_utf8_lossy(&output.stdout));
         }
     }
-    assert!(broken.is_empty(), "{broken}");
+    assert!(failures.is_empty(), "{failures}");
 }
--- a/crates/gullcartctl/tests/stops/stops.c
+++ b/crates/gullcartctl/tests/stops/stops.c
@@ -1,5 +1,5 @@
-/* Stops the daemon for 20 to 150 ms before some of its writes: STOP_PROBABILITY of them, drawn from STOP_SEED and the courier's name.
- * For rehearsals, by LD_PRELOAD:
+/* Pauses the daemon for 20 to 150 ms before some of its writes, as on a stalled machine. STOP_PROBABILITY is the share of these
+ * writes (0.05 by default); they are drawn at random from STOP_SEED and the courier's name. Used in rehearsals with LD_PRELOAD:
  *
  *     cc -O1 -shared -fPIC -o stops.so crates/gullcartctl/tests/stops/stops.c
  *     STOP_SEED=11 LD_PRELOAD=$PWD/stops.so target/release/gullcartctl rehearse gauntlet --seed 11 */
@@ -13,14 +13,19 @@
 #include <time.h>
 #include <unistd.h>
 
+/* Only processes of this name are paused; /proc ends it with a line feed. */
 static const char PROGRAM[] = "gullcart\n";
-enum { SHORTEST_MS = 20, LONGEST_MS = 150, LEAST_GAP_MS = 500 };
+enum { MIN_PAUSE_MS = 20, MAX_PAUSE_MS = 150, MIN_GAP_MS = 500 };
 
-static int is_ready, is_courier;
-static long long next_ms;
+static int is_prepared;
+static int is_courier;
+/* The earliest time of the next pause. */
+static long long next_pause_ms;
 static double probability = 0.05;
+/* State of the random number generator (xorshift64). */
 static unsigned long long state = 88172645463325252ull;
 
+/* Reads the process's name and the settings. */
 static void prepare(void) {
     char name[64] = {0};
     FILE *file = fopen("/proc/self/comm", "r");
@@ -33,7 +38,7 @@
     if (getenv("STOP_SEED")) state ^= strtoull(getenv("STOP_SEED"), 0, 10) * 2654435761ull;
     const char *courier = getenv("BALANCER_NAME");
     for (; courier && *courier; courier++) state = state * 31 + (unsigned char)*courier;
-    is_ready = 1;
+    is_prepared = 1;
 }
 
 static unsigned long long next_random(void) {
@@ -48,51 +53,51 @@
     return now.tv_sec * 1000ll + now.tv_nsec / 1000000;
 }
 
-static void maybe_stop(void) {
-    if (!is_ready) prepare();
+static void maybe_pause(void) {
+    if (!is_prepared) prepare();
     if (!is_courier || (next_random() >> 11) * 0x1p-53 >= probability) return;
-    /* One stop after the other would be a longer one. */
-    if (now_ms() < next_ms) return;
-    next_ms = now_ms() + LONGEST_MS + LEAST_GAP_MS;
-    long length_ms = SHORTEST_MS + next_random() % (LONGEST_MS - SHORTEST_MS + 1);
-    struct timespec length = {0, length_ms * 1000000};
-    nanosleep(&length, 0);
+    /* Pauses that follow each other too closely would act as one longer pause. */
+    if (now_ms() < next_pause_ms) return;
+    next_pause_ms = now_ms() + MAX_PAUSE_MS + MIN_GAP_MS;
+    long pause_ms = MIN_PAUSE_MS + next_random() % (MAX_PAUSE_MS - MIN_PAUSE_MS + 1);
+    struct timespec pause = {0, pause_ms * 1000000};
+    nanosleep(&pause, 0);
 }
 
-/* The next function of that name: the C library's own. */
+/* The function of this name in the C library. */
 #define NEXT(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
 
 ssize_t write(int fd, const void *bytes, size_t count) {
-    if (fd > 2) maybe_stop();
+    if (fd > 2) maybe_pause();
     return NEXT(write)(fd, bytes, count);
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count) {
-    maybe_stop();
+    maybe_pause();
     return NEXT(writev)(fd, parts, count);
 }
 
 ssize_t pwrite64(int fd, const void *bytes, size_t count, off64_t offset) {
-    maybe_stop();
+    maybe_pause();
     return NEXT(pwrite64)(fd, bytes, count, offset);
 }
 
 ssize_t send(int fd, const void *bytes, size_t count, int flags) {
-    maybe_stop();
+    maybe_pause();
     return NEXT(send)(fd, bytes, count, flags);
 }
 
 ssize_t sendmsg(int fd, const struct msghdr *message, int flags) {
-    maybe_stop();
+    maybe_pause();
     return NEXT(sendmsg)(fd, message, flags);
 }
 
 int shutdown(int fd, int how) {
-    maybe_stop();
+    maybe_pause();
     return NEXT(shutdown)(fd, how);
 }
 
 int close(int fd) {
-    maybe_stop();
+    maybe_pause();
     return NEXT(close)(fd);
 }
