--- a/crates/gullcartctl/src/group.rs
+++ b/crates/gullcartctl/src/group.rs
@@ -22,8 +22,8 @@
   gullcartctl group members --json
   gullcartctl group duties
 
-Exit codes: 0 no problem was found, 1 there is a problem (no leader, a member that cannot be reached or reports a problem, a
-duty that nobody holds), 2 the command could not be run")]
+Exit codes: 0 no problem was found, 1 there is a problem (no leader, a member that cannot be reached or reports a problem, a \
+  duty that nobody holds), 2 the command could not be run")]
 pub struct Arguments {
     #[command(subcommand)]
     command: Command,
--- a/crates/gullcartctl/src/journal.rs
+++ b/crates/gullcartctl/src/journal.rs
@@ -12,8 +12,8 @@
   gullcartctl journal verify /run/state --json
   gullcartctl journal repair /run/state --disk-mb 3 --yes
 
-Exit codes: 0 the journal is sound, 1 it is damaged, 2 the command could not be run (a courier uses the folder, or it
-cannot be read)")]
+Exit codes: 0 the journal is sound, 1 it is damaged, 2 the command could not be run (a courier uses the folder, or it \
+  cannot be read)")]
 pub struct Arguments {
     #[command(subcommand)]
     command: Command,
--- a/crates/gullcartctl/src/prove.rs
+++ b/crates/gullcartctl/src/prove.rs
@@ -71,8 +71,8 @@
   gullcartctl prove --broken target/broken/release/gullcart --seeds 20 --markdown table.md
   gullcartctl prove --broken target/broken/release/gullcart --only no-rest,none --seeds 3
 
-Exit codes: 0 every fault was caught and the honest build kept all rules, 1 some fault was missed or some rule broken, 2 it
-could not be run")]
+Exit codes: 0 every fault was caught and the honest build kept all rules, 1 some fault was missed or some rule broken, 2 it \
+  could not be run")]
 pub struct Arguments {
     /// A daemon built with the feature 'broken'
     #[arg(long, value_name = "PATH")]
--- a/crates/gullcartctl/src/rehearse.rs
+++ b/crates/gullcartctl/src/rehearse.rs
@@ -22,8 +22,8 @@
   gullcartctl rehearse christmas --seed 7 --html christmas.html --json christmas.json
   gullcartctl rehearse --print payday > mine.toml && gullcartctl rehearse mine.toml
 
-Exit codes: 0 all rules were kept, 1 a rule was broken or service was below the scenario's floor, 2 it could not be run or
-is void")]
+Exit codes: 0 all rules were kept, 1 a rule was broken or service was below the scenario's floor, 2 it could not be run or \
+  is void")]
 pub struct Arguments {
     /// The name of a scenario that ships, or a TOML file
     #[arg(required_unless_present_any = ["list", "print"])]
