--- a/crates/gullcartctl/src/scale.rs
+++ b/crates/gullcartctl/src/scale.rs
@@ -262,7 +262,7 @@
         _ => String::new(),
     };
     format!(
-        "\n{:<NAME_WIDTH$}{}\n{:<NAME_WIDTH$}{}\n  {} {} each (error {}) beside {}{exponent}; {}",
+        "\n{:<NAME_WIDTH$}{}\n{:<NAME_WIDTH$}{}\n  {} {} each (error {}) plus {}{exponent}; {}",
         measurement.axis.name,
         sizes.collect::<String>(),
         format!("{}, {}", measurement.name, measurement.unit),
