--- a/crates/gullcart-console/src/answer.rs
+++ b/crates/gullcart-console/src/answer.rs
@@ -16,27 +16,33 @@
 }
 
 /// Describes to an operator why a command was not carried out.
-pub fn command_error_text(error: Denied) -> &'static str {
+pub fn command_error_text(error: CommandError) -> &'static str {
     match error {
-        Denied::Unknown => "no endpoint of that id was ever listed here",
-        Denied::Unwritten => "it cannot be written to the journal, so nothing was changed; see the log",
+        CommandError::UnknownEndpoint => "no endpoint of that id was ever listed here",
+        CommandError::NotRecorded => {
+            "it cannot be written to the journal, so nothing was changed; see the log"
+        }
     }
 }
 
 /// The answer to METRICS: one line a metric, then `END`. Counters start at 0 with the process.
-pub fn metrics_text(metrics: &Reading) -> String {
+pub fn metrics_text(metrics: &EngineMetrics) -> String {
     let mut text = String::new();
     let mut line = |name: &str, value: u64, kind: &str| {
         let _ = writeln!(text, "{METRIC_PREFIX}.{name}:{value}|{kind}");
     };
-    for (class, Ends { served, turned_away, handed_back, failed, unfit }) in &metrics.classes {
+    for (
+        class,
+        ClassCounts { served, rejected: turned_away, returned: handed_back, failed, invalid: unfit },
+    ) in &metrics.classes
+    {
         line(&format!("served.{class}"), *served, "c");
         line(&format!("refused.{class}"), turned_away + handed_back, "c");
         // A message that was answered with an error has failed for the client, like one whose notice says so.
         line(&format!("failed.{class}"), failed + unfit, "c");
     }
-    line("attempts", metrics.attempts, "c");
-    line("in_flight", metrics.in_flight as u64, "g");
+    line("attempts", metrics.calls_written, "c");
+    line("in_flight", metrics.messages_pending as u64, "g");
     line("endpoints_known", metrics.endpoints_known as u64, "g");
     line("endpoints_excluded", metrics.endpoints_excluded as u64, "g");
     text.push_str("END\n");
--- a/crates/gullcart-console/src/answer/tests.rs
+++ b/crates/gullcart-console/src/answer/tests.rs
@@ -2,11 +2,11 @@
 
 #[test]
 fn each_metric_is_a_line_and_end_is_the_last() {
-    let counts = Ends { served: 812, turned_away: 2, handed_back: 3, failed: 4, unfit: 1 };
-    let metrics = Reading {
+    let counts = ClassCounts { served: 812, rejected: 2, returned: 3, failed: 4, invalid: 1 };
+    let metrics = EngineMetrics {
         classes: vec![("pay-notice".to_owned(), counts)],
-        attempts: 830,
-        in_flight: 14,
+        calls_written: 830,
+        messages_pending: 14,
         endpoints_known: 26,
         endpoints_excluded: 2,
     };
--- a/crates/gullcart/src/console.rs
+++ b/crates/gullcart/src/console.rs
@@ -1,6 +1,9 @@
 //! The server of the operators' console: one line and one answer for each connection, on a small number of descriptors.
 
-use gullcart_console::{denied, figures, no, Call, Callers, Fault, Lines, NOT_SERVING, YES};
+use gullcart_console::{
+    command_error_text, metrics_text, no_with_reason, ConsoleCommand, ConsoleConnections, LineError,
+    LineParser, NOT_SERVING, YES,
+};
 use gullcart_engine::{CommandError, EngineMetrics, OperatorCommand, RateLimitedLog, PROCESS_START};
 use socket2::SockRef;
 use std::cell::RefCell;
@@ -53,25 +56,25 @@
     requests: mpsc::Sender<ControlRequest>,
     serving: watch::Receiver<bool>,
 ) {
-    let callers = Rc::new(RefCell::new(Callers::new(MAX_CALLERS)));
+    let callers = Rc::new(RefCell::new(ConsoleConnections::new(MAX_CALLERS)));
     let mut accept_errors = RateLimitedLog::default();
     let started_at = Instant::now();
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let (evict, evicted_signal) = oneshot::channel::<()>();
-                let (id, evicted) = callers.borrow_mut().enter(evict);
+                let (id, evicted) = callers.borrow_mut().add(evict);
                 drop(evicted);
                 let (callers, requests, serving) = (callers.clone(), requests.clone(), serving.clone());
                 tokio::task::spawn_local(async move {
-                    let mark_asked = || callers.borrow_mut().has_asked(id);
+                    let mark_asked = || callers.borrow_mut().command_received(id);
                     tokio::select! {
                         biased;
                         // An error concerns this caller alone.
                         _ = serve_caller(stream, requests, serving, mark_asked) => {}
                         _ = evicted_signal => {}
                     }
-                    callers.borrow_mut().leave(id);
+                    callers.borrow_mut().remove(id);
                 });
             }
             Err(error) => {
@@ -91,17 +94,17 @@
     serving: watch::Receiver<bool>,
     mark_asked: impl FnOnce(),
 ) -> io::Result<()> {
-    let mut lines = Lines::default();
+    let mut lines = LineParser::default();
     let line = match timeout(LINE_TIMEOUT, read_line(&stream, &mut lines)).await {
         Ok(Ok(Some(line))) => line,
         Ok(Ok(None)) => return Ok(()),
         Ok(Err(error)) => return Err(error),
-        Err(_) => Err(Fault::Late),
+        Err(_) => Err(LineError::TimedOut),
     };
     mark_asked();
     let answer = match line {
         Ok(call) => answer(call, &requests, &serving).await,
-        Err(fault) => no(fault),
+        Err(fault) => no_with_reason(fault),
     };
     timeout(WRITE_TIMEOUT, stream.write_all(answer.as_bytes())).await??;
     SockRef::from(&stream).shutdown(Shutdown::Write)?;
@@ -113,11 +116,14 @@
 }
 
 /// Reads the caller's line; none if it closes without sending anything.
-async fn read_line(stream: &TcpStream, lines: &mut Lines) -> io::Result<Option<Result<Call, Fault>>> {
+async fn read_line(
+    stream: &TcpStream,
+    lines: &mut LineParser,
+) -> io::Result<Option<Result<ConsoleCommand, LineError>>> {
     let mut bytes = [0; READ_CHUNK_BYTES];
     loop {
         match read_some(stream, &mut bytes).await? {
-            0 => return Ok(lines.end().map(Err)),
+            0 => return Ok(lines.end_of_input().map(Err)),
             count => {
                 if let Some(line) = lines.feed(&bytes[..count]) {
                     return Ok(Some(line));
@@ -140,7 +146,7 @@
 
 /// The answer to a call.
 async fn answer(
-    call: Call,
+    call: ConsoleCommand,
     requests: &mpsc::Sender<ControlRequest>,
     serving: &watch::Receiver<bool>,
 ) -> String {
@@ -152,14 +158,14 @@
         };
         match timeout(DRIVER_TIMEOUT, exchange).await.ok().flatten() {
             Some((_, Ok(()))) => YES.to_owned(),
-            Some((_, Err(why))) => no(denied(why)),
-            None => no(NO_ANSWER),
+            Some((_, Err(why))) => no_with_reason(command_error_text(why)),
+            None => no_with_reason(NO_ANSWER),
         }
     };
     match call {
-        Call::Status if *serving.borrow() => YES.to_owned(),
-        Call::Status => no(NOT_SERVING),
-        Call::Metrics => {
+        ConsoleCommand::Status if *serving.borrow() => YES.to_owned(),
+        ConsoleCommand::Status => no_with_reason(NOT_SERVING),
+        ConsoleCommand::Metrics => {
             let (reply, metrics) = oneshot::channel();
             let exchange =
                 async { requests.send(ControlRequest::Metrics(reply)).await.ok().zip(metrics.await.ok()) };
@@ -167,9 +173,9 @@
                 .await
                 .ok()
                 .flatten()
-                .map_or_else(|| no(NO_ANSWER), |(_, metrics)| figures(&metrics))
+                .map_or_else(|| no_with_reason(NO_ANSWER), |(_, metrics)| metrics_text(&metrics))
         }
-        Call::Suspend(id) => send_command(OperatorCommand::Suspend(id)).await,
-        Call::Restore(id) => send_command(OperatorCommand::Unsuspend(id)).await,
+        ConsoleCommand::Suspend(id) => send_command(OperatorCommand::Suspend(id)).await,
+        ConsoleCommand::Restore(id) => send_command(OperatorCommand::Unsuspend(id)).await,
     }
 }
--- a/crates/gullcart/src/driver.rs
+++ b/crates/gullcart/src/driver.rs
@@ -6,7 +6,7 @@
     Answer, Call, CallResult, CommandError, Effect, Engine, EngineMetrics, IdleConnectionPolicy, Input,
     Notice, RateLimitedLog, StopReason, Ticket, TrialDuties, PROCESS_START,
 };
-use gullcart_handover::{Baggage, CarriedCall};
+use gullcart_handover::{HandoverCall, HandoverState};
 use gullcart_journal::{Folder, JournalError};
 use std::collections::{HashMap, VecDeque};
 use std::os::fd::OwnedFd;
@@ -112,7 +112,7 @@
     /// The engine, which must be dropped to release the lock.
     pub engine: Engine<Folder>,
     /// The state to hand over, without the listener and the clients.
-    pub state: Baggage,
+    pub state: HandoverState,
     /// The connections of the calls, in the order in which `state` lists them.
     pub call_connections: Vec<OwnedFd>,
     /// The metrics at the time of the stop.
@@ -281,8 +281,11 @@
             self.handle_event(event);
         }
         let now = self.clock.now();
-        let mut state =
-            Baggage { epoch_ms: self.clock.start_unix_ms, stopped_ns: now.0, ..Baggage::default() };
+        let mut state = HandoverState {
+            clock_epoch_ms: self.clock.start_unix_ms,
+            stopped_at_ns: now.0,
+            ..HandoverState::default()
+        };
         let mut call_connections = Vec::new();
         for (message, call) in std::mem::take(&mut self.in_flight_calls) {
             call.task.abort();
@@ -298,12 +301,12 @@
                 (WrittenPart::All, true) => match call.progress.to_handover() {
                     Some(call_state) => {
                         call_connections.push(call_state.connection);
-                        state.calls.push(CarriedCall {
+                        state.calls.push(HandoverCall {
                             message: message.0,
-                            try_for_us: call.timeout.as_micros() as u64,
+                            timeout_us: call.timeout.as_micros() as u64,
                             elapsed_us: elapsed.as_micros() as u64,
-                            answer: call_state.response_bytes,
-                            earlier_answers: call_state.earlier_answers,
+                            response: call_state.response_bytes,
+                            earlier_response_hashes: call_state.earlier_answers,
                         });
                         continue;
                     }
@@ -322,7 +325,7 @@
         for effect in effects {
             self.apply_effect(effect);
         }
-        state.books = books.unwrap_or_default();
+        state.engine_state = books.unwrap_or_default();
         Ok(StoppedCourier { engine: self.engine, state, call_connections, last_metrics })
     }
 
--- a/crates/gullcart/src/lib.rs
+++ b/crates/gullcart/src/lib.rs
@@ -174,7 +174,7 @@
         None => service.start(journal, None).await?,
         Some(mut arrived) => {
             let mut state = std::mem::take(&mut arrived.state);
-            group_state = std::mem::take(&mut state.group);
+            group_state = std::mem::take(&mut state.group_state);
             let handed_over =
                 HandedOverCourier { state, descriptors: std::mem::take(&mut arrived.descriptors) };
             let running = service.start(journal, Some(handed_over)).await?;
--- a/crates/gullcart/src/service.rs
+++ b/crates/gullcart/src/service.rs
@@ -4,7 +4,7 @@
 use gullcart_engine::{
     ConnectionAnswers, DiscoveryBackoff, Engine, EngineConfig, EngineMetrics, Input, TrialDuties,
 };
-use gullcart_handover::{Act, Baggage, CarriedClient};
+use gullcart_handover::{HandoverAction, HandoverClient, HandoverState};
 use gullcart_journal::{Folder, Journal, JournalError, Options};
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
@@ -82,7 +82,7 @@
 /// A courier that was handed over by another process, or that stays after a failed hand-over.
 pub struct HandedOverCourier {
     /// Its state.
-    pub state: Baggage,
+    pub state: HandoverState,
     /// Its descriptors: the listener if there is one, then those of clients, then those of calls.
     pub descriptors: Vec<OwnedFd>,
 }
@@ -172,11 +172,11 @@
         let pool = driver::connection_pool(&parsed.settings, budget.endpoints, seed ^ IDLE_SEED_MASK);
         #[cfg(feature = "broken")]
         pool.accept_copies(self.broken.is_active(gullcart_engine::broken::Fault::BelievesCopies));
-        let HandedOverCourier { state, descriptors } =
-            handed_over.unwrap_or(HandedOverCourier { state: Baggage::default(), descriptors: Vec::new() });
-        let is_handed_over = !state.books.is_empty();
+        let HandedOverCourier { state, descriptors } = handed_over
+            .unwrap_or(HandedOverCourier { state: HandoverState::default(), descriptors: Vec::new() });
+        let is_handed_over = !state.engine_state.is_empty();
         let clock = match is_handed_over {
-            true => Clock::resumed(state.epoch_ms, Time(state.stopped_ns)),
+            true => Clock::resumed(state.clock_epoch_ms, Time(state.stopped_at_ns)),
             false => Clock::new(),
         };
         let start = EngineConfig {
@@ -190,7 +190,7 @@
             fault_injector: self.broken.clone(),
         };
         let (engine, is_state_resumed) = match is_handed_over {
-            true => match Engine::resume(start, journal, &state.books) {
+            true => match Engine::resume(start, journal, &state.engine_state) {
                 (engine, Ok(())) => (engine, true),
                 (engine, Err(error)) => {
                     warn!(%error, "cannot use the state of the previous process; the courier starts from its journal");
@@ -208,17 +208,17 @@
             .zip(descriptors)
             .filter(|_| is_state_resumed)
             .filter_map(|(carried, connection)| {
-                let try_for = Duration::from_micros(carried.try_for_us);
+                let try_for = Duration::from_micros(carried.timeout_us);
                 let call = engine.in_flight_call(MessageId(carried.message), try_for)?;
                 let stream = std::net::TcpStream::from(connection);
                 stream.set_nonblocking(true).ok()?;
                 let elapsed = Duration::from_micros(carried.elapsed_us);
-                let earlier_answers = ConnectionAnswers::from_fingerprints(&carried.earlier_answers);
+                let earlier_answers = ConnectionAnswers::from_fingerprints(&carried.earlier_response_hashes);
                 Some((
                     call,
                     ResumedCall {
                         stream: Some(stream),
-                        response_bytes: carried.answer,
+                        response_bytes: carried.response,
                         earlier_answers,
                         elapsed,
                     },
@@ -241,7 +241,7 @@
         };
         let clients = Clients::new(event_sender.clone(), phase_receiver, limits);
         for (carried, connection) in state.clients.into_iter().zip(connections) {
-            let CarriedClient { is_fresh, unread } = carried;
+            let HandoverClient { is_fresh, unprocessed: unread } = carried;
             let moved =
                 HandedOverClient { stream: connection.into(), is_new: is_fresh, unread_bytes: unread };
             if let Err(error) = moved.stream.set_nonblocking(true).and_then(|()| clients.adopt(moved)) {
@@ -326,12 +326,12 @@
         let StoppedCourier { engine, mut state, call_connections, last_metrics } =
             driver.stop(&mut events, &clients).await?;
         if let Some(group) = &self.group {
-            state.group = group.hand_over().await;
+            state.group_state = group.hand_over().await;
         }
         state.has_listener = listener_copy.is_some();
         let mut descriptors: Vec<OwnedFd> = listener_copy.into_iter().collect();
         for HandedOverClient { stream, is_new, unread_bytes } in clients.take_handed_over() {
-            state.clients.push(CarriedClient { is_fresh: is_new, unread: unread_bytes });
+            state.clients.push(HandoverClient { is_fresh: is_new, unprocessed: unread_bytes });
             descriptors.push(stream.into());
         }
         descriptors.extend(call_connections);
@@ -339,7 +339,7 @@
         let mut engine = Some(engine);
         let act = upgrade::hand_over(stream, &state, &descriptors, || drop(engine.take()));
         let took = started_at.elapsed();
-        if act == Act::Finish {
+        if act == HandoverAction::Finish {
             info!(?took, of_clients, of_calls, "the courier was handed over to another process");
             return Ok(HandoverResult::HandedOver(Box::new(last_metrics)));
         }
@@ -350,7 +350,7 @@
             Ok(journal) => {
                 if let Some(group) = &self.group {
                     // In the same incarnation, unless the other process has started a new one.
-                    group.join(&std::mem::take(&mut state.group));
+                    group.join(&std::mem::take(&mut state.group_state));
                 }
                 let handed_over = HandedOverCourier { state, descriptors };
                 Ok(HandoverResult::Kept(Box::new(self.start(journal, Some(handed_over)).await?)))
--- a/crates/gullcart/src/upgrade.rs
+++ b/crates/gullcart/src/upgrade.rs
@@ -3,7 +3,8 @@
 //! so the transfer uses blocking calls with timeouts.
 
 use gullcart_handover::{
-    read_baggage, read_head, words, write, Act, Baggage, Event, FrameError, Giver, HEAD, MOST_DESCRIPTORS,
+    decode_header, decode_state, encode, signals, FrameError, HandoverAction, HandoverEvent, HandoverSender,
+    HandoverState, HEADER_BYTES, MAX_DESCRIPTORS,
 };
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -121,38 +122,38 @@
         .and_then(|()| stream.set_read_timeout(Some(HELLO_TIMEOUT)))
         .and_then(|()| stream.set_write_timeout(Some(PEER_TIMEOUT)));
     configured.is_ok()
-        && expect_word(stream, words::HELLO).is_ok()
+        && expect_word(stream, signals::HELLO).is_ok()
         && stream.set_read_timeout(Some(TRANSFER_TIMEOUT)).is_ok()
 }
 
 /// Hands the courier over to the process that asks for it. `release` releases the lock of the folder. Returns what to do next.
 pub fn hand_over(
     mut stream: UnixStream,
-    state: &Baggage,
+    state: &HandoverState,
     descriptors: &[OwnedFd],
     release: impl FnOnce(),
-) -> Act {
-    let mut sender = Giver::default();
-    sender.on(Event::Hello);
-    let sent =
-        send_state(&mut stream, state, descriptors).and_then(|()| expect_word(&mut stream, words::ACCEPTED));
+) -> HandoverAction {
+    let mut sender = HandoverSender::default();
+    sender.handle(HandoverEvent::Hello);
+    let sent = send_state(&mut stream, state, descriptors)
+        .and_then(|()| expect_word(&mut stream, signals::ACCEPTED));
     if let Err(error) = sent {
         warn!(%error, "the courier stays in this process");
-        return sender.on(Event::Gone);
+        return sender.handle(HandoverEvent::ReceiverFailed);
     }
-    sender.on(Event::Accepted);
+    sender.handle(HandoverEvent::Accepted);
     let configured = stream.set_read_timeout(Some(PEER_TIMEOUT));
     release();
-    sender.on(Event::Released);
+    sender.handle(HandoverEvent::LockReleased);
     let served = configured
-        .and_then(|()| send_word(&mut stream, words::YOURS))
+        .and_then(|()| send_word(&mut stream, signals::LOCK_RELEASED))
         .map_err(HandoverError::from)
-        .and_then(|()| expect_word(&mut stream, words::SERVING));
+        .and_then(|()| expect_word(&mut stream, signals::SERVING));
     match served {
-        Ok(()) => sender.on(Event::Serving),
+        Ok(()) => sender.handle(HandoverEvent::Serving),
         Err(error) => {
             warn!(%error, "the new process does not serve; the courier is resumed in this one");
-            sender.on(Event::Gone)
+            sender.handle(HandoverEvent::ReceiverFailed)
         }
     }
 }
@@ -160,10 +161,10 @@
 /// Sends the state and then the descriptors.
 fn send_state(
     stream: &mut UnixStream,
-    state: &Baggage,
+    state: &HandoverState,
     descriptors: &[OwnedFd],
 ) -> Result<(), HandoverError> {
-    stream.write_all(&write(state)?)?;
+    stream.write_all(&encode(state)?)?;
     for batch in descriptors.chunks(DESCRIPTORS_PER_MESSAGE) {
         let batch: Vec<_> = batch.iter().map(AsFd::as_fd).collect();
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(DESCRIPTORS_PER_MESSAGE))];
@@ -188,7 +189,7 @@
 pub struct ArrivedCourier {
     stream: UnixStream,
     /// The courier's state.
-    pub state: Baggage,
+    pub state: HandoverState,
     /// Its descriptors, in the order in which the state lists them.
     pub descriptors: Vec<OwnedFd>,
 }
@@ -208,16 +209,16 @@
         }
         stream.set_read_timeout(Some(PEER_TIMEOUT))?;
         stream.set_write_timeout(Some(PEER_TIMEOUT))?;
-        let mut head = [0; HEAD];
-        if send_word(&mut stream, words::HELLO).and_then(|()| stream.read_exact(&mut head)).is_err() {
+        let mut head = [0; HEADER_BYTES];
+        if send_word(&mut stream, signals::HELLO).and_then(|()| stream.read_exact(&mut head)).is_err() {
             return Ok(RequestOutcome::Unavailable);
         }
-        let head = read_head(&head)?;
+        let head = decode_header(&head)?;
         let mut body = vec![0; head.length];
         stream.read_exact(&mut body)?;
-        let state = read_baggage(head, &body)?;
-        let announced = state.descriptors();
-        let mut descriptors = Vec::with_capacity(announced.min(MOST_DESCRIPTORS));
+        let state = decode_state(head, &body)?;
+        let announced = state.descriptor_count();
+        let mut descriptors = Vec::with_capacity(announced.min(MAX_DESCRIPTORS));
         while descriptors.len() < announced {
             let previous_count = descriptors.len();
             receive_descriptors(&stream, &mut descriptors)?;
@@ -230,13 +231,13 @@
 
     /// Accepts the courier; afterwards the lock of the folder is free.
     pub fn accept(&mut self) -> Result<(), HandoverError> {
-        send_word(&mut self.stream, words::ACCEPTED)?;
-        expect_word(&mut self.stream, words::YOURS)
+        send_word(&mut self.stream, signals::ACCEPTED)?;
+        expect_word(&mut self.stream, signals::LOCK_RELEASED)
     }
 
     /// Confirms to the previous process that this one serves, so that it drops its copy of the courier.
     pub fn confirm_serving(mut self) -> Result<(), HandoverError> {
-        send_word(&mut self.stream, words::SERVING)?;
+        send_word(&mut self.stream, signals::SERVING)?;
         info!("the previous process has given the courier up");
         Ok(())
     }
--- a/crates/gullcartctl/src/group.rs
+++ b/crates/gullcartctl/src/group.rs
@@ -166,7 +166,7 @@
             holder: duty.holder.map(name),
             epoch: duty.epoch,
             since_ms: duty.since_ms,
-            reason: duty.why.clone(),
+            reason: duty.vacancy_reason.clone(),
         };
         // Duties without a holder are known only to the members that request them; held ones are known to all that vote.
         let mut duties: BTreeMap<String, Duty> = BTreeMap::new();
@@ -187,7 +187,7 @@
         }
         for answer in &members {
             match (&answer.status, &answer.error) {
-                (Some(Status { trouble: Some(trouble), .. }), _) => {
+                (Some(Status { problem: Some(trouble), .. }), _) => {
                     problems.push(format!("{}: {trouble}", answer.name));
                 }
                 (Some(status), _) if answer.is_voter && !status.votes => {
@@ -196,11 +196,13 @@
                         answer.name
                     ));
                 }
-                (Some(status), _) if status.heard_ms > MAX_SILENCE_MS && !status.holds.is_empty() => {
+                (Some(status), _)
+                    if status.last_contact_ms > MAX_SILENCE_MS && !status.held_duties.is_empty() =>
+                {
                     problems.push(format!(
                         "{} has not heard from the group for {}",
                         answer.name,
-                        format_milliseconds(status.heard_ms)
+                        format_milliseconds(status.last_contact_ms)
                     ));
                 }
                 (Some(_), _) => {}
@@ -255,9 +257,9 @@
                 "{:<20} {:>6} {votes:<7} {:>5} {behind:>8} {:>7}  {}",
                 answer.name,
                 answer.number,
-                status.life,
-                status.reached.len(),
-                status.trouble.as_deref().unwrap_or("-"),
+                status.incarnation,
+                status.connected_members.len(),
+                status.problem.as_deref().unwrap_or("-"),
             ));
         }
         lines
--- a/crates/gullcartctl/src/group/tests.rs
+++ b/crates/gullcartctl/src/group/tests.rs
@@ -41,7 +41,7 @@
 
 #[test]
 fn problems_are_described() {
-    let without_state = Status { votes: false, trouble: Some("replace it".to_owned()), ..status(1, None, 0) };
+    let without_state = Status { votes: false, problem: Some("replace it".to_owned()), ..status(1, None, 0) };
     let report = Report::from_answers(vec![
         answer(1, Some(without_state)),
         answer(2, Some(status(2, Some(2), 42))),
