--- a/crates/gullcart-console/src/answer.rs
+++ b/crates/gullcart-console/src/answer.rs
@@ -32,7 +32,8 @@
     for (class, Ends { served, turned_away, handed_back, failed, unfit }) in &metrics.classes {
         line(&format!("served.{class}"), *served, "c");
         line(&format!("refused.{class}"), turned_away + handed_back, "c");
-        // A message that was answered with an error has failed for the client, like one whose notice says so.
+        // Refused are messages that were rejected at once and messages that were accepted and later returned unsent.
+        // `unfit` messages got an error reply at once. For the client they have failed like those with a failure notice.
         line(&format!("failed.{class}"), failed + unfit, "c");
     }
     line("attempts", metrics.attempts, "c");
--- a/crates/gullcart-console/src/connections.rs
+++ b/crates/gullcart-console/src/connections.rs
@@ -2,7 +2,8 @@
 
 use std::collections::BTreeMap;
 
-/// The open connections, in the order in which they were accepted. `T` is what closes a connection.
+/// The open connections, in the order in which they were accepted. `T` is the handle that the server keeps for a connection; it
+/// gets the handle back when the connection has to be closed.
 #[derive(Debug)]
 pub struct ConsoleConnections<T> {
     max_connections: usize,
@@ -25,7 +26,7 @@
     }
 
     /// Adds a connection. Returns its number and, at the limit, the connection to close in its place: the oldest one without
-    /// a whole line. Only if all are being answered it is the oldest of these, whose answer must be stuck.
+    /// a whole line. If all of them are being answered, it is the oldest of these, as its answer is the likeliest to be stuck.
     pub fn add(&mut self, connection: T) -> (u64, Option<T>) {
         let is_full = self.awaiting_command.len() + self.awaiting_answer.len() >= self.max_connections;
         let evicted = match is_full {
--- a/crates/gullcart-console/src/line.rs
+++ b/crates/gullcart-console/src/line.rs
@@ -103,7 +103,8 @@
         Some(ConsoleCommand::parse(self.buffer.strip_suffix(b"\r").unwrap_or(&self.buffer)))
     }
 
-    /// Handles the end of the client's sending side: an error within a line, none if nothing was sent.
+    /// Returns the error if the client closes its sending side before its line is complete. To be called only as long as
+    /// [`Self::feed`] has returned nothing; there is no error if the client has sent nothing at all.
     pub fn end_of_input(&self) -> Option<LineError> {
         (!self.buffer.is_empty()).then_some(LineError::Incomplete)
     }
--- a/crates/gullcart-handover/src/frame.rs
+++ b/crates/gullcart-handover/src/frame.rs
@@ -25,14 +25,14 @@
     /// The body is too long, in bytes.
     #[error("the frame's body has {0} bytes, more than the maximum of {MAX_BODY_BYTES}")]
     TooLong(u64),
-    /// The body's length or checksum differs from the header.
-    #[error("the frame's body does not match its length or its checksum")]
+    /// The body's length or checksum differs from that in the header.
+    #[error("the frame's body differs in length or checksum from what its header announces")]
     Checksum,
-    /// The body cannot be encoded, or its bytes are no state.
-    #[error("the frame's body cannot be encoded or decoded")]
+    /// A state could not be serialized, or a body could not be deserialized.
+    #[error("the state cannot be serialized or deserialized")]
     Body,
-    /// More descriptors belong to the state than the maximum.
-    #[error("the frame announces {0} descriptors, more than the maximum of {MAX_DESCRIPTORS}")]
+    /// The decoded state comes with too many descriptors.
+    #[error("the state comes with {0} descriptors, more than the maximum of {MAX_DESCRIPTORS}")]
     TooManyDescriptors(usize),
 }
 
--- a/crates/gullcart-handover/src/lib.rs
+++ b/crates/gullcart-handover/src/lib.rs
@@ -2,8 +2,9 @@
 //! encoding as a frame, and the old process's state machine ([`HandoverSender`]), including what it does when the new process
 //! fails.
 //!
-//! A frame's body has at most [`MAX_BODY_BYTES`] bytes, and at most [`MAX_DESCRIPTORS`] file descriptors come with it. A header or
-//! a state that announces more is rejected before anything is allocated for it.
+//! A frame's body has at most [`MAX_BODY_BYTES`] bytes, and at most [`MAX_DESCRIPTORS`] file descriptors come with it. The receiver
+//! rejects a longer body by its header, before it allocates memory for it, and a state with more descriptors before it receives
+//! any of them.
 #![forbid(unsafe_code)]
 
 mod frame;
@@ -17,9 +18,9 @@
 pub use sender::{HandoverAction, HandoverEvent, HandoverSender};
 pub use state::{HandoverCall, HandoverClient, HandoverState};
 
-/// The one-byte signals that the two processes exchange around the frame.
-pub mod signals {
-    /// From the new process: it is connected and reads frames of [`crate::VERSION`].
+/// The one-byte messages that the two processes exchange before and after the frame.
+pub mod handshake {
+    /// From the new process: it has connected, and waits for the frame.
     pub const HELLO: u8 = b'h';
     /// From the new process: the state and all descriptors have arrived and can be read.
     pub const ACCEPTED: u8 = b'a';
--- a/crates/gullcart-handover/src/sender.rs
+++ b/crates/gullcart-handover/src/sender.rs
@@ -27,12 +27,12 @@
     Wait,
     /// End: the new process owns the folder.
     Finish,
-    /// Continue to serve; the lock of the folder was never released.
+    /// Continue to serve, or resume if stopped; the lock of the folder was not released.
     Resume,
     /// Take the lock again and continue to serve. If another process holds the lock by now, that process owns the folder, and
     /// this one must not continue.
     RetakeLock,
-    /// Reject the new process and change nothing.
+    /// Reject the new process, or ignore an event that no longer matters; nothing changes.
     Reject,
 }
 
@@ -62,10 +62,11 @@
             (Sender::Releasing, Event::LockReleased) => (Sender::Released, Action::Wait),
             (Sender::Released, Event::Serving) => (Sender::Finished, Action::Finish),
             (Sender::Released, Event::ReceiverFailed) => (Sender::Owner, Action::RetakeLock),
+            // The new process owns the folder: events of its connection no longer matter, and further processes are rejected.
             (Sender::Finished, _) => (Sender::Finished, Action::Reject),
             // Only one hand-over at a time.
             (same, Event::Hello) => (same, Action::Reject),
-            // The new process has failed, or an event came out of order, before the lock was released.
+            // The new process has failed, or an event came out of order, before the lock was released. An owner just continues.
             (Sender::Owner | Sender::Stopped | Sender::Releasing, _) => (Sender::Owner, Action::Resume),
             (Sender::Released, _) => (Sender::Owner, Action::RetakeLock),
         };
--- a/crates/gullcart-handover/src/state.rs
+++ b/crates/gullcart-handover/src/state.rs
@@ -15,7 +15,7 @@
 /// A call in flight whose request has been written completely.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandoverCall {
-    /// The courier's number of the message that the call delivers.
+    /// The number that the courier gave to the message which this call delivers.
     pub message: u32,
     /// The call's timeout, from its start.
     pub timeout_us: u64,
@@ -23,7 +23,8 @@
     pub elapsed_us: u64,
     /// The part of the response that has been read.
     pub response: Vec<u8>,
-    /// Hashes of the earlier responses on the same connection, by which copies of them are recognized.
+    /// Hashes of the earlier responses on the same connection. Bytes that repeat one of them are a duplicate, not the response
+    /// to this call.
     pub earlier_response_hashes: Vec<u64>,
 }
 
--- a/crates/gullcartctl/src/emulate.rs
+++ b/crates/gullcartctl/src/emulate.rs
@@ -20,9 +20,10 @@
   gullcartctl emulate overlap --seeds 1000
   gullcartctl emulate payday --couriers 20 --scale 6
 
-Exit codes: 0 all rules were kept, 1 a rule was broken or service was below the scenario's floor, 2 it could not be run")]
+Exit codes: 0 all rules were kept, 1 a rule was broken or service was below the scenario's floor (its \
+  minimum share of service), 2 the rehearsal could not be run")]
 pub struct Arguments {
-    /// The name of a scenario that ships, or a TOML file
+    /// The name of a built-in scenario, or a TOML file
     scenario: String,
     /// Seed of all random draws; the first one where there are several
     #[arg(long, default_value_t = 1)]
@@ -33,7 +34,7 @@
     /// Number of couriers, in place of the scenario's
     #[arg(long)]
     couriers: Option<usize>,
-    /// Factor for the traffic, and for the partners' rates and counts
+    /// Factor for the traffic and for the partners' limits
     #[arg(long)]
     scale: Option<f64>,
     /// Write the report as JSON; for several seeds, one line each
@@ -74,8 +75,9 @@
     let run = run_emulation(&scenario, options, |_| {}).map_err(|error| error.to_string())?;
     let took_s = started.elapsed().as_secs_f64();
     println!("{}", run.report);
+    // The trace is a checksum of all trace lines, equal for equal runs; steps are the events of the emulation.
     println!(
-        "{:.0} times as fast as it would be in real time; trace {:08x} of {} lines, {} steps",
+        "{:.0} times as fast as real time; trace {:08x} of {} lines, {} steps",
         run.report.took / took_s.max(1e-6),
         run.trace,
         run.entries,
@@ -99,7 +101,7 @@
     }
 }
 
-/// Multiplies the traffic, and the rate and number of endpoints that each partner has for it.
+/// Multiplies the traffic and the limit of each partner, which is either a rate or a count for each span of time.
 fn scale_traffic(scenario: &mut Scenario, factor: f64) {
     scenario.traffic.per_second *= factor;
     for partner in &mut scenario.partners {
@@ -154,7 +156,7 @@
     service.sort_by(f64::total_cmp);
     let kept = runs.values().filter(|run| run.report.verdict == Verdict::Kept).count();
     let virtual_s: f64 = runs.values().map(|run| run.report.took).sum();
-    println!("{}: {} days, {kept} kept", scenario.name, runs.len());
+    println!("{}: {} runs, {kept} kept", scenario.name, runs.len());
     println!(
         "  service   least {:.3}, median {:.3}, best {:.3}; floor {:.2}",
         service.first().unwrap_or(&0.0),
--- a/crates/gullcartctl/src/fleet.rs
+++ b/crates/gullcartctl/src/fleet.rs
@@ -1,4 +1,7 @@
 //! `gullcartctl fleet`: adds up, second by second, what the logs of many couriers report about each destination.
+//!
+//! Each second, a courier logs a line "tally" for each of its destinations, with its counts of that second as fields. A
+//! destination has the same number at all couriers, so their lines can be added up.
 
 use clap::Args;
 use serde::Serialize;
@@ -9,7 +12,8 @@
 use std::process::ExitCode;
 use std::time::SystemTime;
 
-/// Maximum number of rows: one day of seconds for a hundred destinations. Lines beyond it are counted and reported.
+/// Maximum number of rows: one day of seconds for a hundred destinations. Lines for further rows are left
+/// out, and their number is reported.
 const MAX_ROWS: usize = 8_640_000;
 
 /// The arguments of the command.
@@ -21,7 +25,7 @@
   gullcartctl fleet --destination 4 logs/*.log
   gullcartctl fleet --json logs/*.log
 
-Exit codes: 0 a table was printed, 1 the logs hold no tally, 2 a log cannot be read")]
+Exit codes: 0 a table was printed, 1 the logs hold no tally lines, 2 a log cannot be read")]
 pub struct Arguments {
     /// The couriers' log files
     #[arg(required = true)]
@@ -53,7 +57,7 @@
     waiting: u64,
     /// Waiting messages by what they wait for.
     holds: BTreeMap<String, u64>,
-    /// Sum of the rates, in calls a second, to which the couriers with messages limit themselves.
+    /// Sum of the couriers' own rate limits in calls a second; a courier without messages for the destination has none.
     pace: f64,
     /// The destination's limit, as the couriers know it.
     #[serde(skip)]
@@ -63,7 +67,7 @@
     left: Mean,
 }
 
-/// The mean of the values that the couriers' lines hold.
+/// A mean over all log lines with the value.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Mean {
     sum: f64,
@@ -141,7 +145,7 @@
         }
     }
 
-    /// Prints the table as text.
+    /// Prints the table as text. The printed seconds count from the earliest row.
     fn print(&self, out: &mut impl Write) -> io::Result<()> {
         writeln!(
             out,
@@ -182,7 +186,7 @@
         out.flush()
     }
 
-    /// Prints the rows as JSON objects, one a line.
+    /// Prints the rows as JSON objects, one a line. The printed seconds count from the earliest row.
     fn print_json(&self, out: &mut impl Write) -> io::Result<()> {
         for ((second, destination), row) in &self.rows {
             let value = serde_json::json!({"second": second - self.first_second(), "destination": destination,
@@ -213,7 +217,7 @@
     }
     if table.rows.is_empty() {
         eprintln!(
-            "gullcartctl: no tally in {} log(s); start the couriers with GULLCART_LOG=gullcart::tally=debug",
+            "gullcartctl: no tally lines in {} log(s); start the couriers with GULLCART_LOG=gullcart::tally=debug",
             arguments.logs.len()
         );
         return Ok(ExitCode::FAILURE);
--- a/crates/gullcartctl/src/group.rs
+++ b/crates/gullcartctl/src/group.rs
@@ -40,6 +40,9 @@
     /// Show the leader, how many members vote, and the problems
     Status,
     /// Show for each member whether it can be reached, whether it votes, and how far it is behind
+    ///
+    /// Columns: `life` is the incarnation of its process, `behind` the number of commands of the agreed state that it does not
+    /// know yet, and `reaches` the number of members that it is connected to.
     Members,
     /// Show the holder of each duty, its epoch and since when, or why nobody holds it
     Duties,
@@ -63,12 +66,12 @@
 struct Report {
     /// Name of the leader that a majority of the voters follows.
     leader: Option<String>,
-    /// Number of members that answered and vote now.
+    /// Number of members that answered that they vote now; only voters do.
     #[serde(rename = "voting")]
     voting_members: usize,
     /// Number of voters in the group's file.
     voters: usize,
-    /// The newest version of the agreed state that a voting member has.
+    /// The newest version of the agreed state that a voting member knows: the number of commands agreed on.
     version: u64,
     /// Descriptions of what is wrong.
     #[serde(rename = "wrong")]
@@ -84,7 +87,7 @@
     /// Name of the member that holds it.
     holder: Option<String>,
     epoch: Option<u64>,
-    /// How long it has been held, or has had no holder, in milliseconds.
+    /// How long, in milliseconds, it has been held, or has had no holder.
     since_ms: u64,
     /// Why nobody holds it.
     #[serde(rename = "why")]
@@ -171,12 +174,13 @@
         // Duties without a holder are known only to the members that request them; held ones are known to all that vote.
         let mut duties: BTreeMap<String, Duty> = BTreeMap::new();
         for status in statuses.iter().filter(|status| status.votes) {
-            for free in status.duties.iter().filter(|duty| duty.holder.is_none()) {
-                duties.entry(free.name.clone()).or_insert_with(|| to_duty(free));
+            for unheld_duty in status.duties.iter().filter(|duty| duty.holder.is_none()) {
+                duties.entry(unheld_duty.name.clone()).or_insert_with(|| to_duty(unheld_duty));
             }
         }
-        for held in newest.iter().flat_map(|status| &status.duties).filter(|duty| duty.holder.is_some()) {
-            duties.insert(held.name.clone(), to_duty(held));
+        for held_duty in newest.iter().flat_map(|status| &status.duties).filter(|duty| duty.holder.is_some())
+        {
+            duties.insert(held_duty.name.clone(), to_duty(held_duty));
         }
         let mut problems = Vec::new();
         if leader.is_none() {
@@ -220,7 +224,7 @@
             self.leader.as_ref().map_or("nobody leads".to_owned(), |leader| format!("{leader} leads"));
         let held = self.duties.iter().filter(|duty| duty.holder.is_some()).count();
         let mut lines = vec![format!(
-            "{leader}; {} of {} voters vote; {} members; {held} of {} duties held; {} agreed on so far",
+            "{leader}; {} of {} voters vote; {} members; {held} of {} duties held; the agreed state has version {}",
             self.voting_members,
             self.voters,
             self.members.len(),
--- a/crates/gullcartctl/src/journal.rs
+++ b/crates/gullcartctl/src/journal.rs
@@ -21,7 +21,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Show the segments, how much of them is live, and the pending messages
+    /// Show the segments, their live part (records that are still needed) in bytes and per cent, and the pending messages
     Inspect {
         /// The courier's state folder
         folder: PathBuf,
@@ -37,7 +37,7 @@
         #[arg(long)]
         json: bool,
     },
-    /// Replace a damaged journal by the messages that can be proven, and keep the old files
+    /// Replace a damaged journal by one with the messages that can be recovered, and keep the old files
     Repair {
         /// The courier's state folder
         folder: PathBuf,
@@ -137,8 +137,8 @@
         lines.push("sound: all durable records are there".to_owned());
     } else {
         lines.push(format!(
-            "DAMAGED: {} pending messages can be proven, and {} of them may have run; {} messages are lost that later \
-             records refer to",
+            "DAMAGED: {} pending messages can be recovered, and for {} of them it is unknown whether they were sent; the \
+             contents of {} messages are lost, to which later records refer",
             report.pending,
             report.in_doubt.len(),
             report.lost.len()
@@ -157,7 +157,7 @@
         println!("{}", verification_text(&report));
         if !report.is_undamaged() {
             println!(
-                "nothing was changed; --yes replaces the journal by these messages, and keeps the old files"
+                "nothing was changed; --yes replaces the journal by one with the pending messages, and keeps the old files"
             );
         }
         return Ok(exit_code(&report));
--- a/crates/gullcartctl/src/main.rs
+++ b/crates/gullcartctl/src/main.rs
@@ -28,7 +28,7 @@
     Rehearse(rehearse::Arguments),
     /// Rehearse in virtual time, hundreds of times as fast as real time
     Emulate(emulate::Arguments),
-    /// Prove that the judge catches each deliberately broken courier, and print a table of the results
+    /// Prove that rehearsals detect each deliberately broken courier, and print a table of the results
     Prove(prove::Arguments),
     /// Inspect or repair the journal of a courier that does not run
     Journal(journal::Arguments),
--- a/crates/gullcartctl/src/prove.rs
+++ b/crates/gullcartctl/src/prove.rs
@@ -1,6 +1,6 @@
 //! `gullcartctl prove`: runs each deliberately broken courier in the scenario that should detect its fault, and the honest
-//! courier in all short scenarios, each with several seeds. The results are appended to a file, from which an interrupted run of
-//! the command continues.
+//! courier, which has no such fault, in all short scenarios, each with several seeds. The results are appended to a file, from
+//! which an interrupted run of the command continues.
 
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -59,10 +59,13 @@
 const SHORT_SCENARIOS: &[&str] =
     &["smoke", "copies", "gauntlet", "cut-off", "cold-return", "overlap", "mid-drain", "restarts"];
 
-/// Stands for the honest build in place of a fault's name.
+/// In place of a fault's name, this stands for the honest build, which has no fault.
 const HONEST: &str = "none";
-/// Maximum number of times that a run is made, as long as it is void.
-const MAX_ATTEMPTS: u32 = 3;
+/// A rehearsal that was itself too slow to judge the couriers is void. Its run is repeated, and made at most this many times.
+const MAX_REHEARSALS_PER_RUN: u32 = 3;
+
+/// Maximum number of parallel runs.
+const MAX_JOBS: usize = 64;
 
 /// The arguments of the command.
 #[derive(Args)]
@@ -71,12 +74,12 @@
   gullcartctl prove --broken target/broken/release/gullcart --seeds 20 --markdown table.md
   gullcartctl prove --broken target/broken/release/gullcart --only no-rest,none --seeds 3
 
-Exit codes: 0 every fault was caught and the honest build kept all rules, 1 some fault was missed or some rule broken, 2 it \
-  could not be run")]
+Exit codes: 0 every fault was caught and the honest build kept all rules, 1 some fault was missed or the honest build broke \
+  a rule, 2 the command could not be run")]
 pub struct Arguments {
     /// A daemon built with the feature 'broken'
-    #[arg(long, value_name = "PATH")]
-    broken: PathBuf,
+    #[arg(long = "broken", value_name = "PATH")]
+    broken_program: PathBuf,
     /// The honest daemon [default: the gullcart in the folder of this program]
     #[arg(long, value_name = "PATH")]
     program: Option<PathBuf>,
@@ -86,10 +89,10 @@
     /// Only these faults; 'none' stands for the honest build
     #[arg(long, value_delimiter = ',', value_name = "FAULT")]
     only: Vec<String>,
-    /// Scenarios for the honest build [default: all short scenarios that ship]
-    #[arg(long, value_delimiter = ',', value_name = "SCENARIO")]
-    honest: Vec<String>,
-    /// Number of parallel runs [default: one for each core]
+    /// Scenarios for the honest build [default: all short built-in ones]
+    #[arg(long = "honest", value_delimiter = ',', value_name = "SCENARIO")]
+    honest_scenarios: Vec<String>,
+    /// Number of parallel runs, 64 at most [default: one for each core]
     #[arg(long)]
     jobs: Option<usize>,
     /// File of results, one line a run; runs whose results it holds are not repeated
@@ -119,7 +122,7 @@
     /// Whether the broken build was caught breaking the expected rule, or the honest one kept all rules.
     #[serde(rename = "good")]
     is_expected: bool,
-    /// Whether the rehearsal itself was too slow, so that the run does not count.
+    /// Whether the rehearsal was void, so that the run does not count.
     #[serde(rename = "void")]
     is_void: bool,
     /// The share of service that was kept.
@@ -142,11 +145,11 @@
         let known: Vec<&str> = known.into_iter().collect();
         return Err(format!("there is no fault '{unknown}'; the faults are {}", known.join(", ")));
     }
-    let honest = match &arguments.program {
+    let honest_program = match &arguments.program {
         Some(program) => program.clone(),
         None => crate::sibling_program("gullcart")?,
     };
-    for program in [&honest, &arguments.broken] {
+    for program in [&honest_program, &arguments.broken_program] {
         if !program.is_file() {
             return Err(format!("there is no daemon at {}", program.display()));
         }
@@ -158,15 +161,15 @@
         .map(|run| (run.fault.clone(), run.scenario.clone(), run.seed))
         .collect();
     let is_done = |task: &Task| done.contains(&(task.fault.clone(), task.scenario.clone(), task.seed));
-    let tasks: VecDeque<Task> = tasks(arguments).into_iter().filter(|task| !is_done(task)).collect();
+    let tasks: VecDeque<Task> = all_tasks(arguments).into_iter().filter(|task| !is_done(task)).collect();
     if let Some(folder) = arguments.results.parent().filter(|folder| !folder.as_os_str().is_empty()) {
         std::fs::create_dir_all(folder)
             .map_err(|error| format!("cannot create {}: {error}", folder.display()))?;
     }
     let file = OpenOptions::new().create(true).append(true).open(&arguments.results);
     let file = file.map_err(|error| format!("cannot write {}: {error}", arguments.results.display()))?;
-    results.extend(run_all(arguments, &honest, tasks, file)?);
-    let (table, all_expected) = table(arguments, &results);
+    results.extend(run_all(arguments, &honest_program, tasks, file)?);
+    let (table, all_expected) = results_table(arguments, &results);
     print!("{table}");
     if let Some(path) = &arguments.markdown {
         std::fs::write(path, &table).map_err(|error| format!("cannot write {}: {error}", path.display()))?;
@@ -181,14 +184,14 @@
 
 /// The scenarios for the honest build.
 fn honest_scenarios(arguments: &Arguments) -> Vec<String> {
-    if arguments.honest.is_empty() {
+    if arguments.honest_scenarios.is_empty() {
         return SHORT_SCENARIOS.iter().map(|name| (*name).to_owned()).collect();
     }
-    arguments.honest.clone()
+    arguments.honest_scenarios.clone()
 }
 
-/// All runs, ordered by seed, so that an interrupted command has made some runs of each fault and scenario.
-fn tasks(arguments: &Arguments) -> Vec<Task> {
+/// All runs, ordered by seed, so that an interrupted command has already run each fault and scenario with some seeds.
+fn all_tasks(arguments: &Arguments) -> Vec<Task> {
     let mut all = Vec::new();
     for seed in 1..=arguments.seeds {
         for case in FAULT_CASES.iter().filter(|case| is_selected(arguments, case.fault)) {
@@ -204,7 +207,7 @@
     all
 }
 
-/// Reads the results of earlier runs; none if there is no such file.
+/// Reads the results of earlier runs; none if the file cannot be opened.
 fn read_results(path: &Path) -> Result<Vec<RunResult>, String> {
     let Ok(file) = File::open(path) else { return Ok(Vec::new()) };
     let lines = BufReader::new(file).lines().map_while(Result::ok);
@@ -215,12 +218,12 @@
 /// Makes the runs in parallel, and appends each result to the file.
 fn run_all(
     arguments: &Arguments,
-    honest: &Path,
+    honest_program: &Path,
     tasks: VecDeque<Task>,
     file: File,
 ) -> Result<Vec<RunResult>, String> {
     let cores = std::thread::available_parallelism().map_or(2, usize::from);
-    let jobs = arguments.jobs.unwrap_or(cores).clamp(1, 64);
+    let jobs = arguments.jobs.unwrap_or(cores).clamp(1, MAX_JOBS);
     let bar = ProgressBar::new(tasks.len() as u64);
     let style = ProgressStyle::with_template("prove [{bar:24}] {pos}/{len}  {elapsed_precise}  {msg}");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
@@ -230,18 +233,23 @@
         loop {
             let task = tasks.lock().map_err(|_| "another run panicked")?.pop_front();
             let Some(task) = task else { return Ok(()) };
-            let mut run = run_task(arguments, honest, &task)?;
-            for _ in 1..MAX_ATTEMPTS {
+            let mut run = run_task(arguments, honest_program, &task)?;
+            for _ in 1..MAX_REHEARSALS_PER_RUN {
                 if run.is_void {
-                    run = run_task(arguments, honest, &task)?;
+                    run = run_task(arguments, honest_program, &task)?;
                 }
             }
             let line = serde_json::to_string(&run).map_err(|error| error.to_string())? + "\n";
             let mut file = file.lock().map_err(|_| "another run panicked")?;
             file.write_all(line.as_bytes()).map_err(|error| format!("cannot write a result: {error}"))?;
             if !run.is_expected {
-                let reason = run.first_breach.as_deref().unwrap_or("the expected rule was not broken");
-                bar.suspend(|| eprintln!("{} in {}, seed {}: {reason}", run.fault, run.scenario, run.seed));
+                let breach = run.first_breach.as_deref().unwrap_or("none");
+                bar.suspend(|| {
+                    eprintln!(
+                        "{} in {}, seed {}: not the expected result; first breach: {breach}",
+                        run.fault, run.scenario, run.seed
+                    )
+                });
             }
             bar.set_message(format!("{} {}", task.fault, task.seed));
             bar.inc(1);
@@ -261,10 +269,10 @@
 }
 
 /// Makes one run, as a rehearsal in a process of its own.
-fn run_task(arguments: &Arguments, honest: &Path, task: &Task) -> Result<RunResult, String> {
+fn run_task(arguments: &Arguments, honest_program: &Path, task: &Task) -> Result<RunResult, String> {
     let own = std::env::current_exe()
         .map_err(|error| format!("cannot determine the path of this program: {error}"))?;
-    let program = if task.rule.is_some() { &arguments.broken } else { honest };
+    let program = if task.rule.is_some() { &arguments.broken_program } else { honest_program };
     let name =
         format!("gullcart-prove-{}-{}-{}-{}", std::process::id(), task.fault, task.scenario, task.seed);
     let json = std::env::temp_dir().join(name);
@@ -302,7 +310,7 @@
 }
 
 /// The table of results in Markdown, and whether every run had the expected result.
-fn table(arguments: &Arguments, results: &[RunResult]) -> (String, bool) {
+fn results_table(arguments: &Arguments, results: &[RunResult]) -> (String, bool) {
     // If a run was made several times, its last result counts.
     let mut last: BTreeMap<(&str, &str, u64), &RunResult> = BTreeMap::new();
     for run in results.iter().filter(|run| run.seed <= arguments.seeds) {
--- a/crates/gullcartctl/src/rehearse.rs
+++ b/crates/gullcartctl/src/rehearse.rs
@@ -22,16 +22,16 @@
   gullcartctl rehearse christmas --seed 7 --html christmas.html --json christmas.json
   gullcartctl rehearse --print payday > mine.toml && gullcartctl rehearse mine.toml
 
-Exit codes: 0 all rules were kept, 1 a rule was broken or service was below the scenario's floor, 2 it could not be run or \
-  is void")]
+Exit codes: 0 all rules were kept, 1 a rule was broken or service was below the scenario's floor (its \
+  minimum share of service), 2 the rehearsal could not be run, or is void because it was itself too slow to judge the couriers")]
 pub struct Arguments {
-    /// The name of a scenario that ships, or a TOML file
+    /// The name of a built-in scenario, or a TOML file
     #[arg(required_unless_present_any = ["list", "print"])]
     scenario: Option<String>,
-    /// List the scenarios that ship
+    /// List the built-in scenarios
     #[arg(long)]
     list: bool,
-    /// Print a scenario that ships, as a start for one of your own
+    /// Print a built-in scenario, as a start for one of your own
     #[arg(long, value_name = "NAME", conflicts_with = "list")]
     print: Option<String>,
     /// Seed of all random draws
@@ -110,12 +110,12 @@
 fn unknown_scenario(name: &str) -> String {
     let names: Vec<&str> = SHIPPED.iter().map(|shipped| shipped.name).collect();
     format!(
-        "'{name}' is neither a scenario that ships nor a file; the scenarios that ship are {}",
+        "'{name}' is neither a built-in scenario nor a file; the built-in scenarios are {}",
         names.join(", ")
     )
 }
 
-/// Reads a scenario that ships, or one in a file.
+/// Reads a built-in scenario, or one in a file.
 pub fn read_scenario(name: &str) -> Result<Scenario, String> {
     let scenario = match shipped(name) {
         Some(shipped) => Scenario::read(name, shipped.text),
@@ -129,7 +129,8 @@
     scenario.map_err(|error| error.to_string())
 }
 
-/// How couriers are started: by a guard that kills them when this process ends for any reason.
+/// How couriers are started: with these environment variables, by a guard that kills them when this process ends for any
+/// reason.
 pub fn launch(program: Option<&Path>, variables: &[(String, String)]) -> Result<Launch, String> {
     let program = match program {
         Some(program) => program.to_owned(),
@@ -137,7 +138,7 @@
     };
     if !program.is_file() {
         return Err(format!(
-            "there is no daemon at {}: build it, or give its path with --program",
+            "there is no daemon at {}: build it, or give the path of one",
             program.display()
         ));
     }
@@ -192,7 +193,8 @@
     fn show(&mut self, progress: &Progress) {
         let Progress { at, of, service, breaches, owed, faults } = progress;
         let faults = if faults.is_empty() { String::new() } else { format!("  [{}]", faults.join(", ")) };
-        let text = format!("service {:.3}  breaches {breaches}  open {owed}{faults}", service.service);
+        let text =
+            format!("service {:.3}  breaches {breaches}  messages pending {owed}{faults}", service.service);
         if self.is_plain && !self.quiet && *at >= self.next_line_s {
             self.next_line_s = at + PLAIN_PROGRESS_INTERVAL_S;
             eprintln!("{at:.0}/{of:.0} s  {text}");
--- a/crates/gullcartctl/src/scale.rs
+++ b/crates/gullcartctl/src/scale.rs
@@ -20,7 +20,8 @@
 const UNKNOWN_COMMIT: &str = "unknown";
 /// Git pathspecs that exclude files which are not part of a daemon.
 const NOT_IN_A_DAEMON: [&str; 3] = [":!docs", ":!journal", ":!*.md"];
-/// Points do not lie on a line if one is off the fitted line by at least this multiple of its own value.
+/// If the fitted line misses a point by this multiple of the point's value or more, the line is too far off to be of use, and
+/// the quantity is reported as not linear.
 const MAX_RELATIVE_RESIDUAL: f64 = 10.0;
 /// Widths of the columns in characters.
 const NAME_WIDTH: usize = 44;
@@ -33,35 +34,35 @@
   gullcartctl scale endpoints
   gullcartctl scale held --sizes 1000,10000 --daemon old/target/release/gullcart --name held-before
 
-Exit codes: 0 all sizes were measured, 1 some sizes were not reached, 2 it could not be run")]
+Exit codes: 0 all sizes were measured, 1 some sizes were not reached, 2 the benchmark could not be run")]
 pub struct Arguments {
     #[command(subcommand)]
-    measurement: MeasurementCommand,
+    command: ScaleCommand,
 }
 
 #[derive(Subcommand)]
-enum MeasurementCommand {
-    /// By the number of listed endpoints: memory, start, turns, changes, deliveries
-    Endpoints(MeasurementOptions),
-    /// By the number of messages held for partners that never answer: memory, turns, enqueueing, replay
-    Held(MeasurementOptions),
-    /// By the number of destinations with waiting messages: turns
-    Waiting(MeasurementOptions),
-    /// By the length of the list: changes and the bytes they add to the journal, reloads of the configuration
-    Changes(MeasurementOptions),
-    /// By the number of messages held: a restart for a changed setting, and how long no client is served
-    Restart(MeasurementOptions),
-    /// By the number of listed couriers: memory, and calls for the list while discovery is down
-    Couriers(MeasurementOptions),
-    /// By the number of couriers of a deployment, without daemons: their load on the systems they share
+enum ScaleCommand {
+    /// Measure by the number of listed endpoints: memory, start, event loop turns, changes, deliveries
+    Endpoints(BenchmarkOptions),
+    /// Measure by the number of messages held for partners that never answer: memory, event loop turns, enqueueing, replay
+    Held(BenchmarkOptions),
+    /// Measure by the number of destinations with waiting messages: event loop turns
+    Waiting(BenchmarkOptions),
+    /// Measure by the length of the list: changes and the bytes they add to the journal, reloads of the configuration
+    Changes(BenchmarkOptions),
+    /// Measure by the number of messages held: a restart for a changed setting, and how long no client is served
+    Restart(BenchmarkOptions),
+    /// Measure by the number of listed couriers: memory, and requests for the list while discovery is down
+    Couriers(BenchmarkOptions),
+    /// Measure by the number of couriers, without daemons: their load on shared partners and discovery, and their group
     Shared(shared::Arguments),
     /// Render the figures of docs/CAPACITY.md from the records, or check that they are up to date
     Page(page::Arguments),
 }
 
-/// The options of all measurements of a daemon.
+/// The options of all benchmarks of a daemon.
 #[derive(Args)]
-struct MeasurementOptions {
+struct BenchmarkOptions {
     /// Sizes to measure [default: four or more, over two decades]
     #[arg(long, value_delimiter = ',', value_name = "N,...")]
     sizes: Vec<usize>,
@@ -71,7 +72,7 @@
     /// Folder for the record
     #[arg(long, value_name = "DIR", default_value = RESULTS)]
     results: PathBuf,
-    /// Name of the record [default: that of the measurement]
+    /// Name of the record [default: that of the benchmark]
     #[arg(long)]
     name: Option<String>,
     /// The daemon's commit [default: that of the git repository it lies in]
@@ -88,109 +89,97 @@
 /// Measures a daemon at the given sizes, and reports its progress.
 type MeasureFn = fn(&[usize], &Settings, &Limits, &mut dyn FnMut(&str)) -> Result<Collector, MeasureError>;
 
-/// A measurement of a daemon.
-struct DaemonMeasurement {
+/// A benchmark of a daemon: it measures several quantities, each at all sizes.
+struct Benchmark {
     name: &'static str,
     default_sizes: &'static [usize],
     measure: MeasureFn,
 }
 
-const ENDPOINTS: DaemonMeasurement = DaemonMeasurement {
+const ENDPOINTS: Benchmark = Benchmark {
     name: "endpoints",
     default_sizes: &[100, 1_000, 10_000, 50_000, 200_000],
     measure: endpoints::measure,
 };
-const HELD: DaemonMeasurement = DaemonMeasurement {
-    name: "held",
-    default_sizes: &[1_000, 10_000, 50_000, 100_000],
-    measure: held::measure,
-};
-const WAITING: DaemonMeasurement = DaemonMeasurement {
-    name: "waiting",
-    default_sizes: &[10, 100, 1_000, 10_000],
-    measure: waiting::measure,
-};
-const CHANGES: DaemonMeasurement = DaemonMeasurement {
-    name: "changes",
-    default_sizes: &[100, 1_000, 10_000, 50_000],
-    measure: changes::measure,
-};
-const RESTART: DaemonMeasurement = DaemonMeasurement {
-    name: "restart",
-    default_sizes: &[10, 100, 1_000, 10_000],
-    measure: restart::measure,
-};
-const COURIERS: DaemonMeasurement = DaemonMeasurement {
-    name: "couriers",
-    default_sizes: &[10, 100, 1_000, 11_000],
-    measure: couriers::measure,
-};
+const HELD: Benchmark =
+    Benchmark { name: "held", default_sizes: &[1_000, 10_000, 50_000, 100_000], measure: held::measure };
+const WAITING: Benchmark =
+    Benchmark { name: "waiting", default_sizes: &[10, 100, 1_000, 10_000], measure: waiting::measure };
+const CHANGES: Benchmark =
+    Benchmark { name: "changes", default_sizes: &[100, 1_000, 10_000, 50_000], measure: changes::measure };
+const RESTART: Benchmark =
+    Benchmark { name: "restart", default_sizes: &[10, 100, 1_000, 10_000], measure: restart::measure };
+const COURIERS: Benchmark =
+    Benchmark { name: "couriers", default_sizes: &[10, 100, 1_000, 11_000], measure: couriers::measure };
 
 /// Runs the command.
 pub fn scale(arguments: &Arguments) -> Result<ExitCode, String> {
-    let (measurement, options) = match &arguments.measurement {
-        MeasurementCommand::Endpoints(options) => (ENDPOINTS, options),
-        MeasurementCommand::Held(options) => (HELD, options),
-        MeasurementCommand::Waiting(options) => (WAITING, options),
-        MeasurementCommand::Changes(options) => (CHANGES, options),
-        MeasurementCommand::Restart(options) => (RESTART, options),
-        MeasurementCommand::Couriers(options) => (COURIERS, options),
-        MeasurementCommand::Shared(arguments) => return shared::shared(arguments),
-        MeasurementCommand::Page(arguments) => return page::page(arguments),
+    let (benchmark, options) = match &arguments.command {
+        ScaleCommand::Endpoints(options) => (ENDPOINTS, options),
+        ScaleCommand::Held(options) => (HELD, options),
+        ScaleCommand::Waiting(options) => (WAITING, options),
+        ScaleCommand::Changes(options) => (CHANGES, options),
+        ScaleCommand::Restart(options) => (RESTART, options),
+        ScaleCommand::Couriers(options) => (COURIERS, options),
+        ScaleCommand::Shared(arguments) => return shared::shared(arguments),
+        ScaleCommand::Page(arguments) => return page::page(arguments),
     };
-    let record = measure(&measurement, options).map_err(|error| error.to_string())?;
+    let record = measure(&benchmark, options).map_err(|error| error.to_string())?;
     show(&record);
     let path = record.write(&options.results).map_err(|error| error.to_string())?;
     println!("record: {}", path.display());
+    // A size that was not reached is recorded as a parameter whose name has this prefix.
     let is_complete = !record.parameters.keys().any(|name| name.starts_with(NOT_REACHED));
     Ok(if is_complete { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Why a measurement made no record.
+/// Why a benchmark made no record.
 #[derive(Debug, thiserror::Error)]
 enum ScaleError {
+    /// The daemon cannot be started.
     #[error("{0}")]
-    Daemon(String),
+    DaemonUnavailable(String),
+    /// The benchmark failed.
     #[error(transparent)]
     Measure(#[from] MeasureError),
 }
 
-/// Runs a measurement of a daemon.
-fn measure(measurement: &DaemonMeasurement, options: &MeasurementOptions) -> Result<RunRecord, ScaleError> {
-    let sizes = sizes(measurement, options)?;
-    let launch = launch(options.daemon.as_deref()).map_err(ScaleError::Daemon)?;
+/// Runs a benchmark.
+fn measure(benchmark: &Benchmark, options: &BenchmarkOptions) -> Result<RunRecord, ScaleError> {
+    let sizes = sizes(benchmark, options)?;
+    let launch = launch(options.daemon.as_deref()).map_err(ScaleError::DaemonUnavailable)?;
     let commit = options.commit.clone().unwrap_or_else(|| commit_of(&launch.program));
     let cancellation = Cancellation::default();
     cancel_on_signals(cancellation.clone());
     let settings = Settings { launch, samples: options.samples, limit: options.limit, cancellation };
     let limits = Limits::of_this_machine()?;
-    let mut progress = |what: &str| eprintln!("{}: {what}", measurement.name);
-    let mut collector = (measurement.measure)(&sizes, &settings, &limits, &mut progress)?;
+    let mut progress = |what: &str| eprintln!("{}: {what}", benchmark.name);
+    let mut collector = (benchmark.measure)(&sizes, &settings, &limits, &mut progress)?;
     collector.parameter("samples", options.samples);
-    let name = options.name.clone().unwrap_or_else(|| measurement.name.to_owned());
-    let command = command(measurement, options, &sizes);
+    let name = options.name.clone().unwrap_or_else(|| benchmark.name.to_owned());
+    let command = command(benchmark, options, &sizes);
     Ok(collector.record(RunTitle { name, command, commit })?)
 }
 
 /// The sizes to measure, in ascending order.
-fn sizes(measurement: &DaemonMeasurement, options: &MeasurementOptions) -> Result<Vec<usize>, MeasureError> {
+fn sizes(benchmark: &Benchmark, options: &BenchmarkOptions) -> Result<Vec<usize>, MeasureError> {
     let mut sizes =
-        if options.sizes.is_empty() { measurement.default_sizes.to_vec() } else { options.sizes.clone() };
+        if options.sizes.is_empty() { benchmark.default_sizes.to_vec() } else { options.sizes.clone() };
     sizes.sort_unstable();
     sizes.dedup();
     match sizes.first() {
-        Some(0) => Err(MeasureError::Sizes("the smallest one is 1")),
+        Some(0) => Err(MeasureError::Sizes("each has to be at least 1")),
         _ => Ok(sizes),
     }
 }
 
-/// The command that repeats a measurement, without the paths of this machine.
-fn command(measurement: &DaemonMeasurement, options: &MeasurementOptions, sizes: &[usize]) -> String {
+/// The command that repeats a benchmark, without the paths of this machine.
+fn command(benchmark: &Benchmark, options: &BenchmarkOptions, sizes: &[usize]) -> String {
     let sizes: Vec<String> = sizes.iter().map(usize::to_string).collect();
     let limit = humantime::format_duration(options.limit).to_string().replace(' ', "");
     format!(
         "gullcartctl scale {} --sizes {} --samples {} --limit {limit}",
-        measurement.name,
+        benchmark.name,
         sizes.join(","),
         options.samples
     )
@@ -221,7 +210,7 @@
     output.status.success().then(|| text.trim().to_owned())
 }
 
-/// Makes Ctrl-C and SIGTERM end the measurement at its next step.
+/// Makes Ctrl-C and SIGTERM end the benchmark at its next step.
 fn cancel_on_signals(cancellation: Cancellation) {
     thread::spawn(move || {
         let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else { return };
@@ -258,11 +247,11 @@
         measurement.points.iter().map(|point| format!("{:>VALUE_WIDTH$}", format_number(point.value)));
     let fit = &measurement.fit;
     let exponent = match (fit.exponent, fit.exponent_error) {
-        (Some(exponent), Some(error)) => format!(", grows as size^{exponent:.2} (error {error:.2})"),
+        (Some(exponent), Some(error)) => format!(", grows as size^{exponent:.2} (standard error {error:.2})"),
         _ => String::new(),
     };
     format!(
-        "\n{:<NAME_WIDTH$}{}\n{:<NAME_WIDTH$}{}\n  {} {} each (error {}) plus {}{exponent}; {}",
+        "\n{:<NAME_WIDTH$}{}\n{:<NAME_WIDTH$}{}\n  {} {} per unit of size (standard error {}), plus {} {}{exponent}; {}",
         measurement.axis.name,
         sizes.collect::<String>(),
         format!("{}, {}", measurement.name, measurement.unit),
@@ -271,6 +260,7 @@
         measurement.unit,
         format_number(fit.slope_error),
         format_number(fit.intercept),
+        measurement.unit,
         residual_text(fit.worst_relative_residual),
     )
 }
@@ -279,7 +269,7 @@
 fn residual_text(relative_residual: f64) -> String {
     match relative_residual < MAX_RELATIVE_RESIDUAL {
         true => format!("off by {:.0} % at most", relative_residual * 100.0),
-        false => "no line".to_owned(),
+        false => "not linear".to_owned(),
     }
 }
 
--- a/crates/gullcartctl/src/scale/shared.rs
+++ b/crates/gullcartctl/src/scale/shared.rs
@@ -1,4 +1,5 @@
-//! `gullcartctl scale shared`: the load of many couriers on the systems they share, by their number, in virtual time.
+//! `gullcartctl scale shared`: the load that all couriers of a deployment together put on partners and discovery, and the cost of
+//! their group, for several numbers of couriers. It runs in virtual time, without daemons.
 
 use super::RESULTS;
 use clap::Args;
--- a/crates/gullcartctl/tests/rehearse.rs
+++ b/crates/gullcartctl/tests/rehearse.rs
@@ -107,7 +107,7 @@
     let report: serde_json::Value = serde_json::from_slice(&std::fs::read(&json).unwrap()).unwrap();
     assert_eq!(report["broken"], serde_json::json!({}));
     let count = |name: &str| report["counts"][name].as_u64().unwrap();
-    // About 40 are expected: two seconds at twenty messages a second, drawn at random.
+    // `busy` counts the rejected messages. About 40 are expected: two seconds at twenty messages a second, drawn at random.
     assert!((20..60).contains(&count("busy")), "{report}");
     assert!(
         count("delivered") + count("busy") + 5 >= count("messages") && count("delivered") >= 50,
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn what_cannot_be_run_exits_with_2_before_anything_starts() {
+fn a_rehearsal_that_cannot_be_run_exits_with_2_before_anything_starts() {
     let folder = folder("bad");
     let path = scenario(&folder, &SHORT_SCENARIO.replace("FLOOR", "7"));
     let output = run(&["rehearse", path.to_str().unwrap()]);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn what_ships_is_listed_and_printed() {
+fn built_in_scenarios_are_listed_and_printed() {
     let list = output_text(&run(&["rehearse", "--list"]));
     assert!(["smoke", "christmas", "overlap", "mid-drain", "restarts", "payday"]
         .iter()
--- a/crates/gullcartctl/tests/scale.rs
+++ b/crates/gullcartctl/tests/scale.rs
@@ -47,17 +47,17 @@
     format!("{}{}", String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr))
 }
 
-/// Runs a measurement at some sizes, and reads the record that it wrote.
-fn measured(what: &str, sizes: &str) -> RunRecord {
-    let folder = Folder::new(what);
+/// Runs a benchmark at some sizes, and reads the record that it wrote.
+fn run_benchmark(name: &str, sizes: &str) -> RunRecord {
+    let folder = Folder::new(name);
     let results = folder.0.to_str().unwrap();
     let output =
-        scale(&[what, "--sizes", sizes, "--samples", "1", "--commit", "c0ffee", "--results", results]);
+        scale(&[name, "--sizes", sizes, "--samples", "1", "--commit", "c0ffee", "--results", results]);
     let text = output_text(&output);
     assert_eq!(output.status.code(), Some(0), "{text}");
-    let record = RunRecord::read(&folder.0.join(format!("{what}.json"))).unwrap();
-    assert_eq!((record.name.as_str(), record.commit.as_str()), (what, "c0ffee"));
-    assert!(record.command.contains(&format!("scale {what} --sizes {sizes}")), "{}", record.command);
+    let record = RunRecord::read(&folder.0.join(format!("{name}.json"))).unwrap();
+    assert_eq!((record.name.as_str(), record.commit.as_str()), (name, "c0ffee"));
+    assert!(record.command.contains(&format!("scale {name} --sizes {sizes}")), "{}", record.command);
     assert!(record.machine.memory_bytes > 0 && record.machine.cores > 0);
     assert!(record.figures.is_empty(), "a quantity was not measured at all sizes: {:?}", record.figures);
     for measurement in &record.measurements {
@@ -83,7 +83,7 @@
 
 #[test]
 fn endpoints_cost_a_bounded_amount_each() {
-    let record = measured("endpoints", "500,2000,8000");
+    let record = run_benchmark("endpoints", "500,2000,8000");
     let names = [
         "time to ready",
         "processor time to ready",
@@ -106,7 +106,7 @@
 
 #[test]
 fn held_messages_cost_a_bounded_amount_each() {
-    let record = measured("held", "50,500,2000");
+    let record = run_benchmark("held", "50,500,2000");
     let names = ["turn", "idle second", "message taken", "time to replay", "processor time to replay"];
     names.iter().for_each(|name| assert!(measurement(&record, name).points.iter().all(|p| p.value > 0.0)));
     let journal = growth(measurement(&record, "journal"));
@@ -117,9 +117,9 @@
 
 #[test]
 fn waiting_destinations_and_changes_are_measured() {
-    let waiting = measured("waiting", "10,50,200");
+    let waiting = run_benchmark("waiting", "10,50,200");
     assert!(measurement(&waiting, "turn").points.iter().all(|point| point.value > 0.0));
-    let changes = measured("changes", "100,200,400");
+    let changes = run_benchmark("changes", "100,200,400");
     // A change writes its 100 entries, however long the list is.
     let written = measurement(&changes, "journal bytes of a change of 100 endpoints");
     assert!(written.points.iter().all(|point| point.value > 100.0 * 20.0), "{written:?}");
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn what_cannot_be_measured_exits_with_2() {
+fn a_benchmark_that_cannot_be_run_exits_with_2() {
     let output = scale(&["endpoints", "--daemon", "/no/such/daemon"]);
     assert!(
         output.status.code() == Some(2) && output_text(&output).contains("/no/such/daemon"),
--- a/crates/gullcartctl/tests/stops.rs
+++ b/crates/gullcartctl/tests/stops.rs
@@ -1,8 +1,10 @@
-//! Rehearsals in which a preloaded library pauses the couriers for a moment before some of their writes.
+//! Rehearsals of the scenario `gauntlet` with a preloaded library that pauses the couriers for a moment before some of their
+//! system calls. All rules have to be kept, as the machine may stall a process at any time.
 
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 
+/// Seeds of the rehearsals, and of the pauses in them.
 const SEEDS: [u64; 6] = [11, 12, 13, 21, 22, 31];
 
 /// Builds the library that pauses couriers.
--- a/crates/gullcartctl/tests/stops/stops.c
+++ b/crates/gullcartctl/tests/stops/stops.c
@@ -1,5 +1,6 @@
-/* Pauses the daemon for 20 to 150 ms before some of its writes, as on a stalled machine. STOP_PROBABILITY is the share of these
- * writes (0.05 by default); they are drawn at random from STOP_SEED and the courier's name. Used in rehearsals with LD_PRELOAD:
+/* Pauses the daemon for 20 to 150 ms before some of the calls that write, send, shut down or close, as on a stalled machine.
+ * STOP_PROBABILITY is the probability of a pause before such a call (0.05 by default); the random numbers depend on STOP_SEED and
+ * the courier's name. Used in rehearsals with LD_PRELOAD:
  *
  *     cc -O1 -shared -fPIC -o stops.so crates/gullcartctl/tests/stops/stops.c
  *     STOP_SEED=11 LD_PRELOAD=$PWD/stops.so target/release/gullcartctl rehearse gauntlet --seed 11 */
@@ -21,9 +22,9 @@
 static int is_courier;
 /* The earliest time of the next pause. */
 static long long next_pause_ms;
-static double probability = 0.05;
+static double pause_probability = 0.05;
 /* State of the random number generator (xorshift64). */
-static unsigned long long state = 88172645463325252ull;
+static unsigned long long random_state = 88172645463325252ull;
 
 /* Reads the process's name and the settings. */
 static void prepare(void) {
@@ -34,17 +35,17 @@
         fclose(file);
     }
     is_courier = strcmp(name, PROGRAM) == 0;
-    if (getenv("STOP_PROBABILITY")) probability = atof(getenv("STOP_PROBABILITY"));
-    if (getenv("STOP_SEED")) state ^= strtoull(getenv("STOP_SEED"), 0, 10) * 2654435761ull;
+    if (getenv("STOP_PROBABILITY")) pause_probability = atof(getenv("STOP_PROBABILITY"));
+    if (getenv("STOP_SEED")) random_state ^= strtoull(getenv("STOP_SEED"), 0, 10) * 2654435761ull;
     const char *courier = getenv("BALANCER_NAME");
-    for (; courier && *courier; courier++) state = state * 31 + (unsigned char)*courier;
+    for (; courier && *courier; courier++) random_state = random_state * 31 + (unsigned char)*courier;
     is_prepared = 1;
 }
 
 static unsigned long long next_random(void) {
-    state ^= state << 13;
-    state ^= state >> 7;
-    return state ^= state << 17;
+    random_state ^= random_state << 13;
+    random_state ^= random_state >> 7;
+    return random_state ^= random_state << 17;
 }
 
 static long long now_ms(void) {
@@ -55,7 +56,7 @@
 
 static void maybe_pause(void) {
     if (!is_prepared) prepare();
-    if (!is_courier || (next_random() >> 11) * 0x1p-53 >= probability) return;
+    if (!is_courier || (next_random() >> 11) * 0x1p-53 >= pause_probability) return;
     /* Pauses that follow each other too closely would act as one longer pause. */
     if (now_ms() < next_pause_ms) return;
     next_pause_ms = now_ms() + MAX_PAUSE_MS + MIN_GAP_MS;
@@ -68,6 +69,7 @@
 #define NEXT(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
 
 ssize_t write(int fd, const void *bytes, size_t count) {
+    /* Not before writes to the standard streams. */
     if (fd > 2) maybe_pause();
     return NEXT(write)(fd, bytes, count);
 }
