--- a/crates/gullcart/src/upgrade.rs
+++ b/crates/gullcart/src/upgrade.rs
@@ -3,8 +3,8 @@
 //! so the transfer uses blocking calls with timeouts.
 
 use gullcart_handover::{
-    decode_header, decode_state, encode, signals, FrameError, HandoverAction, HandoverEvent, HandoverSender,
-    HandoverState, HEADER_BYTES, MAX_DESCRIPTORS,
+    decode_header, decode_state, encode, handshake, FrameError, HandoverAction, HandoverEvent,
+    HandoverSender, HandoverState, HEADER_BYTES, MAX_DESCRIPTORS,
 };
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -122,7 +122,7 @@
         .and_then(|()| stream.set_read_timeout(Some(HELLO_TIMEOUT)))
         .and_then(|()| stream.set_write_timeout(Some(PEER_TIMEOUT)));
     configured.is_ok()
-        && expect_word(stream, signals::HELLO).is_ok()
+        && expect_word(stream, handshake::HELLO).is_ok()
         && stream.set_read_timeout(Some(TRANSFER_TIMEOUT)).is_ok()
 }
 
@@ -136,7 +136,7 @@
     let mut sender = HandoverSender::default();
     sender.handle(HandoverEvent::Hello);
     let sent = send_state(&mut stream, state, descriptors)
-        .and_then(|()| expect_word(&mut stream, signals::ACCEPTED));
+        .and_then(|()| expect_word(&mut stream, handshake::ACCEPTED));
     if let Err(error) = sent {
         warn!(%error, "the courier stays in this process");
         return sender.handle(HandoverEvent::ReceiverFailed);
@@ -146,9 +146,9 @@
     release();
     sender.handle(HandoverEvent::LockReleased);
     let served = configured
-        .and_then(|()| send_word(&mut stream, signals::LOCK_RELEASED))
+        .and_then(|()| send_word(&mut stream, handshake::LOCK_RELEASED))
         .map_err(HandoverError::from)
-        .and_then(|()| expect_word(&mut stream, signals::SERVING));
+        .and_then(|()| expect_word(&mut stream, handshake::SERVING));
     match served {
         Ok(()) => sender.handle(HandoverEvent::Serving),
         Err(error) => {
@@ -210,7 +210,7 @@
         stream.set_read_timeout(Some(PEER_TIMEOUT))?;
         stream.set_write_timeout(Some(PEER_TIMEOUT))?;
         let mut head = [0; HEADER_BYTES];
-        if send_word(&mut stream, signals::HELLO).and_then(|()| stream.read_exact(&mut head)).is_err() {
+        if send_word(&mut stream, handshake::HELLO).and_then(|()| stream.read_exact(&mut head)).is_err() {
             return Ok(RequestOutcome::Unavailable);
         }
         let head = decode_header(&head)?;
@@ -231,13 +231,13 @@
 
     /// Accepts the courier; afterwards the lock of the folder is free.
     pub fn accept(&mut self) -> Result<(), HandoverError> {
-        send_word(&mut self.stream, signals::ACCEPTED)?;
-        expect_word(&mut self.stream, signals::LOCK_RELEASED)
+        send_word(&mut self.stream, handshake::ACCEPTED)?;
+        expect_word(&mut self.stream, handshake::LOCK_RELEASED)
     }
 
     /// Confirms to the previous process that this one serves, so that it drops its copy of the courier.
     pub fn confirm_serving(mut self) -> Result<(), HandoverError> {
-        send_word(&mut self.stream, signals::SERVING)?;
+        send_word(&mut self.stream, handshake::SERVING)?;
         info!("the previous process has given the courier up");
         Ok(())
     }
