--- a/crates/gullcart-judge/src/duties.rs
+++ b/crates/gullcart-judge/src/duties.rs
@@ -1,67 +1,70 @@
-//! What is done under duties that one process holds at a time, judged where it lands: by what arrives at a partner, never by
-//! what holders say of themselves.
+//! Checks what members did under a duty that only one of them may hold at a time. The actions are judged as their
+//! target received them, not by what the holders report about themselves.
 
-use crate::trace::At;
+use crate::trace::Timestamp;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Something that was done under a duty, as it landed.
+/// An action under a duty, as its target received it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Act {
-    /// When it landed.
-    pub at: At,
-    /// By whom.
+pub struct DutyAction {
+    /// When the action was received.
+    pub at: Timestamp,
+    /// The acting member.
     pub member: u64,
-    /// Under which epoch.
+    /// The epoch of the duty under which the member acted.
     pub epoch: u64,
 }
 
-/// What is wrong.
+/// A pair of actions that exclusive holders would not produce, in order of receipt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wrong {
-    /// Two members acted under one epoch.
-    Shared(Act, Act),
-    /// It landed behind one of a later epoch: two held it at a time, or it was stopped right before it acted.
-    Late(Act, Act),
+pub enum DutyViolation {
+    /// Two members acted under the same epoch.
+    SharedEpoch(DutyAction, DutyAction),
+    /// The second action arrived after one of a later epoch: either two members held the duty at the same time, or the
+    /// member's process was paused right before it acted.
+    StaleEpoch(DutyAction, DutyAction),
 }
 
-/// What was found of one duty.
+/// The results of checking one duty.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Findings {
-    /// Acts of two members under one epoch: never right.
-    pub shared: Vec<Wrong>,
-    /// Acts that landed behind later epochs: as many as there were stops right before an act, at most.
-    pub late: Vec<Wrong>,
-    /// Epochs, who had them, and when the first and the last act landed.
-    pub held: Vec<(u64, u64, At, At)>,
+pub struct DutyFindings {
+    /// Actions of two members under the same epoch. This is always an error.
+    pub shared_epochs: Vec<DutyViolation>,
+    /// Actions received after one of a later epoch. Each pause of a process right before an action explains one.
+    pub stale_actions: Vec<DutyViolation>,
+    /// For each epoch: the epoch, its first member, and when the first and the last action under it were received. The
+    /// last one leaves out stale actions.
+    pub held_epochs: Vec<(u64, u64, Timestamp, Timestamp)>,
 }
 
-/// Judges the acts of one duty, in the order in which they landed.
-pub fn judge(acts: &[Act]) -> Findings {
-    let mut findings = Findings::default();
-    let mut epochs: BTreeMap<u64, (Act, Act)> = BTreeMap::new();
-    let mut highest: Option<Act> = None;
-    for act in acts {
-        let (first, last) = epochs.entry(act.epoch).or_insert((*act, *act));
-        if first.member != act.member {
-            findings.shared.push(Wrong::Shared(*first, *act));
+/// Checks the actions under one duty, given in the order in which they were received.
+pub fn judge(actions: &[DutyAction]) -> DutyFindings {
+    let mut findings = DutyFindings::default();
+    // The first and the last action of each epoch.
+    let mut epochs: BTreeMap<u64, (DutyAction, DutyAction)> = BTreeMap::new();
+    let mut highest: Option<DutyAction> = None;
+    for action in actions {
+        let (first, last) = epochs.entry(action.epoch).or_insert((*action, *action));
+        if first.member != action.member {
+            findings.shared_epochs.push(DutyViolation::SharedEpoch(*first, *action));
         }
-        match highest.filter(|highest| highest.epoch > act.epoch) {
-            Some(highest) => findings.late.push(Wrong::Late(highest, *act)),
+        match highest.filter(|highest| highest.epoch > action.epoch) {
+            Some(highest) => findings.stale_actions.push(DutyViolation::StaleEpoch(highest, *action)),
             None => {
-                *last = *act;
-                highest = Some(*act);
+                *last = *action;
+                highest = Some(*action);
             }
         }
     }
     let held = epochs.into_iter().map(|(epoch, (first, last))| (epoch, first.member, first.at, last.at));
-    findings.held = held.collect();
+    findings.held_epochs = held.collect();
     findings
 }
 
-/// The longest time within a span in which nothing was done.
-pub fn longest_gap(acts: &[Act], from: At, to: At) -> Duration {
-    let within = acts.iter().map(|act| act.at).filter(|at| (from..=to).contains(at));
+/// The longest time without any action between `from` and `to`.
+pub fn longest_gap(actions: &[DutyAction], from: Timestamp, to: Timestamp) -> Duration {
+    let within = actions.iter().map(|action| action.at).filter(|at| (from..=to).contains(at));
     let mut gap = Duration::ZERO;
     let mut last = from;
     for at in within.chain([to]) {
--- a/crates/gullcart-judge/src/judge.rs
+++ b/crates/gullcart-judge/src/judge.rs
@@ -1,6 +1,6 @@
-//! The judge: takes a trace in, entry by entry, and reports each breach of the six rules.
+//! The invariant checker: reads a trace entry by entry and reports each violation of a [`Rule`].
 //!
-//! The checks are grouped by what they look at; each group is a module below that adds its methods to [`Judge`].
+//! The checks are grouped by subject; each module below adds the methods of one group to [`Judge`].
 
 mod calls;
 mod clients;
@@ -10,71 +10,73 @@
 mod processes;
 mod state;
 
-use crate::figures::{ClassRules, Effect, Figures};
-use crate::message::{Message, Standing};
-use crate::rule::{Breach, Rule};
+use crate::limits::{ClassRules, Effect, RuleLimits};
+use crate::message::{EnqueueStatus, Message};
+use crate::rule::{Rule, Violation};
 use crate::trace::*;
 use state::{Check, Courier, KeyState, OpenCall, Outage, RetryAfter};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Breaches that are kept whole; later ones are only counted.
-pub const MOST_BREACHES: usize = 500;
+/// Maximum number of violations kept with their evidence; further ones are only counted.
+pub const MAX_VIOLATIONS: usize = 500;
 
-/// Judges a trace. Feed it every entry in the order of time, then [`Judge::finish`].
+/// Checks a trace against the rules. Pass every entry in time order to [`Judge::feed`], then call [`Judge::finish`].
 pub struct Judge {
-    figures: Figures,
-    now: At,
+    limits: RuleLimits,
+    now: Timestamp,
     messages: HashMap<MessageId, Message>,
+    /// Calls without an outcome yet.
     calls: HashMap<CallId, OpenCall>,
     keys: HashMap<(CourierId, OrderKey), KeyState>,
     couriers: BTreeMap<CourierId, Courier>,
-    /// Endpoints that drain or are gone, by whom it was told.
+    /// Endpoints that are draining or deleted, each with the entry that first reported it to the courier.
     drains: HashMap<(CourierId, EndpointId), Entry>,
-    waits: HashMap<(CourierId, PartnerId), Vec<RetryAfter>>,
+    /// Retry-after times that partners gave to couriers.
+    retry_after: HashMap<(CourierId, PartnerId), Vec<RetryAfter>>,
     outages: HashMap<PartnerId, Outage>,
-    /// Checks that are due later, by their time.
-    checks: BTreeSet<(At, Check, MessageId)>,
-    breaches: Vec<Breach>,
-    counts: BTreeMap<Rule, u64>,
+    /// Scheduled checks, in the order in which they are due.
+    checks: BTreeSet<(Timestamp, Check, MessageId)>,
+    violations: Vec<Violation>,
+    violation_counts: BTreeMap<Rule, u64>,
 }
 
 impl Judge {
-    /// A judge with the figures of the rules.
-    pub fn new(figures: Figures) -> Self {
+    /// A judge that applies the given limits.
+    pub fn new(limits: RuleLimits) -> Self {
         Judge {
-            figures,
-            now: At(0),
+            limits,
+            now: Timestamp(0),
             messages: HashMap::new(),
             calls: HashMap::new(),
             keys: HashMap::new(),
             couriers: BTreeMap::new(),
             drains: HashMap::new(),
-            waits: HashMap::new(),
+            retry_after: HashMap::new(),
             outages: HashMap::new(),
             checks: BTreeSet::new(),
-            breaches: Vec::new(),
-            counts: BTreeMap::new(),
+            violations: Vec::new(),
+            violation_counts: BTreeMap::new(),
         }
     }
 
-    /// The breaches found so far, the first [`MOST_BREACHES`] of them.
-    pub fn breaches(&self) -> &[Breach] {
-        &self.breaches
+    /// The violations found so far, up to [`MAX_VIOLATIONS`].
+    pub fn violations(&self) -> &[Violation] {
+        &self.violations
     }
 
-    /// How many breaches of each rule were found.
-    pub fn counts(&self) -> &BTreeMap<Rule, u64> {
-        &self.counts
+    /// The number of violations found so far, by rule.
+    pub fn violation_counts(&self) -> &BTreeMap<Rule, u64> {
+        &self.violation_counts
     }
 
-    /// Messages that are remembered now: those under way, and those of the last seconds.
-    pub fn remembered(&self) -> usize {
+    /// The number of messages in memory: those in progress, and those of the last seconds.
+    pub fn tracked_messages(&self) -> usize {
         self.messages.len()
     }
 
-    /// Messages that couriers owe an end.
-    pub fn owed(&self) -> usize {
-        self.messages.values().filter(|message| message.is_owed()).count()
+    /// The number of messages that couriers still have to deliver or to end with a notice.
+    pub fn pending_messages(&self) -> usize {
+        self.messages.values().filter(|message| message.is_pending()).count()
     }
 
     /// Whether some call for a message may have run.
@@ -84,32 +86,34 @@
 
     /// Whether a message was delivered.
     pub fn is_delivered(&self, message: MessageId) -> bool {
-        self.messages.get(&message).is_some_and(|m| m.delivered.is_some())
+        self.messages.get(&message).is_some_and(|m| m.delivered_at.is_some())
     }
 
-    /// Takes one entry in. Entries that come out of time are taken for as late as the last one.
+    /// Processes one entry. An entry that is older than the one before is treated as if it had that one's time.
     pub fn feed(&mut self, mut entry: Entry) {
         entry.at = entry.at.max(self.now);
         self.advance(entry.at);
         match entry.event {
-            Event::HandIn { .. } => self.handed_in(entry),
-            Event::Answered { message, told } => self.answered(entry, message, told),
-            Event::Call { .. } => self.call(entry),
+            Event::EnqueueSent { .. } => self.enqueue_sent(entry),
+            Event::EnqueueAnswered { message, outcome } => self.enqueue_answered(entry, message, outcome),
+            Event::CallReceived { .. } => self.call_received(entry),
             Event::CallAnswered { call, answer } => self.call_answered(entry, call, answer),
-            Event::CallCut { call, .. } => self.call_cut(entry, call),
-            Event::Notice { message, courier, ended } => self.notice(entry, message, courier, ended),
+            Event::CallAborted { call, .. } => self.call_aborted(entry, call),
+            Event::Notice { message, courier, verdict } => self.notice(entry, message, courier, verdict),
             Event::NoticeAnswered { message } => self.notice_answered(entry, message),
-            Event::Listed { courier, endpoint, state } => self.listed(entry, courier, endpoint, state),
-            Event::Out { partner } => self.outage_began(entry, partner),
-            Event::Back { partner, capacity, cold_from, warm } => {
-                self.outage_ended(entry, partner, capacity, cold_from, warm);
+            Event::ListingUpdated { courier, endpoint, state } => {
+                self.listing_updated(entry, courier, endpoint, state);
             }
-            Event::Process { courier, what } => self.process(entry, courier, what),
+            Event::OutageBegan { partner } => self.outage_began(entry, partner),
+            Event::OutageEnded { partner, capacity, cold_capacity_share, warm_at } => {
+                self.outage_ended(entry, partner, capacity, cold_capacity_share, warm_at);
+            }
+            Event::Process { courier, change } => self.process_changed(entry, courier, change),
         }
     }
 
-    /// Lets time pass.
-    pub fn advance(&mut self, now: At) {
+    /// Runs all checks that are due by `now`.
+    pub fn advance(&mut self, now: Timestamp) {
         while let Some((at, check, message)) = self.checks.first().copied().filter(|(at, ..)| *at <= now) {
             self.checks.pop_first();
             self.now = self.now.max(at);
@@ -118,21 +122,22 @@
         self.now = self.now.max(now);
     }
 
-    /// The trace has ended: what is still owed by couriers that are there will never be told.
-    pub fn finish(&mut self, now: At) {
+    /// Ends the trace: every pending message whose deadline has passed is reported, even where its courier is
+    /// unavailable.
+    pub fn finish(&mut self, now: Timestamp) {
         self.advance(now);
-        let end_slack = self.figures.end_slack;
-        let is_late = |message: &Message| message.is_owed() && now >= message.deadline + end_slack;
-        let late = self.messages.iter().filter(|(_, message)| is_late(message));
-        let late: Vec<MessageId> = late.map(|(id, _)| *id).collect();
-        for message in late {
+        let slack = self.limits.deadline_slack;
+        let is_overdue = |message: &Message| message.is_pending() && now >= message.deadline + slack;
+        let overdue = self.messages.iter().filter(|(_, message)| is_overdue(message));
+        let overdue: Vec<MessageId> = overdue.map(|(id, _)| *id).collect();
+        for message in overdue {
             self.report_overdue(message);
         }
     }
 
     fn class(&self, class: ClassId) -> ClassRules {
         let unknown = ClassRules { effect: Effect::Safe, in_order: false };
-        self.figures.classes.get(usize::from(class.0)).copied().unwrap_or(unknown)
+        self.limits.classes.get(usize::from(class.0)).copied().unwrap_or(unknown)
     }
 
     fn class_of(&self, message: MessageId) -> ClassRules {
@@ -140,29 +145,29 @@
         self.class(class)
     }
 
-    /// Whether the rules hold for a message: they do not once its client gave it up.
-    fn matters(&self, message: MessageId) -> bool {
-        self.messages.get(&message).is_some_and(|m| m.standing != Standing::Void || m.refused)
+    /// Whether the rules apply to a message. They do not if its enqueue request failed or timed out.
+    fn is_checked(&self, message: MessageId) -> bool {
+        self.messages.get(&message).is_some_and(|m| m.status != EnqueueStatus::Void || m.rejected)
     }
 
-    /// Counts a breach, and keeps it with the trace lines of its message and any others that show it.
-    fn report_breach(
+    /// Counts a violation, and keeps it with the evidence of its message and the given additional entries.
+    fn report_violation(
         &mut self,
         rule: Rule,
         courier: CourierId,
         message: Option<MessageId>,
-        what: String,
-        more_proof: impl IntoIterator<Item = Entry>,
+        description: String,
+        more_evidence: impl IntoIterator<Item = Entry>,
     ) {
-        *self.counts.entry(rule).or_default() += 1;
-        if self.breaches.len() >= MOST_BREACHES {
+        *self.violation_counts.entry(rule).or_default() += 1;
+        if self.violations.len() >= MAX_VIOLATIONS {
             return;
         }
         let of_message = message.and_then(|message| self.messages.get(&message));
-        let mut proof: Vec<Entry> = of_message.map(|m| m.proof.clone()).unwrap_or_default();
-        proof.extend(more_proof);
-        proof.sort_by_key(|entry| entry.at);
-        proof.dedup();
-        self.breaches.push(Breach { at: self.now, rule, courier, message, what, proof });
+        let mut evidence: Vec<Entry> = of_message.map(|m| m.evidence.clone()).unwrap_or_default();
+        evidence.extend(more_evidence);
+        evidence.sort_by_key(|entry| entry.at);
+        evidence.dedup();
+        self.violations.push(Violation { at: self.now, rule, courier, message, description, evidence });
     }
 }
--- a/crates/gullcart-judge/src/judge/clients.rs
+++ b/crates/gullcart-judge/src/judge/clients.rs
@@ -1,130 +1,135 @@
-//! What clients are told: the answers to their requests, and the notices that end their messages.
+//! What clients learn: the replies to their enqueue requests, and the notices that end their messages.
 
 use super::state::Check;
 use super::Judge;
-use crate::figures::Effect;
-use crate::message::{Message, Noticed, Standing};
+use crate::limits::Effect;
+use crate::message::{EnqueueStatus, Message, NoticeRecord};
 use crate::rule::Rule;
 use crate::trace::*;
 use std::time::Duration;
 
-/// A message is remembered for so long after its deadline: an end that is told once more, or a call that comes too
-/// late, is known for what it is.
-pub(super) const REMEMBERED: Duration = Duration::from_secs(10);
+/// How long after its deadline a message is remembered, so that a repeated notice or a late call is recognized.
+pub(super) const RETENTION: Duration = Duration::from_secs(10);
 
 impl Judge {
-    /// A client hands a message in.
-    pub(super) fn handed_in(&mut self, entry: Entry) {
-        let Event::HandIn { message, courier, class, key, partner, deadline } = entry.event else { return };
-        let handed_in = Message {
+    /// Handles an enqueue request.
+    pub(super) fn enqueue_sent(&mut self, entry: Entry) {
+        let Event::EnqueueSent { message, courier, class, key, partner, deadline } = entry.event else {
+            return;
+        };
+        let enqueued = Message {
             courier,
             class,
             key,
             partner,
             deadline,
-            standing: Standing::Asked,
-            refused: false,
-            delivered: None,
-            noticed: None,
-            maybe_ran: None,
-            out: Vec::new(),
-            hopeless: None,
+            status: EnqueueStatus::Unanswered,
+            rejected: false,
+            delivered_at: None,
+            first_notice: None,
+            first_possible_run: None,
+            calls_in_flight: Vec::new(),
+            undeliverable_since: None,
             is_reported: false,
-            proof: vec![entry],
+            evidence: vec![entry],
         };
-        self.messages.insert(message, handed_in);
+        self.messages.insert(message, enqueued);
         if let Some(key) = key.filter(|_| self.class(class).in_order) {
             self.keys.entry((courier, key)).or_default().queue.push_back(message);
         }
-        self.checks.insert((deadline + self.figures.end_slack, Check::Overdue, message));
-        self.checks.insert((deadline + REMEMBERED, Check::Forget, message));
+        self.checks.insert((deadline + self.limits.deadline_slack, Check::Overdue, message));
+        self.checks.insert((deadline + RETENTION, Check::Forget, message));
     }
 
-    /// A client gets the answer to its request, or gives up on it.
-    pub(super) fn answered(&mut self, entry: Entry, message: MessageId, told: Told) {
+    /// Handles the reply to an enqueue request, or the failure to get one.
+    pub(super) fn enqueue_answered(&mut self, entry: Entry, message: MessageId, outcome: EnqueueOutcome) {
         let Some(m) = self.messages.get_mut(&message) else { return };
-        m.note(entry);
+        m.record(entry);
         let courier = m.courier;
-        if m.standing != Standing::Asked {
+        if m.status != EnqueueStatus::Unanswered {
             return;
         }
-        m.standing = if told == Told::Taken { Standing::Taken } else { Standing::Void };
-        m.refused = matches!(told, Told::Busy(_));
+        m.status =
+            if outcome == EnqueueOutcome::Accepted { EnqueueStatus::Accepted } else { EnqueueStatus::Void };
+        m.rejected = matches!(outcome, EnqueueOutcome::Busy(_));
         let may_have_run = m.may_have_run();
-        match told {
-            Told::Busy(_) if may_have_run && self.class_of(message).effect == Effect::Unsafe => {
-                let what = "refused, though a call for it may have run".to_owned();
-                self.report_breach(Rule::Twice, courier, Some(message), what, []);
+        match outcome {
+            EnqueueOutcome::Busy(_) if may_have_run && self.class_of(message).effect == Effect::Unsafe => {
+                let description = "rejected, though a call for it may have run".to_owned();
+                self.report_violation(Rule::Twice, courier, Some(message), description, []);
             }
-            Told::Cut => {
-                let what =
-                    "its connection was ended without an answer after the request was written".to_owned();
-                self.report_breach(Rule::Lost, courier, Some(message), what, []);
+            EnqueueOutcome::ConnectionLost => {
+                let description =
+                    "the connection was closed without a reply after the enqueue request was written"
+                        .to_owned();
+                self.report_violation(Rule::Lost, courier, Some(message), description, []);
             }
             _ => {}
         }
     }
 
-    /// A courier tells the end of a message.
+    /// Handles a notice, with which a courier reports the final result of a message.
     pub(super) fn notice(
         &mut self,
         entry: Entry,
         message: Option<MessageId>,
         courier: CourierId,
-        ended: Ended,
+        verdict: Verdict,
     ) {
         let Some(id) = message else {
-            let what = "a notice for a message that nobody handed in".to_owned();
-            return self.report_breach(Rule::FinalAnswer, courier, None, what, [entry]);
+            let description = "a notice for a message that no client enqueued".to_owned();
+            return self.report_violation(Rule::FinalAnswer, courier, None, description, [entry]);
         };
         let effect = self.class_of(id).effect;
-        let matters = self.matters(id);
+        let is_checked = self.is_checked(id);
         let Some(m) = self.messages.get_mut(&id) else { return };
-        m.note(entry);
-        let first = m.noticed;
+        m.record(entry);
+        let first = m.first_notice;
         if first.is_none() {
-            m.noticed = Some(Noticed { ended, at: entry.at, answered: None });
+            m.first_notice = Some(NoticeRecord { verdict, received_at: entry.at, answered_at: None });
         }
         let may_have_run = m.may_have_run();
-        if !matters {
+        if !is_checked {
             return;
         }
         if let Some(first) = first {
-            self.check_repeated_notice(entry, id, courier, first, ended);
-        } else if matches!(ended, Ended::Returned(_)) && may_have_run && effect == Effect::Unsafe {
-            let what = "handed back, though a call for it may have run".to_owned();
-            self.report_breach(Rule::Twice, courier, Some(id), what, []);
+            self.check_repeated_notice(entry, id, courier, first, verdict);
+        } else if matches!(verdict, Verdict::Returned(_)) && may_have_run && effect == Effect::Unsafe {
+            let description = "returned, though a call for it may have run".to_owned();
+            self.report_violation(Rule::Twice, courier, Some(id), description, []);
         }
     }
 
-    /// A notice may come again if its answer may not have arrived, as when discovery moves, or after a restart; it
-    /// tells the same end then.
+    /// Checks a repeated notice. A notice may be repeated with the same verdict if its answer may not have reached the
+    /// courier, as when discovery moves, or if the courier has restarted since.
     fn check_repeated_notice(
         &mut self,
         entry: Entry,
         id: MessageId,
         courier: CourierId,
-        first: Noticed,
-        ended: Ended,
+        first: NoticeRecord,
+        verdict: Verdict,
     ) {
-        let restarted = self.couriers.get(&courier).map_or(At(0), |courier| courier.started);
-        let slack = self.figures.at_once;
-        let is_needless = first.answered.is_some_and(|at| at + slack < entry.at && restarted <= at);
-        if !first.ended.is_like(ended) {
-            let what = format!("ended as {ended:?} after it was ended as {:?}", first.ended);
-            self.report_breach(Rule::FinalAnswer, courier, Some(id), what, []);
+        let started_at = self.couriers.get(&courier).map_or(Timestamp(0), |courier| courier.started_at);
+        let max_delay = self.limits.max_notice_delay;
+        let is_needless = first
+            .answered_at
+            .is_some_and(|answered_at| answered_at + max_delay < entry.at && started_at <= answered_at);
+        if !first.verdict.has_same_kind(verdict) {
+            let description = format!("ended as {verdict:?} after it was ended as {:?}", first.verdict);
+            self.report_violation(Rule::FinalAnswer, courier, Some(id), description, []);
         } else if is_needless {
-            let what = "its end was told again after the notice was answered".to_owned();
-            self.report_breach(Rule::FinalAnswer, courier, Some(id), what, []);
+            let description = "its notice was sent again after it had been answered".to_owned();
+            self.report_violation(Rule::FinalAnswer, courier, Some(id), description, []);
         }
     }
 
-    /// A notice was answered: its courier need not tell it again.
+    /// Handles the answer to a notice, after which the courier need not repeat it.
     pub(super) fn notice_answered(&mut self, entry: Entry, message: MessageId) {
         let Some(m) = self.messages.get_mut(&message) else { return };
-        m.note(entry);
-        if let Some(noticed) = &mut m.noticed {
-            noticed.answered.get_or_insert(entry.at);
+        m.record(entry);
+        if let Some(notice) = &mut m.first_notice {
+            notice.answered_at.get_or_insert(entry.at);
         }
     }
 }
--- a/crates/gullcart-judge/src/judge/deadlines.rs
+++ b/crates/gullcart-judge/src/judge/deadlines.rs
@@ -1,86 +1,89 @@
-//! Checks that are due later: messages whose time is up, and when they are forgotten.
+//! Scheduled checks: overdue messages, late failure notices, concurrent calls, and when a message is forgotten.
 
-use super::clients::REMEMBERED;
+use super::clients::RETENTION;
 use super::state::Check;
 use super::Judge;
 use crate::rule::Rule;
 use crate::trace::*;
 
 impl Judge {
-    /// Runs a check whose time has come.
-    pub(super) fn run_check(&mut self, at: At, check: Check, message: MessageId) {
+    /// Runs a check that is due.
+    pub(super) fn run_check(&mut self, at: Timestamp, check: Check, message: MessageId) {
         match check {
-            Check::Forget => self.forget_if_settled(at, message),
-            Check::SideBySide(older) => self.check_side_by_side(older, message),
-            Check::Overdue | Check::KeptBack => self.check_end(at, check, message),
+            Check::Forget => self.forget_unless_pending(at, message),
+            Check::ConcurrentCalls(older) => self.check_concurrent_calls(older, message),
+            Check::Overdue | Check::LateFailureNotice => self.check_end(at, check, message),
         }
     }
 
-    fn forget_if_settled(&mut self, at: At, message: MessageId) {
+    /// Drops a message from memory; one that is pending and not yet reported is kept for another retention time.
+    fn forget_unless_pending(&mut self, at: Timestamp, message: MessageId) {
         let Some(m) = self.messages.get(&message) else { return };
-        if m.is_owed() && !m.is_reported {
-            self.checks.insert((at + REMEMBERED, Check::Forget, message));
+        if m.is_pending() && !m.is_reported {
+            self.checks.insert((at + RETENTION, Check::Forget, message));
         } else {
             self.forget(message);
         }
     }
 
-    /// The earlier of two calls for one message should have had its outcome by now.
-    fn check_side_by_side(&mut self, older: CallId, message: MessageId) {
+    /// Checks that the older of two calls for one message has ended, unless the newer one has.
+    fn check_concurrent_calls(&mut self, older: CallId, message: MessageId) {
         let Some(m) = self.messages.get(&message) else { return };
-        if m.out.contains(&older) && m.out.len() > 1 {
-            let (courier, what) = (m.courier, format!("sent again while {older} was still out"));
-            self.report_breach(Rule::Twice, courier, Some(message), what, []);
+        if m.calls_in_flight.contains(&older) && m.calls_in_flight.len() > 1 {
+            let courier = m.courier;
+            let description = format!("sent again while {older} was still in flight");
+            self.report_violation(Rule::Twice, courier, Some(message), description, []);
         }
     }
 
-    /// The end of a message is due, unless its courier is away or has only just come back.
-    fn check_end(&mut self, at: At, check: Check, message: MessageId) {
+    /// Checks that a message has its final result. The check is postponed while the courier is unavailable and for a
+    /// short time after it became ready.
+    fn check_end(&mut self, at: Timestamp, check: Check, message: MessageId) {
         let Some(m) = self.messages.get(&message) else { return };
         let excused_until = match self.couriers.get_mut(&m.courier) {
             Some(state) if state.away => {
-                state.waiting.push((check, message));
+                state.postponed_checks.push((check, message));
                 return;
             }
-            // Clients come once it is ready; before its first start nothing is owed.
-            Some(state) if state.ready > At(0) => state.ready + self.figures.ready_slack,
-            _ => At(0),
+            // Clients send nothing before a courier is first ready, so a courier that never was has nothing pending.
+            Some(state) if state.ready_at > Timestamp(0) => state.ready_at + self.limits.ready_slack,
+            _ => Timestamp(0),
         };
         if at < excused_until {
             self.checks.insert((excused_until, check, message));
         } else if check == Check::Overdue {
             self.report_overdue(message);
         } else {
-            self.report_kept_back(message);
+            self.report_late_failure_notice(message);
         }
     }
 
-    /// Reports a message that has no end after its deadline, once.
+    /// Reports, once, a message without a final result after its deadline.
     pub(super) fn report_overdue(&mut self, message: MessageId) {
-        let owed = self.messages.get_mut(&message).filter(|m| m.is_owed() && !m.is_reported);
-        let Some(m) = owed else { return };
+        let pending = self.messages.get_mut(&message).filter(|m| m.is_pending() && !m.is_reported);
+        let Some(m) = pending else { return };
         m.is_reported = true;
-        let (courier, deadline) = (m.courier, m.deadline);
-        let what =
-            format!("neither delivered nor ended by a notice {:?} after its time", self.now - deadline);
-        self.report_breach(Rule::Lost, courier, Some(message), what, []);
+        let courier = m.courier;
+        let overdue = self.now - m.deadline;
+        let description = format!("neither delivered nor ended by a notice {overdue:?} after its deadline");
+        self.report_violation(Rule::Lost, courier, Some(message), description, []);
     }
 
-    /// Reports a message whose failure was not told at once, once.
-    fn report_kept_back(&mut self, message: MessageId) {
-        let owed = self.messages.get_mut(&message).filter(|m| m.is_owed() && !m.is_reported);
-        let Some(m) = owed else { return };
-        let Some(since) = m.hopeless else { return };
+    /// Reports, once, an undeliverable message whose failure notice was not sent in time.
+    fn report_late_failure_notice(&mut self, message: MessageId) {
+        let pending = self.messages.get_mut(&message).filter(|m| m.is_pending() && !m.is_reported);
+        let Some(m) = pending else { return };
+        let Some(since) = m.undeliverable_since else { return };
         m.is_reported = true;
         let courier = m.courier;
-        let what =
-            format!("its failure was not told {:?} after nothing could be done for it", self.now - since);
-        self.report_breach(Rule::FinalAnswer, courier, Some(message), what, []);
+        let description =
+            format!("its failure was not reported {:?} after it became undeliverable", self.now - since);
+        self.report_violation(Rule::FinalAnswer, courier, Some(message), description, []);
     }
 
     fn forget(&mut self, message: MessageId) {
         let Some(m) = self.messages.remove(&message) else { return };
-        for call in &m.out {
+        for call in &m.calls_in_flight {
             self.calls.remove(call);
         }
         let Some(key) = m.key.map(|key| (m.courier, key)) else { return };
--- a/crates/gullcart-judge/src/judge/partners.rs
+++ b/crates/gullcart-judge/src/judge/partners.rs
@@ -1,33 +1,34 @@
-//! What couriers owe partners: they heed a told wait, leave endpoints that drain, and spare a partner in slow start.
+//! Checks that couriers respect the state of partners: retry-after times, draining endpoints and slow starts.
 
 use super::state::{Outage, RetryAfter};
 use super::Judge;
-use crate::cold::{Cold, Fall};
 use crate::rule::Rule;
+use crate::slow_start::{Collapse, SlowStart};
 use crate::trace::*;
 use std::time::Duration;
 
-/// Waits are told in whole milliseconds.
-const WAIT_ROUNDING: Duration = Duration::from_millis(1);
-/// A partner that is pushed over is held against couriers where at least this share of the calls came from those that
-/// saw its outage.
-const KNOWING_SHARE: f64 = 2.0 / 3.0;
+/// Retry-after times are given in whole milliseconds.
+const RETRY_AFTER_ROUNDING: Duration = Duration::from_millis(1);
+/// The collapse of a partner is a violation if at least this share of the calls came from couriers that had seen its
+/// outage.
+const MIN_INFORMED_SHARE: f64 = 2.0 / 3.0;
 
 impl Judge {
-    /// A partner refuses a call and tells how long to wait.
-    pub(super) fn told_to_wait(
+    /// Records the retry-after time of a rejected call.
+    pub(super) fn retry_after_received(
         &mut self,
         entry: Entry,
         courier: CourierId,
         partner: PartnerId,
-        wait_ms: u64,
+        retry_after_ms: u64,
     ) {
-        let until = entry.at + Duration::from_millis(wait_ms);
-        let wait = RetryAfter { told: entry.at, until, entry };
-        self.waits.entry((courier, partner)).or_default().push(wait);
+        let until = entry.at + Duration::from_millis(retry_after_ms);
+        let retry_after = RetryAfter { received_at: entry.at, until, entry };
+        self.retry_after.entry((courier, partner)).or_default().push(retry_after);
     }
 
-    /// No call goes to a partner during a wait that it told, but for those that crossed it on the way.
+    /// Checks that a call respects the partner's retry-after times. Calls shortly after such an answer are tolerated,
+    /// as they may have been sent before it arrived.
     pub(super) fn check_retry_after(
         &mut self,
         entry: Entry,
@@ -36,64 +37,81 @@
         partner: PartnerId,
     ) {
         let now = entry.at;
-        let Some(waits) = self.waits.get_mut(&(courier, partner)) else { return };
+        let Some(waits) = self.retry_after.get_mut(&(courier, partner)) else { return };
         waits.retain(|wait| wait.until > now);
-        let crossing = self.figures.wait_crossing;
-        let is_broken = |wait: &&RetryAfter| now > wait.told + crossing && now + WAIT_ROUNDING < wait.until;
-        if let Some(wait) = waits.iter().find(is_broken) {
-            let (told, since, left) = (wait.entry, now - wait.told, wait.until - now);
-            let what = format!("sent to {partner} {since:?} into a told wait, {left:?} before its end");
-            self.report_breach(Rule::Waits, courier, Some(id), what, [told, entry]);
+        let grace = self.limits.retry_after_grace;
+        let is_violated =
+            |wait: &&RetryAfter| now > wait.received_at + grace && now + RETRY_AFTER_ROUNDING < wait.until;
+        if let Some(wait) = waits.iter().find(is_violated) {
+            let answer = wait.entry;
+            let elapsed = now - wait.received_at;
+            let remaining = wait.until - now;
+            let description =
+                format!("sent to {partner} {elapsed:?} after a retry-after answer, {remaining:?} too early");
+            self.report_violation(Rule::Waits, courier, Some(id), description, [answer, entry]);
         }
     }
 
-    /// A courier was told the state of an endpoint.
-    pub(super) fn listed(&mut self, entry: Entry, courier: CourierId, endpoint: EndpointId, state: State) {
-        if state == State::Serving {
+    /// Records an endpoint's state that was sent to a courier.
+    pub(super) fn listing_updated(
+        &mut self,
+        entry: Entry,
+        courier: CourierId,
+        endpoint: EndpointId,
+        state: EndpointState,
+    ) {
+        if state == EndpointState::Serving {
             self.drains.remove(&(courier, endpoint));
         } else {
-            // Gone after draining was told earlier.
+            // The grace period starts with the first report, so the removal of a draining endpoint does not restart it.
             self.drains.entry((courier, endpoint)).or_insert(entry);
         }
     }
 
-    /// No call begins at an endpoint whose drain was told a while ago.
+    /// Checks that a call does not start at an endpoint whose drain was reported longer ago than the grace period.
     pub(super) fn check_drain(
         &mut self,
         entry: Entry,
         id: MessageId,
         courier: CourierId,
         endpoint: EndpointId,
-        first_byte: At,
+        first_byte: Timestamp,
     ) {
-        let Some(told) = self.drains.get(&(courier, endpoint)).copied() else { return };
-        if first_byte > told.at + self.figures.drain_grace + self.figures.socket_slack {
-            let what = format!("sent to {endpoint} {:?} after its drain was told", first_byte - told.at);
-            self.report_breach(Rule::Drains, courier, Some(id), what, [told, entry]);
+        let Some(drain) = self.drains.get(&(courier, endpoint)).copied() else { return };
+        if first_byte > drain.at + self.limits.drain_grace + self.limits.socket_slack {
+            let description =
+                format!("sent to {endpoint} {:?} after its drain was reported", first_byte - drain.at);
+            self.report_violation(Rule::Drains, courier, Some(id), description, [drain, entry]);
         }
     }
 
-    /// A partner goes out.
+    /// Records the start of an outage.
     pub(super) fn outage_began(&mut self, entry: Entry, partner: PartnerId) {
         self.outages.insert(partner, Outage::new(entry));
     }
 
-    /// A partner is back with a part of its capacity, which grows until it is warm.
+    /// Records the end of an outage, with which the slow start begins.
     pub(super) fn outage_ended(
         &mut self,
         entry: Entry,
         partner: PartnerId,
         capacity: f64,
-        cold_from: f64,
-        warm: At,
+        cold_capacity_share: f64,
+        warm_at: Timestamp,
     ) {
         let Some(outage) = self.outages.get_mut(&partner) else { return };
-        let (multiple, window) = (self.figures.fall_multiple, self.figures.fall_window);
-        outage.slow_start = Some(Cold::new(entry.at, warm, capacity, cold_from, multiple, window));
-        outage.note(entry);
+        outage.slow_start = Some(SlowStart::new(
+            entry.at,
+            warm_at,
+            capacity,
+            cold_capacity_share,
+            self.limits.collapse_multiple,
+            self.limits.collapse_window,
+        ));
+        outage.record(entry);
     }
 
-    /// Calls do not push a partner over that has just come back.
+    /// Checks that a call does not overload a partner in slow start.
     pub(super) fn check_slow_start(
         &mut self,
         entry: Entry,
@@ -102,33 +120,37 @@
         partner: PartnerId,
     ) {
         let Some(outage) = self.outages.get_mut(&partner) else { return };
-        outage.note(entry);
-        let has_seen = outage.seen.contains(&courier);
+        outage.record(entry);
+        let courier_saw_outage = outage.informed_couriers.contains(&courier);
         let Some(slow_start) = &mut outage.slow_start else { return };
         if slow_start.is_warm(entry.at) {
             self.outages.remove(&partner);
             return;
         }
-        let Some(Fall { calls, allowed, seen }) = slow_start.call(entry.at, has_seen) else { return };
-        // It falls once, whoever pushed it.
-        let proof = self.outages.remove(&partner).map(|outage| outage.proof).unwrap_or_default();
-        if seen >= KNOWING_SHARE {
-            let window = self.figures.fall_window;
-            let what = format!(
-                "{partner} was pushed over: {calls} calls in {window:?} where {allowed:.1} were allowed, {:.0} % of \
-                 them from couriers that saw the outage",
-                seen * 100.0
+        let Some(Collapse { calls, max_calls, informed_share }) =
+            slow_start.record_call(entry.at, courier_saw_outage)
+        else {
+            return;
+        };
+        // A partner collapses at most once in a slow start, whichever couriers caused it.
+        let evidence = self.outages.remove(&partner).map(|outage| outage.evidence).unwrap_or_default();
+        if informed_share >= MIN_INFORMED_SHARE {
+            let window = self.limits.collapse_window;
+            let description = format!(
+                "{partner} was overloaded in slow start: {calls} calls in {window:?} where {max_calls:.1} were \
+                 allowed, {:.0} % of them from couriers that saw the outage",
+                informed_share * 100.0
             );
-            self.report_breach(Rule::Returning, courier, Some(id), what, proof);
+            self.report_violation(Rule::Returning, courier, Some(id), description, evidence);
         }
     }
 
-    /// A courier's call failed: if its partner is out, the courier knows of the outage from now on.
-    pub(super) fn saw_failure(&mut self, courier: CourierId, partner: PartnerId, entry: Entry) {
+    /// Records that a courier saw a call fail. If the partner is out, the courier knows of the outage from now on.
+    pub(super) fn failure_seen(&mut self, courier: CourierId, partner: PartnerId, entry: Entry) {
         let outage = self.outages.get_mut(&partner).filter(|outage| outage.slow_start.is_none());
         if let Some(outage) = outage {
-            if outage.seen.insert(courier) {
-                outage.note(entry);
+            if outage.informed_couriers.insert(courier) {
+                outage.record(entry);
             }
         }
     }
--- a/crates/gullcart-judge/src/judge/processes.rs
+++ b/crates/gullcart-judge/src/judge/processes.rs
@@ -1,77 +1,81 @@
-//! Couriers' processes: what is excused while one is away, and what a lost folder takes with it.
+//! Events of couriers' processes: checks that are excused while a process is unavailable, and state that is lost with
+//! a courier's folder.
 
 use super::Judge;
-use crate::message::Standing;
+use crate::message::EnqueueStatus;
 use crate::rule::Rule;
 use crate::trace::*;
 
 impl Judge {
-    /// Something happens to a courier's process.
-    pub(super) fn process(&mut self, entry: Entry, courier: CourierId, what: Process) {
+    /// Handles a change in the life cycle of a courier's process.
+    pub(super) fn process_changed(&mut self, entry: Entry, courier: CourierId, change: ProcessEvent) {
         let state = self.couriers.entry(courier).or_default();
-        match what {
-            Process::Started => state.started = entry.at,
-            Process::Terminated => state.away = true,
-            Process::Ready => self.is_back(courier, entry.at),
-            Process::Ended => self.process_ended(courier),
-            Process::Crashed => {
+        match change {
+            ProcessEvent::Started => state.started_at = entry.at,
+            ProcessEvent::Terminated => state.away = true,
+            ProcessEvent::Ready => self.courier_available(courier, entry.at),
+            ProcessEvent::Ended => self.process_ended(courier),
+            ProcessEvent::Crashed => {
                 self.process_ended(courier);
-                let what = "its process ended without being told to".to_owned();
-                self.report_breach(Rule::Crash, courier, None, what, [entry]);
+                let description = "its process ended without being told to".to_owned();
+                self.report_violation(Rule::Crash, courier, None, description, [entry]);
             }
-            Process::Suspended => (state.away, state.stopped) = (true, entry.at),
-            Process::Resumed => {
-                self.is_back(courier, entry.at);
-                self.told_nothing_while_stopped(courier, entry.at);
+            ProcessEvent::Suspended => {
+                state.away = true;
+                state.suspended_at = entry.at;
             }
-            Process::FolderLost => self.folder_lost(courier),
+            ProcessEvent::Resumed => {
+                self.courier_available(courier, entry.at);
+                self.delay_input_until_resumed(courier, entry.at);
+            }
+            ProcessEvent::FolderLost => self.folder_lost(courier),
         }
     }
 
-    /// A courier is ready: the checks that waited for it are due soon.
-    fn is_back(&mut self, courier: CourierId, now: At) {
+    /// Marks a courier as available and schedules the checks that were postponed meanwhile.
+    fn courier_available(&mut self, courier: CourierId, now: Timestamp) {
         let state = self.couriers.entry(courier).or_default();
         state.away = false;
-        state.ready = now;
-        for (check, message) in std::mem::take(&mut state.waiting) {
-            self.checks.insert((now + self.figures.ready_slack, check, message));
+        state.ready_at = now;
+        for (check, message) in std::mem::take(&mut state.postponed_checks) {
+            self.checks.insert((now + self.limits.ready_slack, check, message));
         }
     }
 
-    /// A process has ended. A restart ends the waits that it was told.
+    /// Handles the end of a process. Retry-after times do not survive a restart.
     fn process_ended(&mut self, courier: CourierId) {
         self.couriers.entry(courier).or_default().away = true;
-        self.waits.retain(|(who, _), _| *who != courier);
+        self.retry_after.retain(|(waiting, _), _| *waiting != courier);
     }
 
-    /// What a courier was told while its process was stopped counts as told when it goes on.
-    fn told_nothing_while_stopped(&mut self, courier: CourierId, resumed: At) {
-        let stopped = self.couriers.get(&courier).map_or(At(0), |state| state.stopped);
-        let its_waits = self.waits.iter_mut().filter(|((who, _), _)| *who == courier);
-        for wait in its_waits.flat_map(|(_, waits)| waits) {
-            if wait.told >= stopped {
-                wait.told = resumed;
+    /// Treats retry-after times and drains that were sent to a paused process as received when it resumed.
+    fn delay_input_until_resumed(&mut self, courier: CourierId, resumed_at: Timestamp) {
+        let suspended_at = self.couriers.get(&courier).map_or(Timestamp(0), |state| state.suspended_at);
+        let its_waits = self.retry_after.iter_mut().filter(|((waiting, _), _)| *waiting == courier);
+        for retry_after in its_waits.flat_map(|(_, waits)| waits) {
+            if retry_after.received_at >= suspended_at {
+                retry_after.received_at = resumed_at;
             }
         }
-        let its_drains = self.drains.iter_mut().filter(|((who, _), _)| *who == courier);
-        for (_, told) in its_drains {
-            if told.at >= stopped {
-                told.at = resumed;
+        let its_drains = self.drains.iter_mut().filter(|((notified, _), _)| *notified == courier);
+        for (_, listing) in its_drains {
+            if listing.at >= suspended_at {
+                listing.at = resumed_at;
             }
         }
     }
 
-    /// A courier's folder is lost with its machine: it owes nothing any more, and knows nothing.
+    /// Drops what a courier had to do and knew, as its folder was lost together with its machine.
     fn folder_lost(&mut self, courier: CourierId) {
-        self.couriers.entry(courier).or_default().waiting.clear();
-        for m in self.messages.values_mut().filter(|m| m.courier == courier && !m.is_over()) {
-            m.standing = Standing::Void;
-            m.refused = false;
+        self.couriers.entry(courier).or_default().postponed_checks.clear();
+        for m in self.messages.values_mut().filter(|m| m.courier == courier && !m.is_final()) {
+            m.status = EnqueueStatus::Void;
+            m.rejected = false;
         }
-        self.keys.retain(|(who, _), _| *who != courier);
-        self.drains.retain(|(who, _), _| *who != courier);
+        self.keys.retain(|(owner, _), _| *owner != courier);
+        self.drains.retain(|(notified, _), _| *notified != courier);
         for outage in self.outages.values_mut() {
-            outage.seen.remove(&courier);
+            outage.informed_couriers.remove(&courier);
         }
     }
 }
--- a/crates/gullcart-judge/src/judge/state.rs
+++ b/crates/gullcart-judge/src/judge/state.rs
@@ -1,56 +1,56 @@
-//! What the judge remembers of couriers, calls, order keys and partners.
+//! The state that the judge keeps for couriers, calls, order keys and partners.
 
-use crate::cold::Cold;
+use crate::slow_start::SlowStart;
 use crate::trace::*;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Trace lines of a partner in slow start that a breach shows.
-const SLOW_START_PROOF: usize = 16;
-/// The first lines of these, which are never dropped: the beginning of the outage and a failure seen.
-const FIRST_PROOF: usize = 2;
+/// Maximum number of trace entries kept for an outage and its slow start.
+const MAX_OUTAGE_EVIDENCE: usize = 16;
+/// The first of these entries are never dropped: the start of the outage, and the first failure seen.
+const PINNED_OUTAGE_EVIDENCE: usize = 2;
 
-/// A courier's process.
+/// The process of a courier.
 #[derive(Default)]
 pub(super) struct Courier {
-    /// From SIGTERM or its end until it is ready again.
+    /// Whether the process is unavailable: paused, or between SIGTERM or its end and the time when it is ready again.
     pub away: bool,
-    /// When it became ready last.
-    pub ready: At,
-    /// When its process was stopped last.
-    pub stopped: At,
-    /// A new process tells what it finds in its journal before it is ready.
-    pub started: At,
-    /// Checks that wait until it is ready.
-    pub waiting: Vec<(Check, MessageId)>,
+    /// When it last became ready.
+    pub ready_at: Timestamp,
+    /// When it was last paused.
+    pub suspended_at: Timestamp,
+    /// When it was last started. A new process sends the notices found in its journal before it is ready.
+    pub started_at: Timestamp,
+    /// Checks that are postponed until the courier is ready.
+    pub postponed_checks: Vec<(Check, MessageId)>,
 }
 
-/// Something to look at when its time comes.
+/// A check that is due at a later time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Check {
-    /// The deadline of a message has passed.
+    /// The deadline of the message has passed: it must be delivered or ended by a notice.
     Overdue,
-    /// A message that cannot be delivered any more should have been ended by now.
-    KeptBack,
-    /// Two calls for one message were open a moment ago; this is the earlier one.
-    SideBySide(CallId),
-    /// A message may be forgotten.
+    /// The message became undeliverable: its failure notice must have been sent.
+    LateFailureNotice,
+    /// A second call for the message began while this one was in flight: one of them must have ended.
+    ConcurrentCalls(CallId),
+    /// The message may be dropped from memory.
     Forget,
 }
 
 /// A call without an outcome yet.
 pub(super) struct OpenCall {
-    /// None for a call whose message is unknown.
+    /// `None` for a call whose message is unknown.
     pub message: Option<MessageId>,
     pub courier: CourierId,
     pub partner: PartnerId,
     pub key: Option<OrderKey>,
-    pub begun: At,
+    pub began_at: Timestamp,
 }
 
-/// A call that its courier cut, and that may still run.
+/// A call whose connection was closed before a response, so that it may still be running.
 #[derive(Clone, Copy)]
-pub(super) struct CutCall {
-    pub at: At,
+pub(super) struct AbortedCall {
+    pub at: Timestamp,
     pub message: MessageId,
     pub entry: Entry,
 }
@@ -58,39 +58,39 @@
 /// The messages of one order key at one courier.
 #[derive(Default)]
 pub(super) struct KeyState {
-    /// Messages in the order in which they were handed in; those that are over leave from the front.
+    /// Messages in the order in which they were enqueued. Those that are final are removed from the front.
     pub queue: VecDeque<MessageId>,
-    /// The last call that was cut.
-    pub last_cut: Option<CutCall>,
+    /// The last aborted call.
+    pub last_aborted: Option<AbortedCall>,
 }
 
-/// A wait that a partner asked a courier for.
+/// A retry-after time that a partner gave to a courier.
 pub(super) struct RetryAfter {
-    pub told: At,
-    pub until: At,
+    pub received_at: Timestamp,
+    pub until: Timestamp,
     pub entry: Entry,
 }
 
-/// An outage of a partner, and its slow start after it.
+/// An outage of a partner, and the slow start that follows.
 pub(super) struct Outage {
-    /// Couriers that saw a failure during the outage.
-    pub seen: BTreeSet<CourierId>,
+    /// Couriers that saw a call fail during the outage.
+    pub informed_couriers: BTreeSet<CourierId>,
     /// The slow start, once the partner is back.
-    pub slow_start: Option<Cold>,
-    pub proof: VecDeque<Entry>,
+    pub slow_start: Option<SlowStart>,
+    pub evidence: VecDeque<Entry>,
 }
 
 impl Outage {
-    /// An outage that begins with this trace line.
+    /// An outage that begins with this trace entry.
     pub fn new(entry: Entry) -> Self {
-        Outage { seen: BTreeSet::new(), slow_start: None, proof: [entry].into() }
+        Outage { informed_couriers: BTreeSet::new(), slow_start: None, evidence: [entry].into() }
     }
 
-    /// Keeps the first lines and the last ones.
-    pub fn note(&mut self, entry: Entry) {
-        while self.proof.len() >= SLOW_START_PROOF {
-            self.proof.remove(FIRST_PROOF);
+    /// Adds an entry to the evidence. If that is full, the oldest entry that is not pinned is dropped.
+    pub fn record(&mut self, entry: Entry) {
+        while self.evidence.len() >= MAX_OUTAGE_EVIDENCE {
+            self.evidence.remove(PINNED_OUTAGE_EVIDENCE);
         }
-        self.proof.push_back(entry);
+        self.evidence.push_back(entry);
     }
 }
--- a/crates/gullcart-judge/src/lib.rs
+++ b/crates/gullcart-judge/src/lib.rs
@@ -1,21 +1,21 @@
-//! The judge of a rehearsal. It is fed a time-stamped [`trace`] of what couriers, partners, clients and the register
-//! did, and finds breaches of the six rules ([`Judge`]) and the service kept ([`Service`]).
+//! Checks a time-stamped [`trace`] of what couriers, partners, clients and discovery did: finds violations of the
+//! delivery rules ([`Judge`]) and measures the service delivered ([`ServiceMeter`]).
 //!
-//! Nothing here does I/O or reads a clock: time comes with each entry. Memory is bounded by what is under way, as
-//! what can matter no more is forgotten.
+//! Nothing here does I/O or reads a clock: each entry carries its time. Memory is bounded by the messages in progress,
+//! as state that can no longer affect a check is dropped.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod cold;
 pub mod duties;
-mod figures;
 mod judge;
+mod limits;
 mod message;
 mod rule;
 mod service;
+pub mod slow_start;
 pub mod trace;
 
-pub use figures::{ClassRules, Effect, Figures};
-pub use judge::{Judge, MOST_BREACHES};
-pub use rule::{Breach, Rule};
-pub use service::{Latency, Second, Service, ServiceFigures, Weights, Worth};
+pub use judge::{Judge, MAX_VIOLATIONS};
+pub use limits::{ClassRules, Effect, RuleLimits};
+pub use rule::{Rule, Violation};
+pub use service::{ClassWorth, LatencySummary, SecondTotals, ServiceMeter, ServiceScores, Weights};
--- a/crates/gullcart-judge/src/rule.rs
+++ b/crates/gullcart-judge/src/rule.rs
@@ -1,34 +1,34 @@
-//! The rules by name, and what a breach of one shows.
+//! The rules that a trace is checked against, and the report of a violation.
 
 use crate::trace::*;
 use serde::Serialize;
 
-/// What was broken.
+/// A rule that couriers have to keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
     /// No message is lost.
     Lost,
-    /// No effect happens twice.
+    /// No call takes effect twice.
     Twice,
-    /// Drains are kept.
+    /// No call starts at an endpoint that has been draining for longer than the grace period.
     Drains,
-    /// A returning partner is not pushed over.
+    /// A partner in slow start is not overloaded.
     Returning,
-    /// Order is kept.
+    /// Messages with one order key are delivered one at a time and in order.
     Order,
-    /// Waits are heeded.
+    /// A partner's retry-after time is respected.
     Waits,
-    /// One final answer, once, and at once.
+    /// A message has one final answer, reported once and without delay.
     FinalAnswer,
-    /// A message goes to its own partner, as it was handed in.
+    /// A message goes to its own partner, unchanged.
     Destination,
-    /// A courier ends only when it is told to.
+    /// A courier's process ends only when it is told to.
     Crash,
 }
 
 impl Rule {
-    /// All of them.
+    /// All rules, in the order of the enum.
     pub const ALL: [Rule; 9] = [
         Rule::Lost,
         Rule::Twice,
@@ -41,7 +41,7 @@
         Rule::Crash,
     ];
 
-    /// Its short name, as in reports.
+    /// The rule's name in reports and on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Rule::Lost => "lost",
@@ -56,48 +56,58 @@
         }
     }
 
-    /// The rule of a short name.
-    pub fn of(name: &str) -> Option<Rule> {
+    /// The rule with the given [`Rule::name`].
+    pub fn from_name(name: &str) -> Option<Rule> {
         Rule::ALL.into_iter().find(|rule| rule.name() == name)
     }
 
-    /// Its words.
-    pub fn words(self) -> &'static str {
+    /// The full statement of the rule, for reports.
+    pub fn description(self) -> &'static str {
         match self {
-            Rule::Lost => "What a courier has taken on is delivered or ended by a notice before its time is up.",
+            Rule::Lost => "A message that a courier accepted is delivered or ended by a notice before its deadline.",
             Rule::Twice => {
-                "A message that may have run is sent or handed back again only as far as its class permits, and its \
-                 attempts are never out side by side."
+                "A message that may have run is sent again or returned only as far as its class permits, and it has \
+                 at most one attempt in flight."
+            }
+            Rule::Drains => {
+                "No call starts at an endpoint once the grace period after the report of its drain has passed."
             }
-            Rule::Drains => "Nothing new goes to an endpoint once the grace after the telling of its drain is over.",
             Rule::Returning => {
-                "A partner that returns cold is not pushed over by couriers that saw calls fail there in the outage."
+                "A partner in slow start is not overloaded by couriers that saw calls to it fail during the outage."
             }
             Rule::Order => {
-                "Messages of one key go one at a time in the order they were taken, and the key rests after a call \
-                 that may still run."
+                "Messages with one order key are sent one at a time in the order of acceptance, and the key pauses \
+                 after a call that may still be running."
+            }
+            Rule::Waits => {
+                "A courier that received a retry-after time sends nothing to that partner until the time has passed."
+            }
+            Rule::FinalAnswer => {
+                "A message has one final answer, reported once, and without delay when the message is abandoned."
+            }
+            Rule::Destination => {
+                "A message goes to its own partner, unchanged, from the courier that accepted it."
             }
-            Rule::Waits => "A courier that was told to wait sends nothing to that partner until the wait is over.",
-            Rule::FinalAnswer => "A message has one final answer, told once, and at once when it is given up.",
-            Rule::Destination => "A message goes to its own partner, as it was handed in, from who took it on.",
             Rule::Crash => "A courier's process ends only when it is told to.",
         }
     }
 }
 
-/// A rule that was broken.
+/// A violation of a rule, with the trace entries that show it.
 #[derive(Clone, Debug, Serialize)]
-pub struct Breach {
-    /// When.
-    pub at: At,
-    /// Which.
+pub struct Violation {
+    /// When the violation was found.
+    pub at: Timestamp,
+    /// The violated rule.
     pub rule: Rule,
-    /// By whom.
+    /// The courier that violated the rule.
     pub courier: CourierId,
-    /// With which hand-in, where it is one.
+    /// The message concerned, if the violation is about a single one.
     pub message: Option<MessageId>,
-    /// What happened, with its figures.
-    pub what: String,
-    /// The trace lines that prove it, in the order of time.
-    pub proof: Vec<Entry>,
+    /// What happened, with the measured values.
+    #[serde(rename = "what")]
+    pub description: String,
+    /// The trace entries that show the violation, in time order.
+    #[serde(rename = "proof")]
+    pub evidence: Vec<Entry>,
 }
--- a/crates/gullcart-judge/src/service.rs
+++ b/crates/gullcart-judge/src/service.rs
@@ -1,31 +1,32 @@
-//! The service kept: the worth delivered over the worth asked for, and the time from intended send to delivery.
+//! Measures the service delivered: the worth of the delivered messages relative to that of all requested ones, and the
+//! latency from the intended send to the delivery.
 
-use crate::trace::At;
+use crate::trace::Timestamp;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::time::Duration;
 
-/// Length of the window whose worst counts.
-const WORST_WINDOW_S: usize = 10;
-/// Longest latency that is told apart, in milliseconds: ten minutes.
-const LONGEST_MS: u64 = 600_000;
+/// Length of the sliding window for the score of the worst window.
+const WORST_WINDOW_SECONDS: usize = 10;
+/// Latencies above ten minutes are recorded as ten minutes.
+const MAX_LATENCY_MS: u64 = 600_000;
 
-/// What a message of a class is worth.
+/// What a message of a class is worth, depending on its latency.
 #[derive(Clone, Copy, Debug)]
-pub struct Worth {
-    /// In full within the aim.
+pub struct ClassWorth {
+    /// Worth of a message that is delivered within `aim`.
     pub worth: f64,
-    /// Counted from the intended send.
+    /// Latency up to which a message has its full worth.
     pub aim: Duration,
-    /// When it is given up.
+    /// Latency from which on a message is worth nothing.
     pub deadline: Duration,
-    /// The share that is left just before the deadline; it falls evenly from the aim on.
+    /// Share of the worth that is left at the deadline. The worth falls linearly between `aim` and `deadline`.
     pub late_share: f64,
 }
 
-impl Worth {
-    /// What a delivery after so long is worth.
-    pub fn after(&self, latency: Duration) -> f64 {
+impl ClassWorth {
+    /// The worth of a delivery with the given latency from the intended send.
+    pub fn at_latency(&self, latency: Duration) -> f64 {
         if latency <= self.aim {
             return self.worth;
         }
@@ -37,143 +38,156 @@
     }
 }
 
-/// How the parts of the figure weigh; they are scaled to sum 1.
+/// The weights of the partial scores in the combined one; they are scaled to a sum of 1.
 #[derive(Clone, Copy, Debug)]
 pub struct Weights {
-    /// The whole run.
-    pub whole: f64,
-    /// The worst ten seconds.
+    /// Weight of the score of the whole run.
+    pub whole_run: f64,
+    /// Weight of the score of the worst ten seconds.
     pub worst_window: f64,
-    /// The worst-served class.
+    /// Weight of the score of the worst-served class.
     pub worst_class: f64,
 }
 
 impl Default for Weights {
     fn default() -> Self {
-        Weights { whole: 0.55, worst_window: 0.25, worst_class: 0.2 }
+        Weights { whole_run: 0.55, worst_window: 0.25, worst_class: 0.2 }
     }
 }
 
-/// The worth of the messages that were meant to be sent in one second.
+/// The worth of the messages whose intended send was in one second.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Second {
-    /// Asked for.
-    pub asked: f64,
-    /// Delivered, whenever that was.
-    pub served: f64,
+pub struct SecondTotals {
+    /// Worth of all these messages, each counted in full.
+    #[serde(rename = "asked")]
+    pub requested: f64,
+    /// Worth of their deliveries, whenever these happened.
+    #[serde(rename = "served")]
+    pub delivered: f64,
 }
 
-/// The figures of service, each from 0 to 1.
+/// The scores of a run: the share of the requested worth that was delivered, each from 0 to 1.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct ServiceFigures {
-    /// The mix of the others.
-    pub service: f64,
-    /// The whole run.
-    pub whole: f64,
-    /// The worst ten seconds.
+pub struct ServiceScores {
+    /// The weighted mean of the other scores.
+    #[serde(rename = "service")]
+    pub combined: f64,
+    /// The score of the whole run.
+    #[serde(rename = "whole")]
+    pub whole_run: f64,
+    /// The score of the worst ten seconds.
     pub worst_window: f64,
-    /// The worst class.
+    /// The score of the worst-served class.
     pub worst_class: f64,
 }
 
-/// Latencies in milliseconds from the intended send time.
+/// A summary of latencies, in milliseconds from the intended send.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Latency {
-    /// How many were delivered.
+pub struct LatencySummary {
+    /// Number of deliveries.
     pub count: u64,
-    /// Half of them within.
+    /// Median.
     pub p50: u64,
-    /// Nine in ten.
+    /// 90th percentile.
     pub p90: u64,
-    /// 99 in 100.
+    /// 99th percentile.
     pub p99: u64,
-    /// 999 in 1,000.
+    /// 99.9th percentile.
     pub p999: u64,
-    /// The longest.
+    /// Maximum.
     pub max: u64,
 }
 
-impl Latency {
+impl LatencySummary {
     fn of(histogram: &Histogram<u64>) -> Self {
         let at = |quantile| histogram.value_at_quantile(quantile);
-        let (p50, p90, p99, p999) = (at(0.5), at(0.9), at(0.99), at(0.999));
-        Latency { count: histogram.len(), p50, p90, p99, p999, max: histogram.max() }
+        LatencySummary {
+            count: histogram.len(),
+            p50: at(0.5),
+            p90: at(0.9),
+            p99: at(0.99),
+            p999: at(0.999),
+            max: histogram.max(),
+        }
     }
 }
 
-/// Counts the service of a run. A client's further tries belong to its first.
-pub struct Service {
-    classes: Vec<Worth>,
-    seconds: Vec<Second>,
-    of_class: Vec<Second>,
-    latency: Vec<Histogram<u64>>,
+/// Measures the service of a run. A client's retries count as part of its first request.
+pub struct ServiceMeter {
+    classes: Vec<ClassWorth>,
+    seconds: Vec<SecondTotals>,
+    /// Totals of the whole run, by class.
+    class_totals: Vec<SecondTotals>,
+    /// Latencies of deliveries in milliseconds, by class.
+    latencies: Vec<Histogram<u64>>,
 }
 
-impl Service {
-    /// For classes in the order of their numbers.
-    pub fn new(classes: Vec<Worth>) -> Self {
+impl ServiceMeter {
+    /// A meter for the given classes. The other methods take an index into this list.
+    pub fn new(classes: Vec<ClassWorth>) -> Self {
         let histogram = || {
-            let bounded = Histogram::new_with_bounds(1, LONGEST_MS, 3);
+            let bounded = Histogram::new_with_bounds(1, MAX_LATENCY_MS, 3);
             bounded.expect("the bounds are constants that the histogram allows")
         };
-        Service {
-            of_class: vec![Second::default(); classes.len()],
-            latency: classes.iter().map(|_| histogram()).collect(),
+        ServiceMeter {
+            class_totals: vec![SecondTotals::default(); classes.len()],
+            latencies: classes.iter().map(|_| histogram()).collect(),
             classes,
             seconds: Vec::new(),
         }
     }
 
-    /// A message was meant to be sent at this time. `class` is its place in the list.
-    pub fn asked(&mut self, class: usize, intended: At) {
+    /// Counts a message that was intended to be sent at `intended`.
+    pub fn record_request(&mut self, class: usize, intended: Timestamp) {
         if let Some(worth) = self.classes.get(class).map(|class| class.worth) {
-            self.second(intended).asked += worth;
-            self.of_class[class].asked += worth;
+            self.second(intended).requested += worth;
+            self.class_totals[class].requested += worth;
         }
     }
 
-    /// ... and was delivered at that time.
-    pub fn delivered(&mut self, class: usize, intended: At, delivered: At) {
+    /// Counts the delivery of a message that was intended to be sent at `intended`.
+    pub fn record_delivery(&mut self, class: usize, intended: Timestamp, delivered: Timestamp) {
         let latency = delivered - intended;
-        if let Some(worth) = self.classes.get(class).map(|class| class.after(latency)) {
-            self.second(intended).served += worth;
-            self.of_class[class].served += worth;
-            self.latency[class].saturating_record(latency.as_millis() as u64);
+        if let Some(worth) = self.classes.get(class).map(|class| class.at_latency(latency)) {
+            self.second(intended).delivered += worth;
+            self.class_totals[class].delivered += worth;
+            self.latencies[class].saturating_record(latency.as_millis() as u64);
         }
     }
 
-    fn second(&mut self, at: At) -> &mut Second {
-        let place = (at.0 / 1_000_000) as usize;
-        if self.seconds.len() <= place {
-            self.seconds.resize(place + 1, Second::default());
+    fn second(&mut self, at: Timestamp) -> &mut SecondTotals {
+        let index = (at.0 / 1_000_000) as usize;
+        if self.seconds.len() <= index {
+            self.seconds.resize(index + 1, SecondTotals::default());
         }
-        &mut self.seconds[place]
+        &mut self.seconds[index]
     }
 
-    /// Second by second, by the intended send.
-    pub fn seconds(&self) -> &[Second] {
+    /// The totals of each second, by the intended send.
+    pub fn seconds(&self) -> &[SecondTotals] {
         &self.seconds
     }
 
-    /// Of one class, or of all.
-    pub fn latency(&self, class: Option<usize>) -> Latency {
+    /// The latencies of one class, or of all classes together.
+    pub fn latency(&self, class: Option<usize>) -> LatencySummary {
         if let Some(class) = class {
-            return self.latency.get(class).map(Latency::of).unwrap_or_default();
+            return self.latencies.get(class).map(LatencySummary::of).unwrap_or_default();
         }
-        self.all().as_ref().map(Latency::of).unwrap_or_default()
+        self.all_latencies().as_ref().map(LatencySummary::of).unwrap_or_default()
     }
 
-    /// Shares of the deliveries of all classes, denser towards the tail, and within how many milliseconds they came.
+    /// The distribution of latencies over all classes, as pairs of a quantile and a latency in milliseconds. The
+    /// quantiles are denser towards 1.
     pub fn percentiles(&self) -> Vec<(f64, u64)> {
-        let Some(all) = self.all().filter(|all| !all.is_empty()) else { return Vec::new() };
+        let Some(all) = self.all_latencies().filter(|all| !all.is_empty()) else { return Vec::new() };
         all.iter_quantiles(5).map(|step| (step.quantile(), step.value_iterated_to())).collect()
     }
 
-    fn all(&self) -> Option<Histogram<u64>> {
+    fn all_latencies(&self) -> Option<Histogram<u64>> {
         let mut all: Option<Histogram<u64>> = None;
-        for one in &self.latency {
+        for one in &self.latencies {
             match &mut all {
-                // All have the same bounds, so that adding cannot fail.
+                // Adding cannot fail, as all histograms have the same bounds.
                 Some(all) => drop(all.add(one)),
                 None => all = Some(one.clone()),
             }
@@ -181,23 +195,24 @@
         all
     }
 
-    /// The figures so far; a run in which nothing was asked is served in full.
-    pub fn figures(&self, weights: Weights) -> ServiceFigures {
-        let share = |seconds: &[Second]| {
-            let asked: f64 = seconds.iter().map(|second| second.asked).sum();
-            let served: f64 = seconds.iter().map(|second| second.served).sum();
-            if asked > 0.0 {
-                served / asked
+    /// The scores so far. A span without requests has a score of 1.
+    pub fn scores(&self, weights: Weights) -> ServiceScores {
+        let score = |totals: &[SecondTotals]| {
+            let requested: f64 = totals.iter().map(|second| second.requested).sum();
+            let delivered: f64 = totals.iter().map(|second| second.delivered).sum();
+            if requested > 0.0 {
+                delivered / requested
             } else {
                 1.0
             }
         };
-        let whole = share(&self.seconds);
-        let worst_window = self.seconds.windows(WORST_WINDOW_S).map(share).fold(whole, f64::min);
-        let worst_class = self.of_class.iter().map(|class| share(&[*class])).fold(1.0, f64::min);
-        let sum = weights.whole + weights.worst_window + weights.worst_class;
-        let mixed =
-            weights.whole * whole + weights.worst_window * worst_window + weights.worst_class * worst_class;
-        ServiceFigures { service: mixed / sum.max(1e-9), whole, worst_window, worst_class }
+        let whole_run = score(&self.seconds);
+        let worst_window = self.seconds.windows(WORST_WINDOW_SECONDS).map(score).fold(whole_run, f64::min);
+        let worst_class = self.class_totals.iter().map(|class| score(&[*class])).fold(1.0, f64::min);
+        let weight_sum = weights.whole_run + weights.worst_window + weights.worst_class;
+        let weighted = weights.whole_run * whole_run
+            + weights.worst_window * worst_window
+            + weights.worst_class * worst_class;
+        ServiceScores { combined: weighted / weight_sum.max(1e-9), whole_run, worst_window, worst_class }
     }
 }
--- a/crates/gullcart-judge/src/trace.rs
+++ b/crates/gullcart-judge/src/trace.rs
@@ -1,47 +1,48 @@
-//! What is written down of a rehearsal: one [`Entry`] for each thing that happened, in the order of time.
+//! The trace of a run: one [`Entry`] for each observed event, in time order.
 
 use serde::Serialize;
 use std::fmt;
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// Time since the rehearsal began, in microseconds.
+/// Time since the start of the run, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
-pub struct At(pub u64);
+pub struct Timestamp(pub u64);
 
-impl At {
-    /// So many milliseconds after the beginning.
-    pub const fn ms(count: u64) -> Self {
-        At(count * 1000)
+impl Timestamp {
+    /// The moment `millis` milliseconds after the start of the run.
+    pub const fn from_millis(millis: u64) -> Self {
+        Timestamp(millis * 1000)
     }
 
-    /// In seconds.
-    pub fn seconds(self) -> f64 {
+    /// Seconds since the start of the run.
+    pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
 }
 
-impl Add<Duration> for At {
-    type Output = At;
-    fn add(self, span: Duration) -> At {
-        At(self.0.saturating_add(span.as_micros() as u64))
+impl Add<Duration> for Timestamp {
+    type Output = Timestamp;
+    fn add(self, span: Duration) -> Timestamp {
+        Timestamp(self.0.saturating_add(span.as_micros() as u64))
     }
 }
 
-/// The time between two moments; none where the second is earlier.
-impl Sub for At {
+/// The time elapsed since `earlier`; zero if `earlier` is in fact later.
+impl Sub for Timestamp {
     type Output = Duration;
-    fn sub(self, earlier: At) -> Duration {
+    fn sub(self, earlier: Timestamp) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 }
 
-impl fmt::Display for At {
+impl fmt::Display for Timestamp {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}.{:06} s", self.0 / 1_000_000, self.0 % 1_000_000)
     }
 }
 
+/// Defines a numeric identifier that is displayed with a prefix.
 macro_rules! id {
     ($(#[$doc:meta])* $name:ident($inner:ty), $prefix:literal) => {
         $(#[$doc])*
@@ -55,240 +56,293 @@
     };
 }
 
-id!(/// One hand-in of a message: a message that is handed in again has a new one.
+id!(/// Identifies one enqueue request of a message. A message that is enqueued again gets a new id.
     MessageId(u64), "message ");
-id!(/// One call at an endpoint.
+id!(/// Identifies one call to an endpoint.
     CallId(u64), "call ");
-id!(/// A courier, the same over its restarts.
+id!(/// Identifies a courier; the id survives restarts of its process.
     CourierId(u16), "courier ");
-id!(/// An endpoint, one for each `uid`: one that comes in the place of another has its own.
+id!(/// Identifies an endpoint by its `uid`: a replacement endpoint has an id of its own.
     EndpointId(u32), "endpoint ");
-id!(/// A partner, the `dest` of a message and `pod_group` of endpoints.
+id!(/// Identifies a partner: the `dest` of a message, and the `pod_group` of endpoints.
     PartnerId(u32), "partner ");
-id!(/// Place of a class in the settings.
+id!(/// Index of a class in the settings.
     ClassId(u8), "class ");
-id!(/// What messages of an ordered class share that must go one after the other.
+id!(/// Order key: messages of an ordered class with the same key are delivered one after the other.
     OrderKey(u64), "key ");
 
-/// What a client was told of a hand-in.
+/// How an enqueue request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Told {
-    /// `+OK`.
-    Taken,
-    /// `-BUSY`, with the milliseconds after which to come again.
+pub enum EnqueueOutcome {
+    /// The courier replied `+OK`.
+    #[serde(rename = "Taken")]
+    Accepted,
+    /// The courier replied `-BUSY`, optionally with the milliseconds after which to retry.
     Busy(Option<u64>),
-    /// Any other answer.
+    /// The courier sent any other reply.
     Error,
-    /// Nothing in 400 ms: the client closed, and what is sent under this id counts for nothing.
-    GaveUp,
-    /// The connection ended without a word after the request was written, twice.
-    Cut,
-    /// The connection ended because its courier's process did, or it never came up.
-    Unreached,
+    /// No reply came within 400 ms and the client closed the connection. The rules do not apply to whatever is
+    /// sent for this id.
+    #[serde(rename = "GaveUp")]
+    ClientTimedOut,
+    /// Twice, the connection was closed without a reply after the request had been written.
+    #[serde(rename = "Cut")]
+    ConnectionLost,
+    /// The connection could not be opened, or was closed because the courier's process ended.
+    #[serde(rename = "Unreached")]
+    Unreachable,
 }
 
-/// What an endpoint answered.
+/// Writes the name that the variant has in serialized traces, in the format of `Debug`.
+impl fmt::Display for EnqueueOutcome {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            EnqueueOutcome::Accepted => f.write_str("Taken"),
+            EnqueueOutcome::Busy(retry_after_ms) => write!(f, "Busy({retry_after_ms:?})"),
+            EnqueueOutcome::Error => f.write_str("Error"),
+            EnqueueOutcome::ClientTimedOut => f.write_str("GaveUp"),
+            EnqueueOutcome::ConnectionLost => f.write_str("Cut"),
+            EnqueueOutcome::Unreachable => f.write_str("Unreached"),
+        }
+    }
+}
+
+/// The response of an endpoint to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Answer {
-    /// A first line with 200.
+    /// A status line with 200.
     Ok,
-    /// 500, or another answer that leaves open whether it ran.
+    /// 500, or another response that leaves open whether the call ran.
     Error,
-    /// Bytes that cannot be read as a whole answer: it may have run.
-    Spoilt,
-    /// 429 or 503, whole: it never ran. With a wait in milliseconds where one was told.
-    Full(Option<u64>),
-    /// 504: it never ran, and the message has had all its attempts.
-    Spent,
+    /// Bytes that do not form a complete response: the call may have run.
+    #[serde(rename = "Spoilt")]
+    Malformed,
+    /// A complete 429 or 503: the call did not run. Holds the retry-after time in milliseconds, if one was given.
+    #[serde(rename = "Full")]
+    Rejected(Option<u64>),
+    /// 504: the call did not run, and the message has used up its attempts.
+    #[serde(rename = "Spent")]
+    AttemptsExhausted,
 }
 
 impl Answer {
     /// Whether the call may have run.
     pub fn may_have_run(self) -> bool {
-        matches!(self, Answer::Ok | Answer::Error | Answer::Spoilt)
+        matches!(self, Answer::Ok | Answer::Error | Answer::Malformed)
+    }
+}
+
+/// Writes the name that the variant has in serialized traces, in the format of `Debug`.
+impl fmt::Display for Answer {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Answer::Ok => f.write_str("Ok"),
+            Answer::Error => f.write_str("Error"),
+            Answer::Malformed => f.write_str("Spoilt"),
+            Answer::Rejected(retry_after_ms) => write!(f, "Full({retry_after_ms:?})"),
+            Answer::AttemptsExhausted => f.write_str("Spent"),
+        }
     }
 }
 
-/// Who ended a connection with a call out.
+/// The side that closed a connection on which a call was in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum By {
-    /// The courier: it timed out, cancelled, or its process ended.
+pub enum ClosedBy {
+    /// The courier: the call timed out or was cancelled, or the process ended.
     Courier,
-    /// The partner: a reset.
+    /// The partner, with a reset.
     Partner,
 }
 
-/// How a notice says that a message ended.
+/// The final result of a message, as a notice states it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Ended {
+pub enum Verdict {
     /// `failed`.
     Failed,
-    /// `returned`, with the milliseconds after which to come again.
+    /// `returned`, optionally with the milliseconds after which to retry.
     Returned(Option<u64>),
 }
 
-impl Ended {
-    /// Whether both say the same, whatever the wait.
-    pub fn is_like(self, other: Ended) -> bool {
-        matches!((self, other), (Ended::Failed, Ended::Failed) | (Ended::Returned(_), Ended::Returned(_)))
+impl Verdict {
+    /// Whether both are the same verdict; the retry-after times may differ.
+    pub fn has_same_kind(self, other: Verdict) -> bool {
+        matches!(
+            (self, other),
+            (Verdict::Failed, Verdict::Failed) | (Verdict::Returned(_), Verdict::Returned(_))
+        )
     }
 }
 
-/// What the register says of an endpoint.
+/// The state of an endpoint in discovery's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum State {
+pub enum EndpointState {
     /// `SERVING`.
     Serving,
     /// `DRAINING`.
     Draining,
-    /// `DELETED`, or not in a whole list any more.
+    /// `DELETED`, or missing from a full list.
     Gone,
 }
 
-/// What happened to a courier's process.
+/// A change in the life cycle of a courier's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Process {
-    /// Started.
+pub enum ProcessEvent {
+    /// The process was started.
     Started,
-    /// Answers `PING`.
+    /// The process answers `PING`.
     Ready,
-    /// Was sent SIGTERM.
+    /// SIGTERM was sent to the process.
     Terminated,
-    /// Was sent SIGKILL, or ended after SIGTERM.
+    /// The process ended after SIGTERM, or was killed with SIGKILL.
     Ended,
-    /// Ended without being told to.
+    /// The process ended without a signal from the test environment.
     Crashed,
-    /// Was stopped, and knows nothing of it.
+    /// The process was paused (as with SIGSTOP) without notice.
     Suspended,
-    /// Goes on: what came to it meanwhile reaches it from now on.
+    /// The process runs again. Input that arrived during the pause is delivered from now on.
     Resumed,
-    /// Its folder was lost with the machine: what it held is nobody's any more.
+    /// The courier's folder was lost together with its machine, and with it all pending messages.
     FolderLost,
 }
 
-/// Something that happened.
+/// An observed event.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub enum Event {
-    /// A client wrote the last byte of a hand-in.
-    HandIn {
-        /// The hand-in.
+    /// A client wrote the last byte of an enqueue request.
+    #[serde(rename = "HandIn")]
+    EnqueueSent {
+        /// Id of the enqueue request.
         message: MessageId,
-        /// To whom.
+        /// The courier that the request was sent to.
         courier: CourierId,
-        /// Class.
+        /// Class of the message.
         class: ClassId,
-        /// In ordered classes.
+        /// Order key; only in ordered classes.
         key: Option<OrderKey>,
-        /// Where it is to go.
+        /// The partner that the message is for.
         partner: PartnerId,
-        /// Until when it may be delivered.
-        deadline: At,
+        /// The time until which the message may be delivered.
+        deadline: Timestamp,
     },
-    /// A client's answer.
-    Answered {
-        /// Of which hand-in.
+    /// A client received the reply to an enqueue request, or none will come.
+    #[serde(rename = "Answered")]
+    EnqueueAnswered {
+        /// Id of the enqueue request.
         message: MessageId,
-        /// What it says.
-        told: Told,
+        /// How the request ended.
+        #[serde(rename = "told")]
+        outcome: EnqueueOutcome,
     },
-    /// The last byte of a call came.
-    Call {
-        /// The call.
+    /// The last byte of a call reached an endpoint.
+    #[serde(rename = "Call")]
+    CallReceived {
+        /// Id of the call.
         call: CallId,
-        /// The message that it names; none if no client handed in such a one.
+        /// The message that the call names; `None` if no client enqueued it.
         message: Option<MessageId>,
-        /// By whom: each courier has addresses of its own for all endpoints.
+        /// The calling courier, known because the endpoints have separate addresses for each courier.
         courier: CourierId,
-        /// Where.
+        /// The called endpoint.
         endpoint: EndpointId,
-        /// Whose endpoint it is.
+        /// The partner that the endpoint belongs to.
         partner: PartnerId,
-        /// When its first byte came.
-        first_byte: At,
-        /// Whether idempotency key and body are those that were handed in.
+        /// When the first byte of the call arrived.
+        first_byte: Timestamp,
+        /// Whether idempotency key and body are the ones that were enqueued.
         intact: bool,
     },
-    /// The answer to a call was written: its first line.
+    /// The endpoint wrote the status line of its response to a call.
     CallAnswered {
-        /// Which.
+        /// Id of the call.
         call: CallId,
-        /// What it says.
+        /// The response.
         answer: Answer,
     },
-    /// The connection of a call ended before any answer.
-    CallCut {
-        /// Which.
+    /// The connection of a call was closed before any response.
+    #[serde(rename = "CallCut")]
+    CallAborted {
+        /// Id of the call.
         call: CallId,
-        /// Who ended it.
-        by: By,
+        /// The side that closed the connection.
+        #[serde(rename = "by")]
+        closed_by: ClosedBy,
     },
-    /// A notice came.
+    /// A notice arrived.
     Notice {
-        /// For which hand-in; none if no client handed in such a one.
+        /// The message that it is about; `None` if no client enqueued it.
         message: Option<MessageId>,
-        /// From whom.
+        /// The courier that sent the notice.
         courier: CourierId,
-        /// What it says.
-        ended: Ended,
+        /// The final result of the message.
+        #[serde(rename = "ended")]
+        verdict: Verdict,
     },
     /// A notice was answered with 204.
     NoticeAnswered {
-        /// For which hand-in.
+        /// The message that the notice was about.
         message: MessageId,
     },
-    /// The register wrote a change to a courier, or it counts as told.
-    Listed {
-        /// To whom.
+    /// Discovery wrote a change of an endpoint's state to a courier, or the courier is assumed to know of it.
+    #[serde(rename = "Listed")]
+    ListingUpdated {
+        /// The notified courier.
         courier: CourierId,
-        /// Of which endpoint.
+        /// The endpoint that changed.
         endpoint: EndpointId,
-        /// What it is from now on.
-        state: State,
+        /// Its new state.
+        state: EndpointState,
     },
-    /// A partner went out.
-    Out {
-        /// Which.
+    /// An outage of a partner began.
+    #[serde(rename = "Out")]
+    OutageBegan {
+        /// The partner that is out.
         partner: PartnerId,
     },
-    /// A partner came back.
-    Back {
-        /// Which.
+    /// An outage of a partner ended; its capacity grows from now on.
+    #[serde(rename = "Back")]
+    OutageEnded {
+        /// The partner that is back.
         partner: PartnerId,
-        /// What it can do when warm, in calls a second.
+        /// Its full capacity, in calls a second.
         capacity: f64,
-        /// The share of that with which it starts.
-        cold_from: f64,
-        /// When it is warm.
-        warm: At,
+        /// The share of the full capacity that it starts with.
+        #[serde(rename = "cold_from")]
+        cold_capacity_share: f64,
+        /// When it reaches its full capacity.
+        #[serde(rename = "warm")]
+        warm_at: Timestamp,
     },
-    /// Something happened to a courier's process.
+    /// The process of a courier changed its state.
     Process {
-        /// Whose.
+        /// The courier.
         courier: CourierId,
-        /// What.
-        what: Process,
+        /// What happened to its process.
+        #[serde(rename = "what")]
+        change: ProcessEvent,
     },
 }
 
 /// An event and its time.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Entry {
-    /// When.
-    pub at: At,
-    /// What.
+    /// When the event was observed.
+    pub at: Timestamp,
+    /// The event.
     pub event: Event,
 }
 
+/// Writes the entry as a line of the trace. Trace digests are computed over this text, so a change of its wording
+/// changes the digest of every run.
 impl fmt::Display for Entry {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}  ", self.at)?;
         match self.event {
-            Event::HandIn { message, courier, class, key, partner, deadline } => {
+            Event::EnqueueSent { message, courier, class, key, partner, deadline } => {
                 write!(f, "{message} handed in to {courier}: {class}, {partner}, until {deadline}")?;
                 key.map_or(Ok(()), |key| write!(f, ", {key:x?}"))
             }
-            Event::Answered { message, told } => write!(f, "{message} answered: {told:?}"),
-            Event::Call { call, message, courier, endpoint, partner, first_byte, intact } => {
+            Event::EnqueueAnswered { message, outcome } => write!(f, "{message} answered: {outcome}"),
+            Event::CallReceived { call, message, courier, endpoint, partner, first_byte, intact } => {
                 write!(f, "{call} from {courier} at {endpoint} of {partner}")?;
                 match message {
                     Some(message) => write!(f, " for {message}")?,
@@ -296,25 +350,25 @@
                 }
                 write!(f, ", first byte at {first_byte}{}", if intact { "" } else { ", changed" })
             }
-            Event::CallAnswered { call, answer } => write!(f, "{call} answered: {answer:?}"),
-            Event::CallCut { call, by } => write!(f, "{call} cut by the {by:?}"),
-            Event::Notice { message: Some(message), courier, ended } => {
-                write!(f, "notice from {courier}: {message} {ended:?}")
+            Event::CallAnswered { call, answer } => write!(f, "{call} answered: {answer}"),
+            Event::CallAborted { call, closed_by } => write!(f, "{call} cut by the {closed_by:?}"),
+            Event::Notice { message: Some(message), courier, verdict } => {
+                write!(f, "notice from {courier}: {message} {verdict:?}")
             }
-            Event::Notice { message: None, courier, ended } => {
-                write!(f, "notice from {courier} for a message that nobody handed in: {ended:?}")
+            Event::Notice { message: None, courier, verdict } => {
+                write!(f, "notice from {courier} for a message that nobody handed in: {verdict:?}")
             }
             Event::NoticeAnswered { message } => write!(f, "notice for {message} answered"),
-            Event::Listed { courier, endpoint, state } => {
+            Event::ListingUpdated { courier, endpoint, state } => {
                 write!(f, "{courier} told: {endpoint} is {state:?}")
             }
-            Event::Out { partner } => write!(f, "{partner} is out"),
-            Event::Back { partner, capacity, cold_from, warm } => write!(
+            Event::OutageBegan { partner } => write!(f, "{partner} is out"),
+            Event::OutageEnded { partner, capacity, cold_capacity_share, warm_at } => write!(
                 f,
-                "{partner} is back with {:.0} % of {capacity:.1} calls a second, warm at {warm}",
-                cold_from * 100.0
+                "{partner} is back with {:.0} % of {capacity:.1} calls a second, warm at {warm_at}",
+                cold_capacity_share * 100.0
             ),
-            Event::Process { courier, what } => write!(f, "{courier}: {what:?}"),
+            Event::Process { courier, change } => write!(f, "{courier}: {change:?}"),
         }
     }
 }
