--- a/crates/gullcart-judge/src/duties.rs
+++ b/crates/gullcart-judge/src/duties.rs
@@ -10,19 +10,19 @@
 pub struct DutyAction {
     /// When the action was received.
     pub at: Timestamp,
-    /// The acting member.
+    /// Id of the acting member (a courier in the group that assigns duties).
     pub member: u64,
     /// The epoch of the duty under which the member acted.
     pub epoch: u64,
 }
 
-/// A pair of actions that exclusive holders would not produce, in order of receipt.
+/// Two actions that contradict an exclusive duty, in order of receipt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DutyViolation {
     /// Two members acted under the same epoch.
     SharedEpoch(DutyAction, DutyAction),
-    /// The second action arrived after one of a later epoch: either two members held the duty at the same time, or the
-    /// member's process was paused right before it acted.
+    /// The second action arrived after one of a later epoch. Either two members held the duty at the same time, or the
+    /// member's process was paused between its last check of the duty and the action.
     StaleEpoch(DutyAction, DutyAction),
 }
 
@@ -31,11 +31,24 @@
 pub struct DutyFindings {
     /// Actions of two members under the same epoch. This is always an error.
     pub shared_epochs: Vec<DutyViolation>,
-    /// Actions received after one of a later epoch. Each pause of a process right before an action explains one.
+    /// Actions received after one of a later epoch. As each pause of a process can cause one, more of them than there
+    /// were pauses are an error.
     pub stale_actions: Vec<DutyViolation>,
-    /// For each epoch: the epoch, its first member, and when the first and the last action under it were received. The
-    /// last one leaves out stale actions.
-    pub held_epochs: Vec<(u64, u64, Timestamp, Timestamp)>,
+    /// The epochs under which there were actions, in ascending order.
+    pub held_epochs: Vec<HeldEpoch>,
+}
+
+/// An epoch of a duty, as its actions show it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct HeldEpoch {
+    /// The epoch.
+    pub epoch: u64,
+    /// The member that acted first under the epoch.
+    pub member: u64,
+    /// When the first action under the epoch was received.
+    pub first_action_at: Timestamp,
+    /// When the last action under the epoch was received, apart from stale actions.
+    pub last_action_at: Timestamp,
 }
 
 /// Checks the actions under one duty, given in the order in which they were received.
@@ -57,12 +70,18 @@
             }
         }
     }
-    let held = epochs.into_iter().map(|(epoch, (first, last))| (epoch, first.member, first.at, last.at));
-    findings.held_epochs = held.collect();
+    let held_epochs = epochs.into_iter().map(|(epoch, (first, last))| HeldEpoch {
+        epoch,
+        member: first.member,
+        first_action_at: first.at,
+        last_action_at: last.at,
+    });
+    findings.held_epochs = held_epochs.collect();
     findings
 }
 
-/// The longest time without any action between `from` and `to`.
+/// The longest time without any action between `from` and `to`. The actions must be in time order; those outside the
+/// span are ignored.
 pub fn longest_gap(actions: &[DutyAction], from: Timestamp, to: Timestamp) -> Duration {
     let within = actions.iter().map(|action| action.at).filter(|at| (from..=to).contains(at));
     let mut gap = Duration::ZERO;
--- a/crates/gullcart-judge/src/duties/tests.rs
+++ b/crates/gullcart-judge/src/duties/tests.rs
@@ -9,7 +9,13 @@
     let found = judge(&[action(1, 1, 1), action(2, 1, 1), action(9, 2, 4), action(10, 2, 4)]);
     assert!(found.shared_epochs.is_empty() && found.stale_actions.is_empty());
     let ms = Timestamp::from_millis;
-    assert_eq!(found.held_epochs, [(1, 1, ms(1), ms(2)), (4, 2, ms(9), ms(10))]);
+    let held = |epoch, member, first_action_at, last_action_at| HeldEpoch {
+        epoch,
+        member,
+        first_action_at,
+        last_action_at,
+    };
+    assert_eq!(found.held_epochs, [held(1, 1, ms(1), ms(2)), held(4, 2, ms(9), ms(10))]);
 }
 
 #[test]
--- a/crates/gullcart-judge/src/judge.rs
+++ b/crates/gullcart-judge/src/judge.rs
@@ -14,7 +14,7 @@
 use crate::message::{EnqueueStatus, Message};
 use crate::rule::{Rule, Violation};
 use crate::trace::*;
-use state::{Check, Courier, KeyState, OpenCall, Outage, RetryAfter};
+use state::{Check, Courier, OpenCall, OrderKeyState, Outage, RetryAfter};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Maximum number of violations kept with their evidence; further ones are only counted.
@@ -27,12 +27,12 @@
     messages: HashMap<MessageId, Message>,
     /// Calls without an outcome yet.
     calls: HashMap<CallId, OpenCall>,
-    keys: HashMap<(CourierId, OrderKey), KeyState>,
+    order_keys: HashMap<(CourierId, OrderKey), OrderKeyState>,
     couriers: BTreeMap<CourierId, Courier>,
     /// Endpoints that are draining or deleted, each with the entry that first reported it to the courier.
     drains: HashMap<(CourierId, EndpointId), Entry>,
     /// Retry-after times that partners gave to couriers.
-    retry_after: HashMap<(CourierId, PartnerId), Vec<RetryAfter>>,
+    retry_after_times: HashMap<(CourierId, PartnerId), Vec<RetryAfter>>,
     outages: HashMap<PartnerId, Outage>,
     /// Scheduled checks, in the order in which they are due.
     checks: BTreeSet<(Timestamp, Check, MessageId)>,
@@ -48,10 +48,10 @@
             now: Timestamp(0),
             messages: HashMap::new(),
             calls: HashMap::new(),
-            keys: HashMap::new(),
+            order_keys: HashMap::new(),
             couriers: BTreeMap::new(),
             drains: HashMap::new(),
-            retry_after: HashMap::new(),
+            retry_after_times: HashMap::new(),
             outages: HashMap::new(),
             checks: BTreeSet::new(),
             violations: Vec::new(),
@@ -145,9 +145,12 @@
         self.class(class)
     }
 
-    /// Whether the rules apply to a message. They do not if its enqueue request failed or timed out.
+    /// Whether the rules apply to a message. They do not if it is unknown, if its enqueue request failed or timed
+    /// out, or if its courier's folder was lost. A message that got a `-BUSY` reply is checked, as it must not be sent.
     fn is_checked(&self, message: MessageId) -> bool {
-        self.messages.get(&message).is_some_and(|m| m.status != EnqueueStatus::Void || m.rejected)
+        self.messages
+            .get(&message)
+            .is_some_and(|m| m.status != EnqueueStatus::NoObligation || m.got_busy_reply)
     }
 
     /// Counts a violation, and keeps it with the evidence of its message and the given additional entries.
--- a/crates/gullcart-judge/src/judge/calls.rs
+++ b/crates/gullcart-judge/src/judge/calls.rs
@@ -62,7 +62,7 @@
         m.calls_in_flight.push(call);
         m.undeliverable_since = None;
         let first_notice = m.first_notice;
-        let rejected = m.rejected;
+        let got_busy_reply = m.got_busy_reply;
         let first_possible_run = m.first_possible_run;
         if !is_checked {
             return;
@@ -73,7 +73,7 @@
             let rule = if returned { Rule::Twice } else { Rule::FinalAnswer };
             return self.report_violation(rule, courier, Some(id), description, []);
         }
-        if rejected {
+        if got_busy_reply {
             let description = "sent, though its enqueue request was rejected".to_owned();
             return self.report_violation(Rule::Twice, courier, Some(id), description, []);
         }
@@ -81,19 +81,25 @@
         for earlier in earlier_calls {
             self.checks.insert((now + slack, Check::ConcurrentCalls(earlier), id));
         }
-        if let Some(first) = first_possible_run {
-            self.check_effect(id, courier, first, now);
+        if let Some(first_possible_run) = first_possible_run {
+            self.check_effect(id, courier, first_possible_run, now);
         }
     }
 
-    /// Checks that the effect of the message's class allows a repeat now. `first` is the time of the first call that
-    /// may have run.
-    fn check_effect(&mut self, id: MessageId, courier: CourierId, first: Timestamp, now: Timestamp) {
+    /// Checks that the effect of the message's class allows a repeat now. `first_possible_run` is the time of the first
+    /// call that may have run.
+    fn check_effect(
+        &mut self,
+        id: MessageId,
+        courier: CourierId,
+        first_possible_run: Timestamp,
+        now: Timestamp,
+    ) {
         let description = match self.class_of(id).effect {
-            Effect::Unsafe => format!("sent again {:?} after a call that may have run", now - first),
-            Effect::Keyed { window } if now > first + window + self.limits.socket_slack => format!(
+            Effect::Unsafe => format!("sent again {:?} after a call that may have run", now - first_possible_run),
+            Effect::Keyed { window } if now > first_possible_run + window + self.limits.socket_slack => format!(
                 "sent again {:?} after the first call that may have run; the key is remembered for {window:?}",
-                now - first
+                now - first_possible_run
             ),
             _ => return,
         };
@@ -137,7 +143,7 @@
         m.calls_in_flight.retain(|in_flight| *in_flight != call);
         m.first_possible_run.get_or_insert(began_at);
         self.check_undeliverable(message, entry.at);
-        if let Some(state) = key.and_then(|key| self.keys.get_mut(&(courier, key))) {
+        if let Some(state) = key.and_then(|key| self.order_keys.get_mut(&(courier, key))) {
             state.last_aborted = Some(AbortedCall { at: entry.at, message, entry });
         }
     }
--- a/crates/gullcart-judge/src/judge/deadlines.rs
+++ b/crates/gullcart-judge/src/judge/deadlines.rs
@@ -1,6 +1,6 @@
 //! Scheduled checks: overdue messages, late failure notices, concurrent calls, and when a message is forgotten.
 
-use super::clients::RETENTION;
+use super::clients::MESSAGE_RETENTION;
 use super::state::Check;
 use super::Judge;
 use crate::rule::Rule;
@@ -20,13 +20,13 @@
     fn forget_unless_pending(&mut self, at: Timestamp, message: MessageId) {
         let Some(m) = self.messages.get(&message) else { return };
         if m.is_pending() && !m.is_reported {
-            self.checks.insert((at + RETENTION, Check::Forget, message));
+            self.checks.insert((at + MESSAGE_RETENTION, Check::Forget, message));
         } else {
             self.forget(message);
         }
     }
 
-    /// Checks that the older of two calls for one message has ended, unless the newer one has.
+    /// Checks that the older of two calls for one message has ended, or that no other call is in flight any more.
     fn check_concurrent_calls(&mut self, older: CallId, message: MessageId) {
         let Some(m) = self.messages.get(&message) else { return };
         if m.calls_in_flight.contains(&older) && m.calls_in_flight.len() > 1 {
@@ -41,11 +41,11 @@
     fn check_end(&mut self, at: Timestamp, check: Check, message: MessageId) {
         let Some(m) = self.messages.get(&message) else { return };
         let excused_until = match self.couriers.get_mut(&m.courier) {
-            Some(state) if state.away => {
+            Some(state) if state.unavailable => {
                 state.postponed_checks.push((check, message));
                 return;
             }
-            // Clients send nothing before a courier is first ready, so a courier that never was has nothing pending.
+            // Clients send nothing to a courier before it is first ready, so no excuse is needed without a ready time.
             Some(state) if state.ready_at > Timestamp(0) => state.ready_at + self.limits.ready_slack,
             _ => Timestamp(0),
         };
@@ -87,10 +87,10 @@
             self.calls.remove(call);
         }
         let Some(key) = m.key.map(|key| (m.courier, key)) else { return };
-        let Some(state) = self.keys.get_mut(&key) else { return };
+        let Some(state) = self.order_keys.get_mut(&key) else { return };
         state.queue.retain(|other| *other != message);
         if state.queue.is_empty() {
-            self.keys.remove(&key);
+            self.order_keys.remove(&key);
         }
     }
 }
--- a/crates/gullcart-judge/src/judge/order.rs
+++ b/crates/gullcart-judge/src/judge/order.rs
@@ -31,7 +31,7 @@
 
     /// Removes final messages from the front of a key's queue, up to the message `id`.
     fn drop_final(&mut self, id: MessageId, courier: CourierId, key: OrderKey) {
-        let Some(state) = self.keys.get_mut(&(courier, key)) else { return };
+        let Some(state) = self.order_keys.get_mut(&(courier, key)) else { return };
         let messages = &self.messages;
         let is_final = |other: &MessageId| messages.get(other).is_none_or(Message::is_final);
         while state.queue.front().is_some_and(|front| *front != id && is_final(front)) {
@@ -44,7 +44,7 @@
         let is_unfinished = |other: &MessageId| {
             self.messages.get(other).is_some_and(|m| m.status == EnqueueStatus::Accepted && !m.is_final())
         };
-        let queue = &self.keys.get(&(courier, key))?.queue;
+        let queue = &self.order_keys.get(&(courier, key))?.queue;
         queue.iter().take_while(|other| **other != id).copied().find(is_unfinished)
     }
 
@@ -56,7 +56,7 @@
         key: OrderKey,
         now: Timestamp,
     ) -> Option<AbortedCall> {
-        let aborted = self.keys.get(&(courier, key))?.last_aborted?;
+        let aborted = self.order_keys.get(&(courier, key))?.last_aborted?;
         let is_settled = now + self.limits.socket_slack >= aborted.at + self.limits.order_settle_time;
         (aborted.message != id && !is_settled).then_some(aborted)
     }
--- a/crates/gullcart-judge/src/judge/partners.rs
+++ b/crates/gullcart-judge/src/judge/partners.rs
@@ -9,8 +9,8 @@
 
 /// Retry-after times are given in whole milliseconds.
 const RETRY_AFTER_ROUNDING: Duration = Duration::from_millis(1);
-/// The collapse of a partner is a violation if at least this share of the calls came from couriers that had seen its
-/// outage.
+/// The collapse of a partner is a violation if at least this share of the calls came from informed couriers (those that
+/// saw a call fail during the outage).
 const MIN_INFORMED_SHARE: f64 = 2.0 / 3.0;
 
 impl Judge {
@@ -24,7 +24,7 @@
     ) {
         let until = entry.at + Duration::from_millis(retry_after_ms);
         let retry_after = RetryAfter { received_at: entry.at, until, entry };
-        self.retry_after.entry((courier, partner)).or_default().push(retry_after);
+        self.retry_after_times.entry((courier, partner)).or_default().push(retry_after);
     }
 
     /// Checks that a call respects the partner's retry-after times. Calls shortly after such an answer are tolerated,
@@ -37,15 +37,16 @@
         partner: PartnerId,
     ) {
         let now = entry.at;
-        let Some(waits) = self.retry_after.get_mut(&(courier, partner)) else { return };
-        waits.retain(|wait| wait.until > now);
+        let Some(times) = self.retry_after_times.get_mut(&(courier, partner)) else { return };
+        times.retain(|retry_after| retry_after.until > now);
         let grace = self.limits.retry_after_grace;
-        let is_violated =
-            |wait: &&RetryAfter| now > wait.received_at + grace && now + RETRY_AFTER_ROUNDING < wait.until;
-        if let Some(wait) = waits.iter().find(is_violated) {
-            let answer = wait.entry;
-            let elapsed = now - wait.received_at;
-            let remaining = wait.until - now;
+        let is_violated = |retry_after: &&RetryAfter| {
+            now > retry_after.received_at + grace && now + RETRY_AFTER_ROUNDING < retry_after.until
+        };
+        if let Some(retry_after) = times.iter().find(is_violated) {
+            let answer = retry_after.entry;
+            let elapsed = now - retry_after.received_at;
+            let remaining = retry_after.until - now;
             let description =
                 format!("sent to {partner} {elapsed:?} after a retry-after answer, {remaining:?} too early");
             self.report_violation(Rule::Waits, courier, Some(id), description, [answer, entry]);
@@ -111,7 +112,8 @@
         outage.record(entry);
     }
 
-    /// Checks that a call does not overload a partner in slow start.
+    /// Checks that a call does not overload a partner in slow start. During the outage itself the call is only added to
+    /// the evidence; once the partner is warm, the outage is dropped.
     pub(super) fn check_slow_start(
         &mut self,
         entry: Entry,
@@ -121,14 +123,14 @@
     ) {
         let Some(outage) = self.outages.get_mut(&partner) else { return };
         outage.record(entry);
-        let courier_saw_outage = outage.informed_couriers.contains(&courier);
+        let is_informed = outage.informed_couriers.contains(&courier);
         let Some(slow_start) = &mut outage.slow_start else { return };
         if slow_start.is_warm(entry.at) {
             self.outages.remove(&partner);
             return;
         }
         let Some(Collapse { calls, max_calls, informed_share }) =
-            slow_start.record_call(entry.at, courier_saw_outage)
+            slow_start.record_call(entry.at, is_informed)
         else {
             return;
         };
--- a/crates/gullcart-judge/src/judge/processes.rs
+++ b/crates/gullcart-judge/src/judge/processes.rs
@@ -12,7 +12,7 @@
         let state = self.couriers.entry(courier).or_default();
         match change {
             ProcessEvent::Started => state.started_at = entry.at,
-            ProcessEvent::Terminated => state.away = true,
+            ProcessEvent::Terminated => state.unavailable = true,
             ProcessEvent::Ready => self.courier_available(courier, entry.at),
             ProcessEvent::Ended => self.process_ended(courier),
             ProcessEvent::Crashed => {
@@ -21,7 +21,7 @@
                 self.report_violation(Rule::Crash, courier, None, description, [entry]);
             }
             ProcessEvent::Suspended => {
-                state.away = true;
+                state.unavailable = true;
                 state.suspended_at = entry.at;
             }
             ProcessEvent::Resumed => {
@@ -35,7 +35,7 @@
     /// Marks a courier as available and schedules the checks that were postponed meanwhile.
     fn courier_available(&mut self, courier: CourierId, now: Timestamp) {
         let state = self.couriers.entry(courier).or_default();
-        state.away = false;
+        state.unavailable = false;
         state.ready_at = now;
         for (check, message) in std::mem::take(&mut state.postponed_checks) {
             self.checks.insert((now + self.limits.ready_slack, check, message));
@@ -44,15 +44,16 @@
 
     /// Handles the end of a process. Retry-after times do not survive a restart.
     fn process_ended(&mut self, courier: CourierId) {
-        self.couriers.entry(courier).or_default().away = true;
-        self.retry_after.retain(|(waiting, _), _| *waiting != courier);
+        self.couriers.entry(courier).or_default().unavailable = true;
+        self.retry_after_times.retain(|(notified, _), _| *notified != courier);
     }
 
     /// Treats retry-after times and drains that were sent to a paused process as received when it resumed.
     fn delay_input_until_resumed(&mut self, courier: CourierId, resumed_at: Timestamp) {
         let suspended_at = self.couriers.get(&courier).map_or(Timestamp(0), |state| state.suspended_at);
-        let its_waits = self.retry_after.iter_mut().filter(|((waiting, _), _)| *waiting == courier);
-        for retry_after in its_waits.flat_map(|(_, waits)| waits) {
+        let its_retry_after_times =
+            self.retry_after_times.iter_mut().filter(|((notified, _), _)| *notified == courier);
+        for retry_after in its_retry_after_times.flat_map(|(_, times)| times) {
             if retry_after.received_at >= suspended_at {
                 retry_after.received_at = resumed_at;
             }
@@ -69,10 +70,10 @@
     fn folder_lost(&mut self, courier: CourierId) {
         self.couriers.entry(courier).or_default().postponed_checks.clear();
         for m in self.messages.values_mut().filter(|m| m.courier == courier && !m.is_final()) {
-            m.status = EnqueueStatus::Void;
-            m.rejected = false;
+            m.status = EnqueueStatus::NoObligation;
+            m.got_busy_reply = false;
         }
-        self.keys.retain(|(owner, _), _| *owner != courier);
+        self.order_keys.retain(|(owner, _), _| *owner != courier);
         self.drains.retain(|(notified, _), _| *notified != courier);
         for outage in self.outages.values_mut() {
             outage.informed_couriers.remove(&courier);
--- a/crates/gullcart-judge/src/judge/state.rs
+++ b/crates/gullcart-judge/src/judge/state.rs
@@ -6,15 +6,15 @@
 
 /// Maximum number of trace entries kept for an outage and its slow start.
 const MAX_OUTAGE_EVIDENCE: usize = 16;
-/// The first of these entries are never dropped: the start of the outage, and the first failure seen.
+/// Number of entries at the head of an outage's evidence that are never dropped: its start and the entry after it.
 const PINNED_OUTAGE_EVIDENCE: usize = 2;
 
 /// The process of a courier.
 #[derive(Default)]
 pub(super) struct Courier {
-    /// Whether the process is unavailable: paused, or between SIGTERM or its end and the time when it is ready again.
-    pub away: bool,
-    /// When it last became ready.
+    /// Whether the process is paused, or between SIGTERM or its end and the time when it is ready again.
+    pub unavailable: bool,
+    /// When it last became available; zero if it never did.
     pub ready_at: Timestamp,
     /// When it was last paused.
     pub suspended_at: Timestamp,
@@ -57,7 +57,7 @@
 
 /// The messages of one order key at one courier.
 #[derive(Default)]
-pub(super) struct KeyState {
+pub(super) struct OrderKeyState {
     /// Messages in the order in which they were enqueued. Those that are final are removed from the front.
     pub queue: VecDeque<MessageId>,
     /// The last aborted call.
--- a/crates/gullcart-judge/src/lib.rs
+++ b/crates/gullcart-judge/src/lib.rs
@@ -18,4 +18,4 @@
 pub use judge::{Judge, MAX_VIOLATIONS};
 pub use limits::{ClassRules, Effect, RuleLimits};
 pub use rule::{Rule, Violation};
-pub use service::{ClassWorth, LatencySummary, SecondTotals, ServiceMeter, ServiceScores, Weights};
+pub use service::{ClassWorth, LatencySummary, ServiceMeter, ServiceScores, Weights, WorthTotals};
--- a/crates/gullcart-judge/src/limits.rs
+++ b/crates/gullcart-judge/src/limits.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-/// What a repeated call may do at its partner.
+/// The effect of a repeated call at its partner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Harmless to repeat.
     Safe,
     /// The partner ignores a repeat that carries the same idempotency key within this time after the first call.
     Keyed {
-        /// How long the partner remembers the key.
+        /// How long the partner remembers the idempotency key.
         window: Duration,
     },
     /// Must never take effect twice.
@@ -19,7 +19,7 @@
 /// The properties of a class that the rules depend on.
 #[derive(Clone, Copy, Debug)]
 pub struct ClassRules {
-    /// What a repeated call may do.
+    /// The effect of a repeated call.
     pub effect: Effect,
     /// Whether messages with the same order key are delivered one at a time and in order.
     pub in_order: bool,
@@ -32,13 +32,15 @@
     pub classes: Vec<ClassRules>,
     /// How long after its deadline a message without delivery or notice counts as lost.
     pub deadline_slack: Duration,
-    /// How long after a restarted courier became ready its overdue notices are still excused.
+    /// Time that a courier gets for overdue notices after it became available again.
     pub ready_slack: Duration,
-    /// Time within which the failure of an undeliverable message has to be reported.
+    /// Time within which the failure of an undeliverable message has to be reported. An answered notice may also be
+    /// repeated for this long, as the answer may not have arrived yet.
     pub max_notice_delay: Duration,
     /// How long after the report of a drain calls to the endpoint may still start.
     pub drain_grace: Duration,
-    /// Tolerance for transmission over sockets, added to other time limits.
+    /// Tolerance for the transmission over sockets, in favour of the courier: it extends upper limits and shortens
+    /// `order_settle_time`.
     pub socket_slack: Duration,
     /// How long after a retry-after answer calls are tolerated, as they may have been sent before it arrived.
     pub retry_after_grace: Duration,
--- a/crates/gullcart-judge/src/message.rs
+++ b/crates/gullcart-judge/src/message.rs
@@ -5,7 +5,7 @@
 /// Maximum number of trace entries kept for a message. Beyond it, the oldest one after the enqueue request is dropped.
 const MAX_EVIDENCE_ENTRIES: usize = 24;
 
-/// What the client of a message knows about its enqueue request.
+/// What the reply to an enqueue request obliges the courier to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EnqueueStatus {
     /// The request has no reply yet.
@@ -13,7 +13,7 @@
     /// The courier accepted the message and has to deliver it or send a notice.
     Accepted,
     /// The courier has no obligation: the request was rejected, failed or timed out, or the courier's folder was lost.
-    Void,
+    NoObligation,
 }
 
 /// The first notice for a message.
@@ -33,8 +33,8 @@
     pub partner: PartnerId,
     pub deadline: Timestamp,
     pub status: EnqueueStatus,
-    /// Whether the courier rejected the enqueue request with `-BUSY`.
-    pub rejected: bool,
+    /// Whether the courier replied `-BUSY` to the enqueue request. It must not send the message then.
+    pub got_busy_reply: bool,
     pub delivered_at: Option<Timestamp>,
     pub first_notice: Option<NoticeRecord>,
     /// When the first call that may have run began.
@@ -62,14 +62,16 @@
         self.first_possible_run.is_some() || !self.calls_in_flight.is_empty()
     }
 
-    /// Whether the next message with the same order key may be sent.
+    /// Whether the courier is done with the message: it was delivered, its notice was answered, or the courier has no
+    /// obligation for it. The next message with the same order key may then be sent.
     pub fn is_final(&self) -> bool {
-        self.status == EnqueueStatus::Void
+        self.status == EnqueueStatus::NoObligation
             || self.delivered_at.is_some()
             || self.first_notice.is_some_and(|notice| notice.answered_at.is_some())
     }
 
-    /// Whether the courier still has to deliver the message or send a notice for it.
+    /// Whether the courier accepted the message and has neither delivered it nor sent a notice. A message whose notice
+    /// has no answer yet is neither pending nor final.
     pub fn is_pending(&self) -> bool {
         self.status == EnqueueStatus::Accepted && self.delivered_at.is_none() && self.first_notice.is_none()
     }
--- a/crates/gullcart-judge/src/rule.rs
+++ b/crates/gullcart-judge/src/rule.rs
@@ -3,25 +3,28 @@
 use crate::trace::*;
 use serde::Serialize;
 
-/// A rule that couriers have to keep.
+/// A rule that couriers have to keep. Reports print both [`Rule::name`] and the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
     /// No message is lost.
     Lost,
-    /// No call takes effect twice.
+    /// No message takes effect twice. Besides unsafe repeats, this covers whatever lets a client or courier repeat a
+    /// message that may have run: returning or rejecting it, sending it after it was returned or rejected, and changing
+    /// its idempotency key or body.
     Twice,
     /// No call starts at an endpoint that has been draining for longer than the grace period.
     Drains,
-    /// A partner in slow start is not overloaded.
+    /// A partner that returns from an outage (slow start) is not overloaded.
     Returning,
     /// Messages with one order key are delivered one at a time and in order.
     Order,
-    /// A partner's retry-after time is respected.
+    /// A courier waits for the retry-after time that a partner gave it.
     Waits,
-    /// A message has one final answer, reported once and without delay.
+    /// A message has one final result, reported once and without delay.
     FinalAnswer,
-    /// A message goes to its own partner, unchanged.
+    /// A message goes to its own partner, from the courier that accepted it. A changed key or body is reported as
+    /// [`Rule::Twice`].
     Destination,
     /// A courier's process ends only when it is told to.
     Crash,
@@ -83,7 +86,7 @@
                 "A courier that received a retry-after time sends nothing to that partner until the time has passed."
             }
             Rule::FinalAnswer => {
-                "A message has one final answer, reported once, and without delay when the message is abandoned."
+                "A message has one final result, reported once, and without delay when the message is abandoned."
             }
             Rule::Destination => {
                 "A message goes to its own partner, unchanged, from the courier that accepted it."
--- a/crates/gullcart-judge/src/service.rs
+++ b/crates/gullcart-judge/src/service.rs
@@ -10,6 +10,8 @@
 const WORST_WINDOW_SECONDS: usize = 10;
 /// Latencies above ten minutes are recorded as ten minutes.
 const MAX_LATENCY_MS: u64 = 600_000;
+/// Number of quantiles that [`ServiceMeter::percentiles`] lists each time the distance to 1 halves.
+const QUANTILES_PER_HALVING: u32 = 5;
 
 /// What a message of a class is worth, depending on its latency.
 #[derive(Clone, Copy, Debug)]
@@ -18,10 +20,10 @@
     pub worth: f64,
     /// Latency up to which a message has its full worth.
     pub aim: Duration,
-    /// Latency from which on a message is worth nothing.
+    /// Latency beyond which a message is worth nothing.
     pub deadline: Duration,
-    /// Share of the worth that is left at the deadline. The worth falls linearly between `aim` and `deadline`.
-    pub late_share: f64,
+    /// Share of `worth` that a delivery right at the deadline still has. The worth falls linearly from `aim` to there.
+    pub share_at_deadline: f64,
 }
 
 impl ClassWorth {
@@ -34,7 +36,7 @@
             return 0.0;
         }
         let late = (latency - self.aim).as_secs_f64() / (self.deadline - self.aim).as_secs_f64().max(1e-9);
-        self.worth * (1.0 - late * (1.0 - self.late_share))
+        self.worth * (1.0 - late * (1.0 - self.share_at_deadline))
     }
 }
 
@@ -55,15 +57,15 @@
     }
 }
 
-/// The worth of the messages whose intended send was in one second.
+/// Totals of worth for a group of messages: those whose intended send was in one second, or those of a class.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct SecondTotals {
+pub struct WorthTotals {
     /// Worth of all these messages, each counted in full.
     #[serde(rename = "asked")]
-    pub requested: f64,
+    pub requested_worth: f64,
     /// Worth of their deliveries, whenever these happened.
     #[serde(rename = "served")]
-    pub delivered: f64,
+    pub delivered_worth: f64,
 }
 
 /// The scores of a run: the share of the requested worth that was delivered, each from 0 to 1.
@@ -112,12 +114,15 @@
     }
 }
 
-/// Measures the service of a run. A client's retries count as part of its first request.
+/// Measures the service of a run.
+///
+/// The intended send is the time at which the load plan has a client send a message, however late the client really
+/// sends it. A message that a client retries is to be recorded once, with the intended send of its first request.
 pub struct ServiceMeter {
     classes: Vec<ClassWorth>,
-    seconds: Vec<SecondTotals>,
+    seconds: Vec<WorthTotals>,
     /// Totals of the whole run, by class.
-    class_totals: Vec<SecondTotals>,
+    class_totals: Vec<WorthTotals>,
     /// Latencies of deliveries in milliseconds, by class.
     latencies: Vec<Histogram<u64>>,
 }
@@ -130,41 +135,41 @@
             bounded.expect("the bounds are constants that the histogram allows")
         };
         ServiceMeter {
-            class_totals: vec![SecondTotals::default(); classes.len()],
+            class_totals: vec![WorthTotals::default(); classes.len()],
             latencies: classes.iter().map(|_| histogram()).collect(),
             classes,
             seconds: Vec::new(),
         }
     }
 
-    /// Counts a message that was intended to be sent at `intended`.
-    pub fn record_request(&mut self, class: usize, intended: Timestamp) {
+    /// Counts a message with the given time of its intended send.
+    pub fn record_request(&mut self, class: usize, intended_send: Timestamp) {
         if let Some(worth) = self.classes.get(class).map(|class| class.worth) {
-            self.second(intended).requested += worth;
-            self.class_totals[class].requested += worth;
+            self.second(intended_send).requested_worth += worth;
+            self.class_totals[class].requested_worth += worth;
         }
     }
 
-    /// Counts the delivery of a message that was intended to be sent at `intended`.
-    pub fn record_delivery(&mut self, class: usize, intended: Timestamp, delivered: Timestamp) {
-        let latency = delivered - intended;
+    /// Counts a delivery, with the time of the intended send of its message.
+    pub fn record_delivery(&mut self, class: usize, intended_send: Timestamp, delivered_at: Timestamp) {
+        let latency = delivered_at - intended_send;
         if let Some(worth) = self.classes.get(class).map(|class| class.at_latency(latency)) {
-            self.second(intended).delivered += worth;
-            self.class_totals[class].delivered += worth;
+            self.second(intended_send).delivered_worth += worth;
+            self.class_totals[class].delivered_worth += worth;
             self.latencies[class].saturating_record(latency.as_millis() as u64);
         }
     }
 
-    fn second(&mut self, at: Timestamp) -> &mut SecondTotals {
+    fn second(&mut self, at: Timestamp) -> &mut WorthTotals {
         let index = (at.0 / 1_000_000) as usize;
         if self.seconds.len() <= index {
-            self.seconds.resize(index + 1, SecondTotals::default());
+            self.seconds.resize(index + 1, WorthTotals::default());
         }
         &mut self.seconds[index]
     }
 
     /// The totals of each second, by the intended send.
-    pub fn seconds(&self) -> &[SecondTotals] {
+    pub fn seconds(&self) -> &[WorthTotals] {
         &self.seconds
     }
 
@@ -177,10 +182,12 @@
     }
 
     /// The distribution of latencies over all classes, as pairs of a quantile and a latency in milliseconds. The
-    /// quantiles are denser towards 1.
+    /// quantiles become denser towards 1.
     pub fn percentiles(&self) -> Vec<(f64, u64)> {
         let Some(all) = self.all_latencies().filter(|all| !all.is_empty()) else { return Vec::new() };
-        all.iter_quantiles(5).map(|step| (step.quantile(), step.value_iterated_to())).collect()
+        all.iter_quantiles(QUANTILES_PER_HALVING)
+            .map(|step| (step.quantile(), step.value_iterated_to()))
+            .collect()
     }
 
     fn all_latencies(&self) -> Option<Histogram<u64>> {
@@ -197,9 +204,9 @@
 
     /// The scores so far. A span without requests has a score of 1.
     pub fn scores(&self, weights: Weights) -> ServiceScores {
-        let score = |totals: &[SecondTotals]| {
-            let requested: f64 = totals.iter().map(|second| second.requested).sum();
-            let delivered: f64 = totals.iter().map(|second| second.delivered).sum();
+        let score = |totals: &[WorthTotals]| {
+            let requested: f64 = totals.iter().map(|second| second.requested_worth).sum();
+            let delivered: f64 = totals.iter().map(|second| second.delivered_worth).sum();
             if requested > 0.0 {
                 delivered / requested
             } else {
--- a/crates/gullcart-judge/src/slow_start.rs
+++ b/crates/gullcart-judge/src/slow_start.rs
@@ -1,13 +1,15 @@
 //! The slow start of a partner after an outage: how many calls it can take, and when it collapses under them.
 //!
-//! The limit is a budget: the calls that arrive within any window of the stated length must stay below
-//! multiple x present capacity x window. Some slack is added, as arrivals are discrete and vary by chance.
+//! The calls that arrive within any `collapse_window` must stay below `collapse_multiple` x present capacity x
+//! `collapse_window`. Some slack is added, as arrivals are discrete and vary by chance.
+//!
+//! A courier is informed if it saw a call to the partner fail during the outage.
 
 use crate::trace::Timestamp;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// A partner in slow start. Its capacity grows linearly from a share to the whole.
+/// A partner in slow start. Its capacity grows linearly from `cold_capacity_share` at `since` to 1 at `warm_at`.
 #[derive(Clone, Debug)]
 pub struct SlowStart {
     since: Timestamp,
@@ -18,7 +20,7 @@
     cold_capacity_share: f64,
     collapse_multiple: f64,
     collapse_window: Duration,
-    /// Calls of the last window, and whether their courier had seen the outage.
+    /// The calls within the last window: when each arrived, and whether its courier was informed.
     recent_calls: VecDeque<(Timestamp, bool)>,
 }
 
@@ -27,9 +29,9 @@
 pub struct Collapse {
     /// Calls in the window.
     pub calls: usize,
-    /// The budget of the window, slack included.
+    /// The maximum of calls for the window, slack included.
     pub max_calls: f64,
-    /// The share of the calls that came from couriers that had seen the outage.
+    /// The share of the calls that came from informed couriers.
     pub informed_share: f64,
 }
 
@@ -69,15 +71,15 @@
         self.cold_capacity_share + (1.0 - self.cold_capacity_share) * (now - self.since).as_secs_f64() / total
     }
 
-    /// The budget of calls for the window that ends now, slack included.
+    /// The maximum of calls for the window that ends now, slack included.
     pub fn max_calls(&self, now: Timestamp) -> f64 {
         let window_seconds = self.collapse_window.as_secs_f64();
-        let budget = self.collapse_multiple * self.capacity_share(now) * self.capacity * window_seconds;
-        budget + 1.0 + budget.sqrt()
+        let limit = self.collapse_multiple * self.capacity_share(now) * self.capacity * window_seconds;
+        limit + 1.0 + limit.sqrt()
     }
 
     /// Counts a call that reaches the partner, whatever its answer. Returns the collapse if the call causes one.
-    pub fn record_call(&mut self, now: Timestamp, courier_saw_outage: bool) -> Option<Collapse> {
+    pub fn record_call(&mut self, now: Timestamp, is_informed: bool) -> Option<Collapse> {
         if self.is_warm(now) {
             self.recent_calls.clear();
             return None;
@@ -85,10 +87,10 @@
         while self.recent_calls.front().is_some_and(|(at, _)| now - *at >= self.collapse_window) {
             self.recent_calls.pop_front();
         }
-        self.recent_calls.push_back((now, courier_saw_outage));
+        self.recent_calls.push_back((now, is_informed));
         let calls = self.recent_calls.len();
         let max_calls = self.max_calls(now);
-        let informed = self.recent_calls.iter().filter(|(_, saw_outage)| *saw_outage).count();
+        let informed = self.recent_calls.iter().filter(|(_, is_informed)| *is_informed).count();
         let informed_share = informed as f64 / calls as f64;
         (calls as f64 > max_calls).then_some(Collapse { calls, max_calls, informed_share })
     }
--- a/crates/gullcart-judge/src/trace.rs
+++ b/crates/gullcart-judge/src/trace.rs
@@ -85,7 +85,7 @@
     /// sent for this id.
     #[serde(rename = "GaveUp")]
     ClientTimedOut,
-    /// Twice, the connection was closed without a reply after the request had been written.
+    /// The client wrote the request on two connections in turn, and each was closed without a reply.
     #[serde(rename = "Cut")]
     ConnectionLost,
     /// The connection could not be opened, or was closed because the courier's process ended.
@@ -191,7 +191,7 @@
     Started,
     /// The process answers `PING`.
     Ready,
-    /// SIGTERM was sent to the process.
+    /// SIGTERM was sent to the process, which may still be running.
     Terminated,
     /// The process ended after SIGTERM, or was killed with SIGKILL.
     Ended,
@@ -201,7 +201,7 @@
     Suspended,
     /// The process runs again. Input that arrived during the pause is delivered from now on.
     Resumed,
-    /// The courier's folder was lost together with its machine, and with it all pending messages.
+    /// The machine was lost, and with it the courier's folder and all pending messages in it.
     FolderLost,
 }
 
@@ -282,7 +282,8 @@
         /// The message that the notice was about.
         message: MessageId,
     },
-    /// Discovery wrote a change of an endpoint's state to a courier, or the courier is assumed to know of it.
+    /// Discovery wrote a change of an endpoint's state to a courier, or the test environment treats the courier as
+    /// notified without a write.
     #[serde(rename = "Listed")]
     ListingUpdated {
         /// The notified courier.
--- a/crates/gullcart-judge/tests/lawful.rs
+++ b/crates/gullcart-judge/tests/lawful.rs
@@ -53,8 +53,9 @@
     ]))
 }
 
-/// The trace of couriers that carry out a plan and keep the rules. Each partner has one key, and a courier begins with a
-/// message only when its previous one for the same partner is final, so a retry-after time delays one message at a time.
+/// The trace of couriers that carry out a plan and keep the rules. Each partner has one key, and a courier begins with
+/// a message only when its previous one for the same partner is final, so a retry-after time delays one message at a
+/// time.
 fn valid_trace(plans: &[MessagePlan]) -> Vec<Entry> {
     let mut trace = Vec::new();
     let mut call = 0;
@@ -155,12 +156,12 @@
     }
 
     #[test]
-    fn a_missing_final_result_is_found(plans in prop::collection::vec(plan(), 1..60), which in any::<prop::sample::Index>()) {
+    fn a_missing_final_result_is_found(plans in prop::collection::vec(plan(), 1..60), result_index in any::<prop::sample::Index>()) {
         let mut trace = valid_trace(&plans);
         let results: Vec<usize> = (0..trace.len())
             .filter(|index| matches!(trace[*index].event, Event::Notice { .. } | Event::CallAnswered { answer: Answer::Ok, .. }))
             .collect();
-        let removed = results[which.index(results.len())];
+        let removed = results[result_index.index(results.len())];
         match trace[removed].event {
             Event::Notice { message, .. } => trace.retain(|entry| !matches!(entry.event,
                 Event::Notice { message: other, .. } if other == message)),
--- a/crates/gullcart-judge/tests/rules.rs
+++ b/crates/gullcart-judge/tests/rules.rs
@@ -21,18 +21,20 @@
 }
 
 /// Builds a trace of one courier and passes it to a judge. Times are in milliseconds from the start.
-struct Trace(Judge);
+struct TraceBuilder {
+    judge: Judge,
+}
 
-impl Trace {
+impl TraceBuilder {
     /// A trace with a courier that is ready at 10 ms.
     fn new() -> Self {
-        let mut trace = Trace(Judge::new(limits()));
+        let mut trace = TraceBuilder { judge: Judge::new(limits()) };
         trace.process(1, ProcessEvent::Started).process(10, ProcessEvent::Ready);
         trace
     }
 
     fn at(&mut self, ms: u64, event: Event) -> &mut Self {
-        self.0.feed(Entry { at: Timestamp::from_millis(ms), event });
+        self.judge.feed(Entry { at: Timestamp::from_millis(ms), event });
         self
     }
 
@@ -95,35 +97,39 @@
 
     /// Ends the trace and returns the violated rules.
     fn violated_rules(&mut self) -> Vec<Rule> {
-        self.0.finish(Timestamp::from_millis(100_000));
-        self.0.violation_counts().keys().copied().collect()
+        self.judge.finish(Timestamp::from_millis(100_000));
+        self.judge.violation_counts().keys().copied().collect()
     }
 
     fn assert_no_violation(&mut self) {
-        assert_eq!(self.violated_rules(), [], "{:#?}", self.0.violations());
+        assert_eq!(self.violated_rules(), [], "{:#?}", self.judge.violations());
     }
 
     /// Asserts that only this rule is violated, and that the report has a description and evidence.
     fn assert_violation(&mut self, rule: Rule) {
-        assert_eq!(self.violated_rules(), [rule], "{:#?}", self.0.violations());
-        let violation = &self.0.violations()[0];
+        assert_eq!(self.violated_rules(), [rule], "{:#?}", self.judge.violations());
+        let violation = &self.judge.violations()[0];
         assert!(!violation.evidence.is_empty() && !violation.description.is_empty(), "{violation:?}");
     }
 }
 
 #[test]
 fn a_message_that_is_delivered_or_ended_is_not_lost() {
-    Trace::new().accepted(100, 1, UNSAFE).call(110, 1, 1).respond(200, 1, Answer::Ok).assert_no_violation();
-    Trace::new()
+    TraceBuilder::new()
+        .accepted(100, 1, UNSAFE)
+        .call(110, 1, 1)
+        .respond(200, 1, Answer::Ok)
+        .assert_no_violation();
+    TraceBuilder::new()
         .accepted(100, 1, UNSAFE)
         .notice(200, 1, Verdict::Returned(None))
         .notice_answered(201, 1)
         .assert_no_violation();
-    Trace::new()
+    TraceBuilder::new()
         .enqueue(100, 1, UNSAFE)
         .enqueue_outcome(101, 1, EnqueueOutcome::Busy(Some(500)))
         .assert_no_violation();
-    Trace::new()
+    TraceBuilder::new()
         .enqueue(100, 1, UNSAFE)
         .enqueue_outcome(500, 1, EnqueueOutcome::ClientTimedOut)
         .assert_no_violation();
@@ -131,19 +137,22 @@
 
 #[test]
 fn a_message_without_a_final_result_is_lost_300_ms_after_its_deadline() {
-    Trace::new().accepted(100, 1, UNSAFE).assert_violation(Rule::Lost);
+    TraceBuilder::new().accepted(100, 1, UNSAFE).assert_violation(Rule::Lost);
     let end = 100 + DEADLINE_AFTER_MS;
-    Trace::new().accepted(100, 1, UNSAFE).notice(end + 299, 1, Verdict::Failed).assert_no_violation();
-    Trace::new().accepted(100, 1, UNSAFE).notice(end + 301, 1, Verdict::Failed).assert_violation(Rule::Lost);
+    TraceBuilder::new().accepted(100, 1, UNSAFE).notice(end + 299, 1, Verdict::Failed).assert_no_violation();
+    TraceBuilder::new()
+        .accepted(100, 1, UNSAFE)
+        .notice(end + 301, 1, Verdict::Failed)
+        .assert_violation(Rule::Lost);
 }
 
 #[test]
 fn a_connection_that_is_closed_without_a_reply_loses_its_message() {
-    Trace::new()
+    TraceBuilder::new()
         .enqueue(100, 1, UNSAFE)
         .enqueue_outcome(120, 1, EnqueueOutcome::ConnectionLost)
         .assert_violation(Rule::Lost);
-    Trace::new()
+    TraceBuilder::new()
         .enqueue(100, 1, UNSAFE)
         .enqueue_outcome(120, 1, EnqueueOutcome::Unreachable)
         .assert_no_violation();
@@ -153,7 +162,7 @@
 fn no_notice_is_overdue_until_a_restarted_courier_has_been_ready_for_a_while() {
     let end = 100 + DEADLINE_AFTER_MS;
     let restarted = |notice_at| {
-        let mut trace = Trace::new();
+        let mut trace = TraceBuilder::new();
         trace
             .accepted(100, 1, UNSAFE)
             .process(end - 500, ProcessEvent::Terminated)
@@ -168,7 +177,7 @@
 
 #[test]
 fn a_message_lost_with_its_couriers_folder_is_no_violation() {
-    let mut trace = Trace::new();
+    let mut trace = TraceBuilder::new();
     trace
         .accepted(100, 1, UNSAFE)
         .process(200, ProcessEvent::Ended)
@@ -179,16 +188,16 @@
 #[test]
 fn an_unsafe_message_is_sent_again_only_after_calls_that_never_ran() {
     for did_not_run in [Answer::Rejected(None), Answer::Rejected(Some(50)), Answer::AttemptsExhausted] {
-        let mut trace = Trace::new();
+        let mut trace = TraceBuilder::new();
         trace.accepted(100, 1, UNSAFE).call(110, 1, 1).respond(120, 1, did_not_run);
         trace.call(200, 2, 1).respond(250, 2, Answer::Ok).assert_no_violation();
     }
     for may_have_run in [Answer::Error, Answer::Malformed, Answer::Ok] {
-        let mut trace = Trace::new();
+        let mut trace = TraceBuilder::new();
         trace.accepted(100, 1, UNSAFE).call(110, 1, 1).respond(120, 1, may_have_run);
         trace.call(200, 2, 1).respond(250, 2, Answer::Ok).assert_violation(Rule::Twice);
     }
-    let mut reset = Trace::new();
+    let mut reset = TraceBuilder::new();
     reset.accepted(100, 1, UNSAFE).call(110, 1, 1).abort(120, 1);
     reset.call(200, 2, 1).respond(250, 2, Answer::Ok).assert_violation(Rule::Twice);
 }
@@ -196,7 +205,7 @@
 #[test]
 fn a_keyed_message_is_sent_again_only_inside_its_window() {
     let repeated = |repeat_at| {
-        let mut trace = Trace::new();
+        let mut trace = TraceBuilder::new();
         trace.accepted(100, 1, KEYED).call(110, 1, 1).abort(500, 1).call(repeat_at, 2, 1).respond(
             repeat_at + 10,
             2,
@@ -207,7 +216,7 @@
     repeated(110 + 10_049).assert_no_violation();
     repeated(110 + 10_051).assert_violation(Rule::Twice);
     // The window starts with the first call that may have run, so a rejected call does not count.
-    let mut rejected = Trace::new();
+    let mut rejected = TraceBuilder::new();
     rejected.accepted(100, 1, KEYED).call(110, 1, 1).respond(120, 1, Answer::Rejected(None));
     rejected.call(15_000, 2, 1).respond(15_100, 2, Answer::Ok).assert_no_violation();
 }
@@ -215,7 +224,7 @@
 #[test]
 fn a_message_has_one_call_in_flight() {
     let overlapping = |first_ends_at| {
-        let mut trace = Trace::new();
+        let mut trace = TraceBuilder::new();
         trace.accepted(100, 1, KEYED).call(110, 1, 1).call(1000, 2, 1).abort(first_ends_at, 1);
         trace.respond(1200, 2, Answer::Ok);
         trace
@@ -228,7 +237,7 @@
 #[test]
 fn an_unsafe_message_that_may_have_run_is_not_returned() {
     let returned = |class, answer| {
-        let mut trace = Trace::new();
+        let mut trace = TraceBuilder::new();
         trace.accepted(100, 1, class).call(110, 1, 1).respond(120, 1, answer);
         trace.notice(130, 1, Verdict::Returned(Some(500))).notice_answered(131, 1);
         trace
@@ -237,13 +246,13 @@
     returned(UNSAFE, Answer::Error).assert_violation(Rule::Twice);
     // A keyed message may be returned, as its key keeps a repeat from taking effect.
     returned(KEYED, Answer::Error).assert_no_violation();
-    let mut in_flight = Trace::new();
+    let mut in_flight = TraceBuilder::new();
     in_flight
         .accepted(100, 1, UNSAFE)
         .call(110, 1, 1)
         .notice(130, 1, Verdict::Returned(None))
         .assert_violation(Rule::Twice);
-    let mut rejected_in_flight = Trace::new();
+    let mut rejected_in_flight = TraceBuilder::new();
     rejected_in_flight
         .enqueue(100, 1, UNSAFE)
         .call(110, 1, 1)
@@ -253,19 +262,19 @@
 
 #[test]
 fn a_rejected_or_returned_message_is_not_sent() {
-    Trace::new()
+    TraceBuilder::new()
         .enqueue(100, 1, UNSAFE)
         .enqueue_outcome(101, 1, EnqueueOutcome::Busy(None))
         .call(200, 1, 1)
         .assert_violation(Rule::Twice);
-    let mut returned = Trace::new();
+    let mut returned = TraceBuilder::new();
     returned
         .accepted(100, 1, UNSAFE)
         .notice(200, 1, Verdict::Returned(None))
         .call(260, 1, 1)
         .assert_violation(Rule::Twice);
     // The rules do not apply to a message whose client timed out.
-    Trace::new()
+    TraceBuilder::new()
         .enqueue(100, 1, UNSAFE)
         .enqueue_outcome(500, 1, EnqueueOutcome::ClientTimedOut)
         .call(600, 1, 1)
@@ -284,7 +293,7 @@
         intact,
     };
     let traced = |event| {
-        let mut trace = Trace::new();
+        let mut trace = TraceBuilder::new();
         trace.accepted(100, 1, KEYED).at(110, event).respond(120, 1, Answer::Ok);
         trace
     };
@@ -292,7 +301,7 @@
     traced(call(7, 0, false)).assert_violation(Rule::Twice);
     traced(call(8, 0, true)).assert_violation(Rule::Destination);
     traced(call(7, 1, true)).assert_violation(Rule::Destination);
-    let mut unknown = Trace::new();
+    let mut unknown = TraceBuilder::new();
     let mut event = call(7, 0, true);
     if let Event::CallReceived { message, .. } = &mut event {
         *message = None;
@@ -301,9 +310,9 @@
 }
 
 #[test]
-fn no_call_starts_2_s_after_a_drain_was_reported() {
+fn no_call_starts_after_the_grace_period_of_a_drain() {
     let sent = |first_byte: u64| {
-        let mut trace = Trace::new();
+        let mut trace = TraceBuilder::new();
         let (courier, endpoint) = (CourierId(0), EndpointId(4));
         trace.at(1000, Event::ListingUpdated { courier, endpoint, state: EndpointState::Draining });
         trace.at(2500, Event::ListingUpdated { courier, endpoint, state: EndpointState::Gone });
@@ -311,7 +320,7 @@
         trace.respond(first_byte + 40, 1, Answer::Ok);
         trace
     };
-    // The first byte counts, and the limit has 50 ms of tolerance for sockets.
+    // The first byte counts; to the grace of 2 s come 50 ms of tolerance for sockets.
     sent(3050).assert_no_violation();
     sent(3051).assert_violation(Rule::Drains);
 }
@@ -322,7 +331,7 @@
 fn input_to_a_paused_process_counts_from_its_resumption() {
     let (courier, endpoint) = (CourierId(0), EndpointId(4));
     let drained = |reported: u64, sent: u64| {
-        let mut trace = Trace::new();
+        let mut trace = TraceBuilder::new();
         let drain = Event::ListingUpdated { courier, endpoint, state: EndpointState::Draining };
         trace.accepted(500, 1, UNSAFE);
         if reported < 1000 {
@@ -341,7 +350,7 @@
     drained(900, 4100).assert_violation(Rule::Drains);
 
     let rejected = |sent: u64| {
-        let mut trace = Trace::new();
+        let mut trace = TraceBuilder::new();
         trace
             .accepted(400, 1, KEYED)
             .accepted(410, 2, KEYED)
@@ -357,7 +366,7 @@
 
 #[test]
 fn a_drain_applies_to_one_courier_and_one_endpoint() {
-    let mut trace = Trace::new();
+    let mut trace = TraceBuilder::new();
     let endpoint = EndpointId(4);
     trace.at(1000, Event::ListingUpdated { courier: CourierId(1), endpoint, state: EndpointState::Gone });
     trace
@@ -368,7 +377,7 @@
 }
 
 /// An outage of the partner from 1 s to 5 s, with a slow start from 20 % of 10 calls a second until 15 s.
-fn outage(trace: &mut Trace, courier_saw_outage: bool) {
+fn outage(trace: &mut TraceBuilder, courier_saw_outage: bool) {
     trace.at(1000, Event::OutageBegan { partner: BANK });
     if courier_saw_outage {
         trace.accepted(1100, 900, KEYED).call(1110, 900, 900).respond(1120, 900, Answer::Rejected(None));
@@ -379,7 +388,7 @@
 }
 
 /// Sends messages with one call each, 10 ms apart, right after the outage.
-fn send_calls(trace: &mut Trace, calls: u64) {
+fn send_calls(trace: &mut TraceBuilder, calls: u64) {
     for call in 0..calls {
         let at = 5100 + call * 10;
         trace.accepted(at, call, KEYED).call(at + 2, call, call).respond(at + 5, call, Answer::Ok);
@@ -390,7 +399,7 @@
 fn a_partner_in_slow_start_is_not_overloaded() {
     // The budget is 2.5 x 20 % x 10/s x 2 s = 10 calls, plus slack for random variation.
     let loaded = |calls, courier_saw_outage| {
-        let mut trace = Trace::new();
+        let mut trace = TraceBuilder::new();
         outage(&mut trace, courier_saw_outage);
         send_calls(&mut trace, calls);
         trace
@@ -403,7 +412,7 @@
 
 #[test]
 fn a_warm_partner_has_no_limit() {
-    let mut trace = Trace::new();
+    let mut trace = TraceBuilder::new();
     outage(&mut trace, true);
     for call in 0..100 {
         let at = 15_001 + call * 10;
@@ -414,24 +423,24 @@
 
 #[test]
 fn messages_of_a_key_are_sent_one_at_a_time() {
-    let mut in_order = Trace::new();
+    let mut in_order = TraceBuilder::new();
     in_order.accepted(100, 1, ORDERED).accepted(110, 2, ORDERED).call(120, 1, 1).respond(200, 1, Answer::Ok);
     in_order.call(201, 2, 2).respond(300, 2, Answer::Ok).assert_no_violation();
-    let mut reversed = Trace::new();
+    let mut reversed = TraceBuilder::new();
     reversed.accepted(100, 1, ORDERED).accepted(110, 2, ORDERED).call(120, 2, 2).respond(200, 2, Answer::Ok);
     reversed.call(201, 1, 1).respond(300, 1, Answer::Ok).assert_violation(Rule::Order);
-    let mut concurrent = Trace::new();
+    let mut concurrent = TraceBuilder::new();
     concurrent.accepted(100, 1, ORDERED).accepted(110, 2, ORDERED).call(120, 1, 1).call(199, 2, 2);
     concurrent.respond(200, 1, Answer::Ok).respond(300, 2, Answer::Ok).assert_violation(Rule::Order);
     // Messages of unordered classes do not wait for each other.
-    let mut unordered = Trace::new();
+    let mut unordered = TraceBuilder::new();
     unordered.accepted(100, 1, KEYED).accepted(110, 2, KEYED).call(120, 2, 2).respond(200, 2, Answer::Ok);
     unordered.call(201, 1, 1).respond(300, 1, Answer::Ok).assert_no_violation();
 }
 
 #[test]
 fn a_notice_may_come_out_of_order() {
-    let mut trace = Trace::new();
+    let mut trace = TraceBuilder::new();
     trace.accepted(100, 1, ORDERED).accepted(110, 2, ORDERED).accepted(112, 3, ORDERED);
     trace.notice(130, 2, Verdict::Returned(None)).notice_answered(131, 2);
     trace
@@ -445,7 +454,7 @@
 #[test]
 fn a_message_that_ends_by_a_notice_is_final_when_the_notice_is_answered() {
     let next = |answered_at| {
-        let mut trace = Trace::new();
+        let mut trace = TraceBuilder::new();
         trace.accepted(100, 1, ORDERED).accepted(110, 2, ORDERED).notice(130, 1, Verdict::Returned(None));
         if answered_at < 150 {
             trace.notice_answered(answered_at, 1).call(150, 2, 2);
@@ -460,9 +469,9 @@
 }
 
 #[test]
-fn a_key_pauses_for_100_ms_after_a_call_that_may_still_run() {
+fn a_key_pauses_after_a_call_that_may_still_run() {
     let next = |sent| {
-        let mut trace = Trace::new();
+        let mut trace = TraceBuilder::new();
         trace.accepted(100, 1, ORDERED).accepted(110, 2, ORDERED).call(120, 1, 1).abort(1000, 1);
         trace.notice(1001, 1, Verdict::Failed).notice_answered(1002, 1).call(sent, 2, 2).respond(
             2000,
@@ -471,10 +480,11 @@
         );
         trace
     };
+    // The pause is 100 ms, less 50 ms of tolerance for sockets.
     next(1050).assert_no_violation();
     next(1049).assert_violation(Rule::Order);
     // A retry of the same message need not wait.
-    let mut same = Trace::new();
+    let mut same = TraceBuilder::new();
     same.accepted(100, 1, ORDERED)
         .call(120, 1, 1)
         .abort(1000, 1)
@@ -486,7 +496,7 @@
 #[test]
 fn a_retry_after_time_applies_to_every_message() {
     let next = |sent| {
-        let mut trace = Trace::new();
+        let mut trace = TraceBuilder::new();
         trace.accepted(100, 1, UNSAFE).accepted(110, 2, UNSAFE).call(120, 1, 1).respond(
             200,
             1,
@@ -504,7 +514,7 @@
 
 #[test]
 fn a_restart_ends_a_retry_after_time() {
-    let mut trace = Trace::new();
+    let mut trace = TraceBuilder::new();
     trace.accepted(100, 1, UNSAFE).call(120, 1, 1).respond(200, 1, Answer::Rejected(Some(5000)));
     trace
         .process(300, ProcessEvent::Ended)
@@ -515,7 +525,7 @@
 
 #[test]
 fn a_final_result_is_reported_once() {
-    let mut contradictory = Trace::new();
+    let mut contradictory = TraceBuilder::new();
     contradictory.accepted(100, 1, UNSAFE).notice(200, 1, Verdict::Failed).notice(
         210,
         1,
@@ -523,7 +533,7 @@
     );
     contradictory.notice_answered(211, 1).assert_violation(Rule::FinalAnswer);
     let repeated = |ms| {
-        let mut trace = Trace::new();
+        let mut trace = TraceBuilder::new();
         trace.accepted(100, 1, UNSAFE).notice(200, 1, Verdict::Failed).notice_answered(205, 1).notice(
             ms,
             1,
@@ -534,12 +544,12 @@
     repeated(1205).assert_no_violation();
     repeated(1206).assert_violation(Rule::FinalAnswer);
     // A notice that was not answered may be repeated, and any notice may be after a restart.
-    Trace::new()
+    TraceBuilder::new()
         .accepted(100, 1, UNSAFE)
         .notice(200, 1, Verdict::Failed)
         .notice(900, 1, Verdict::Failed)
         .assert_no_violation();
-    let mut restarted = Trace::new();
+    let mut restarted = TraceBuilder::new();
     restarted
         .accepted(100, 1, UNSAFE)
         .notice(200, 1, Verdict::Failed)
@@ -551,7 +561,7 @@
         .notice(1410, 1, Verdict::Failed)
         .assert_no_violation();
     // A new process may repeat a notice before it is ready.
-    let mut early = Trace::new();
+    let mut early = TraceBuilder::new();
     early
         .accepted(100, 1, UNSAFE)
         .notice(200, 1, Verdict::Failed)
@@ -567,14 +577,14 @@
 #[test]
 fn nothing_is_sent_after_the_final_result() {
     let sent = |ms| {
-        let mut trace = Trace::new();
+        let mut trace = TraceBuilder::new();
         trace.accepted(100, 1, KEYED).notice(200, 1, Verdict::Failed).notice_answered(201, 1).call(ms, 1, 1);
         trace.respond(ms + 10, 1, Answer::Ok);
         trace
     };
     sent(250).assert_no_violation();
     sent(251).assert_violation(Rule::FinalAnswer);
-    let mut unknown = Trace::new();
+    let mut unknown = TraceBuilder::new();
     unknown.at(100, Event::Notice { message: None, courier: CourierId(0), verdict: Verdict::Failed });
     unknown.assert_violation(Rule::FinalAnswer);
 }
@@ -582,7 +592,7 @@
 #[test]
 fn the_failure_of_an_undeliverable_message_is_reported_within_1_s() {
     let failed = |ms| {
-        let mut trace = Trace::new();
+        let mut trace = TraceBuilder::new();
         trace.accepted(4000, 1, UNSAFE).call(4010, 1, 1).abort(5000, 1);
         trace.notice(ms, 1, Verdict::Failed).notice_answered(ms + 1, 1);
         trace
@@ -590,7 +600,7 @@
     failed(5999).assert_no_violation();
     failed(6001).assert_violation(Rule::FinalAnswer);
     // A courier that was killed reports the failure after its restart.
-    let mut killed = Trace::new();
+    let mut killed = TraceBuilder::new();
     killed.accepted(100, 1, UNSAFE).call(110, 1, 1).process(490, ProcessEvent::Ended).abort(500, 1);
     killed
         .process(4000, ProcessEvent::Started)
@@ -600,17 +610,17 @@
 }
 
 #[test]
-fn a_process_ends_when_it_is_told_to() {
-    Trace::new()
+fn a_process_ends_only_when_it_is_told_to() {
+    TraceBuilder::new()
         .process(100, ProcessEvent::Terminated)
         .process(200, ProcessEvent::Ended)
         .assert_no_violation();
-    Trace::new().process(100, ProcessEvent::Crashed).assert_violation(Rule::Crash);
+    TraceBuilder::new().process(100, ProcessEvent::Crashed).assert_violation(Rule::Crash);
 }
 
 #[test]
 fn messages_are_forgotten_10_s_after_their_deadline() {
-    let mut trace = Trace::new();
+    let mut trace = TraceBuilder::new();
     for message in 0..10_000 {
         let at = 100 + message * 10;
         trace.accepted(at, message, ORDERED).call(at + 2, message, message).respond(
@@ -619,7 +629,11 @@
             Answer::Ok,
         );
         // 34 s (24 s until the deadline and 10 s after it) of 100 messages a second, and those of the last step.
-        assert!(trace.0.tracked_messages() <= 3_402, "{} after {message}", trace.0.tracked_messages());
+        assert!(
+            trace.judge.tracked_messages() <= 3_402,
+            "{} after {message}",
+            trace.judge.tracked_messages()
+        );
     }
     trace.assert_no_violation();
 }
--- a/crates/gullcart-judge/tests/service.rs
+++ b/crates/gullcart-judge/tests/service.rs
@@ -7,19 +7,19 @@
 fn classes() -> Vec<ClassWorth> {
     let (aim, deadline) = (Duration::from_secs(3), Duration::from_secs(24));
     vec![
-        ClassWorth { worth: 3.0, aim, deadline, late_share: 0.4 },
-        ClassWorth { worth: 1.0, aim, deadline, late_share: 0.5 },
+        ClassWorth { worth: 3.0, aim, deadline, share_at_deadline: 0.4 },
+        ClassWorth { worth: 1.0, aim, deadline, share_at_deadline: 0.5 },
     ]
 }
 
 #[test]
 fn worth_falls_linearly_from_the_aim_to_the_deadline() {
-    let salary = classes()[0];
-    assert_eq!(salary.at_latency(Duration::from_secs(3)), 3.0);
-    let middle = salary.at_latency(Duration::from_millis(13_500));
+    let class = classes()[0];
+    assert_eq!(class.at_latency(Duration::from_secs(3)), 3.0);
+    let middle = class.at_latency(Duration::from_millis(13_500));
     assert!((middle - 3.0 * 0.7).abs() < 1e-9, "{middle}");
-    assert!((salary.at_latency(Duration::from_secs(24)) - 1.2).abs() < 1e-9);
-    assert_eq!(salary.at_latency(Duration::from_millis(24_001)), 0.0);
+    assert!((class.at_latency(Duration::from_secs(24)) - 1.2).abs() < 1e-9);
+    assert_eq!(class.at_latency(Duration::from_millis(24_001)), 0.0);
 }
 
 #[test]
@@ -44,8 +44,8 @@
     assert_eq!((service.latency(Some(0)).p99, service.latency(None).count), (200, 50));
 }
 
-/// Latency counts from the intended send, so a stall delays every message that should have been sent during it, not only
-/// the one that was waiting (no coordinated omission).
+/// Latency counts from the intended send, so a stall delays every message that should have been sent during it, not
+/// only the one that was waiting (no coordinated omission).
 #[test]
 fn a_stall_shows_in_the_latency_of_all_messages_intended_during_it() {
     let mut service = ServiceMeter::new(classes());
