--- a/crates/gullcart-emulator/src/calls.rs
+++ b/crates/gullcart-emulator/src/calls.rs
@@ -6,7 +6,7 @@
 use crate::world::World;
 use cloverstile::{LimitReport, MessageId, Outcome};
 use gullcart_engine::{Call, CallResult, Input, StopReason};
-use gullcart_judge::trace::{Answer, At, By, CallId, CourierId, Event, State};
+use gullcart_judge::trace::{Answer, CallId, ClosedBy, CourierId, EndpointState, Event, Timestamp};
 use gullcart_rehearsal::Effect;
 use gullcart_standins::ids;
 use gullcart_standins::partner::Fate;
@@ -29,7 +29,8 @@
             // The last that came to it.
             if let Some(standing) = all.iter().rposition(|standing| standing.address == address) {
                 let there = &all[standing];
-                let is_up = there.state != State::Gone && !self.partners[partner].is_down(there.place);
+                let is_up =
+                    there.state != EndpointState::Gone && !self.partners[partner].is_down(there.place);
                 return is_up.then_some((partner, standing));
             }
         }
@@ -77,7 +78,7 @@
     }
 
     /// When the first word of a connection gets there: where an endpoint is cut off, once the kernel tries again after that.
-    fn comes_up(&mut self, address: Address) -> At {
+    fn comes_up(&mut self, address: Address) -> Timestamp {
         let (now, there) = (self.now, self.over_there());
         let cut = self.at_address(address).and_then(|(partner, standing)| {
             self.partners[partner].cut_until(self.endpoints[partner][standing].place)
@@ -175,7 +176,7 @@
         });
         let there = &self.endpoints[partner][standing];
         let (endpoint, place) = (there.id, there.place);
-        self.note(Event::Call {
+        self.note(Event::CallReceived {
             call,
             message: hand_in.filter(|_| origin.is_some()),
             courier: CourierId(courier as u16),
@@ -233,11 +234,11 @@
             Fate::Refused(wait) => {
                 self.counts.refused += 1;
                 let wait = wait.map(|wait| wait.as_micros().div_ceil(1000).max(1) as u64);
-                (Answer::Full(wait), Outcome::Rejected(wait.map(Duration::from_millis)), true)
+                (Answer::Rejected(wait), Outcome::Rejected(wait.map(Duration::from_millis)), true)
             }
             // In five, four cannot be read, and one has a first line that can.
             Fate::Spoilt(_) if call.0 % 5 == 4 => (Answer::Ok, Outcome::Ok, false),
-            Fate::Spoilt(_) => (Answer::Spoilt, Outcome::Malformed, false),
+            Fate::Spoilt(_) => (Answer::Malformed, Outcome::Malformed, false),
             Fate::Reset(_) | Fate::Silent => return self.broken_off(call, courier, epoch, message, serial),
         };
         self.note(Event::CallAnswered { call, answer });
@@ -256,7 +257,7 @@
         message: MessageId,
         serial: u64,
     ) {
-        self.note(Event::CallCut { call, by: By::Partner });
+        self.note(Event::CallAborted { call, closed_by: ClosedBy::Partner });
         let at = self.over_there();
         let ended = ended(Outcome::Reset, Duration::ZERO, None);
         self.queue.put(at, Scheduled::Back { courier, epoch, message, serial, ended, keep: false });
@@ -265,7 +266,7 @@
     /// A courier has closed the connection of a call.
     pub(crate) fn cut(&mut self, call: CallId) {
         if self.calls.remove(&call).is_some() {
-            self.note(Event::CallCut { call, by: By::Courier });
+            self.note(Event::CallAborted { call, closed_by: ClosedBy::Courier });
         }
     }
 
--- a/crates/gullcart-emulator/src/clients.rs
+++ b/crates/gullcart-emulator/src/clients.rs
@@ -4,7 +4,7 @@
 use crate::world::{World, LEAD};
 use bytes_of::body;
 use gullcart_engine::{Enqueue, Input, Ticket};
-use gullcart_judge::trace::{ClassId, CourierId, Event, MessageId, OrderKey, Told};
+use gullcart_judge::trace::{ClassId, CourierId, EnqueueOutcome, Event, MessageId, OrderKey};
 use gullcart_rehearsal::book::{Handed, Origin};
 use gullcart_rehearsal::figures::{MOST_TRIES, REMEMBERED};
 use gullcart_rehearsal::{Arrival, Effect};
@@ -29,7 +29,7 @@
         let drawn = self.day.arrivals[number];
         let arrival = Arrival { at: drawn.at + LEAD, ..drawn };
         self.book.counts.messages += 1;
-        self.book.service.asked(arrival.class, arrival.at);
+        self.book.service.record_request(arrival.class, arrival.at);
         let retries = u32::from(self.scenario.traffic.retries);
         self.book.origins.push(Origin { arrival, retries, tries: 0, delivered: false });
         let origin = self.book.origins.len() - 1;
@@ -80,7 +80,7 @@
         let handed = Handed { origin, courier, taken: false, delivered: None, over: false, forget };
         self.book.handed.insert(message, handed);
         self.book.forget.push_back(message);
-        self.note(Event::HandIn {
+        self.note(Event::EnqueueSent {
             message,
             courier: CourierId(courier as u16),
             class: ClassId(arrival.class as u8),
@@ -91,7 +91,7 @@
         self.waiting.insert(message, PendingRequest { origin, courier, retry, again });
         let (at, epoch) = (self.over_there(), self.places[courier].epoch);
         self.queue.put(at, Scheduled::Request(courier, epoch, message));
-        self.queue.put(self.now + PATIENCE, Scheduled::Told(message, Told::GaveUp));
+        self.queue.put(self.now + PATIENCE, Scheduled::Told(message, EnqueueOutcome::ClientTimedOut));
     }
 
     /// A request reaches its courier, or nobody.
@@ -99,7 +99,7 @@
         let Some(waiting) = self.waiting.get(&message) else { return };
         if self.places[courier].process(epoch).is_none() {
             let at = self.over_there();
-            return self.queue.put(at, Scheduled::Told(message, Told::Unreached));
+            return self.queue.put(at, Scheduled::Told(message, EnqueueOutcome::Unreachable));
         }
         let (origin, again) = (waiting.origin, waiting.again);
         let arrival = self.book.origins[origin].arrival;
@@ -120,17 +120,17 @@
     }
 
     /// A client has its answer, or waits no more.
-    pub(crate) fn told(&mut self, message: MessageId, told: Told) {
+    pub(crate) fn told(&mut self, message: MessageId, told: EnqueueOutcome) {
         let Some(waiting) = self.waiting.remove(&message) else { return };
         let PendingRequest { origin, courier, retry, .. } = waiting;
-        self.note(Event::Answered { message, told });
+        self.note(Event::EnqueueAnswered { message, outcome: told });
         match told {
-            Told::Taken | Told::Error => self.turn_ends(origin),
-            Told::Busy(wait) => {
+            EnqueueOutcome::Accepted | EnqueueOutcome::Error => self.turn_ends(origin),
+            EnqueueOutcome::Busy(wait) => {
                 self.come_back(origin, wait);
                 self.turn_ends(origin);
             }
-            Told::GaveUp | Told::Cut | Told::Unreached => {
+            EnqueueOutcome::ClientTimedOut | EnqueueOutcome::ConnectionLost | EnqueueOutcome::Unreachable => {
                 let sending = Sending { origin, retry, again: true, avoid: Some(courier) };
                 self.queue.put(self.now + PAUSE, Scheduled::Send(sending, true));
             }
--- a/crates/gullcart-emulator/src/courier.rs
+++ b/crates/gullcart-emulator/src/courier.rs
@@ -4,7 +4,7 @@
 use cloverstile::{EndpointId, MessageId, Time};
 use gullcart_engine::{Engine, IdleConnectionPolicy, PROCESS_START};
 use gullcart_journal::simulated::{Crash, Disk};
-use gullcart_judge::trace::{At, CallId, EndpointId as TraceEndpoint, State};
+use gullcart_judge::trace::{CallId, EndpointId as TraceEndpoint, EndpointState, Timestamp};
 use gullcart_message::{ListingUpdate, Target};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -32,36 +32,41 @@
 /// A process.
 pub(crate) struct Process {
     pub engine: Engine<Disk>,
-    pub started: At,
+    pub started: Timestamp,
     pub out: BTreeMap<MessageId, OutCall>,
-    idle: BTreeMap<EndpointId, Vec<(At, Address)>>,
+    idle: BTreeMap<EndpointId, Vec<(Timestamp, Address)>>,
     most_idle: usize,
     share: IdleConnectionPolicy,
     /// When its next turn is due, if one is.
-    pub wake: Option<At>,
+    pub wake: Option<Timestamp>,
     pub is_ending: bool,
 }
 
 impl Process {
-    pub fn new(engine: Engine<Disk>, started: At, slots: u32, share: IdleConnectionPolicy) -> Self {
+    pub fn new(engine: Engine<Disk>, started: Timestamp, slots: u32, share: IdleConnectionPolicy) -> Self {
         let most_idle = IDLE_OF_SLOTS * slots as usize;
         let (out, idle) = Default::default();
         Process { engine, started, out, idle, most_idle, share, wake: None, is_ending: false }
     }
 
     /// The module's time.
-    pub fn time(&self, now: At) -> Time {
+    pub fn time(&self, now: Timestamp) -> Time {
         PROCESS_START + (now - self.started)
     }
 
     /// When that is; never too early.
-    pub fn at(&self, time: Time) -> At {
+    pub fn at(&self, time: Time) -> Timestamp {
         let micros = (time - PROCESS_START).as_nanos().div_ceil(1000);
         self.started + Duration::from_micros(micros as u64)
     }
 
     /// A kept connection, and when it has rested.
-    pub fn connection(&mut self, endpoint: EndpointId, address: Address, now: At) -> Option<At> {
+    pub fn connection(
+        &mut self,
+        endpoint: EndpointId,
+        address: Address,
+        now: Timestamp,
+    ) -> Option<Timestamp> {
         let kept = self.idle.get_mut(&endpoint)?;
         kept.retain(|(since, at)| *at == address && now - *since < KEPT);
         let rested = kept.iter().rposition(|(since, _)| now - *since >= REST);
@@ -71,7 +76,7 @@
     }
 
     /// A connection is of further use.
-    pub fn keep(&mut self, endpoint: EndpointId, address: Address, now: At) {
+    pub fn keep(&mut self, endpoint: EndpointId, address: Address, now: Timestamp) {
         if !self.share.should_keep() {
             return;
         }
@@ -107,7 +112,7 @@
 /// What the agent of the register on a courier's machine has.
 #[derive(Default)]
 pub(crate) struct Agent {
-    pub targets: BTreeMap<TraceEndpoint, (Target, State)>,
+    pub targets: BTreeMap<TraceEndpoint, (Target, EndpointState)>,
     pub rev: u64,
     pub is_silent: bool,
     /// Changes that the courier has not been told yet.
@@ -117,12 +122,12 @@
 impl Agent {
     /// The whole list.
     pub fn list(&self) -> ListingUpdate {
-        let there = self.targets.values().filter(|(_, state)| *state != State::Gone);
+        let there = self.targets.values().filter(|(_, state)| *state != EndpointState::Gone);
         ListingUpdate { rev: self.rev, all: true, targets: there.map(|(target, _)| target.clone()).collect() }
     }
 
     /// What the courier has not been told.
-    pub fn changes(&mut self) -> (ListingUpdate, Vec<(TraceEndpoint, State)>) {
+    pub fn changes(&mut self) -> (ListingUpdate, Vec<(TraceEndpoint, EndpointState)>) {
         let untold = std::mem::take(&mut self.untold);
         let of =
             |id: &TraceEndpoint| self.targets.get(id).map(|(target, state)| (target.clone(), (*id, *state)));
@@ -140,7 +145,7 @@
     pub agent: Agent,
     /// Clients are sent to it.
     pub is_serving: bool,
-    pub signalled: Option<At>,
+    pub signalled: Option<Timestamp>,
 }
 
 impl Place {
--- a/crates/gullcart-emulator/src/events.rs
+++ b/crates/gullcart-emulator/src/events.rs
@@ -3,7 +3,9 @@
 use crate::address::Address;
 use cloverstile::{MessageId, Outcome};
 use gullcart_engine::{CallResult, Notice};
-use gullcart_judge::trace::{At, CallId, EndpointId, MessageId as HandInId, State, Told};
+use gullcart_judge::trace::{
+    CallId, EndpointId, EndpointState, EnqueueOutcome, MessageId as HandInId, Timestamp,
+};
 #[cfg(feature = "broken")]
 use gullcart_message::ListingUpdate;
 use gullcart_standins::partner::Fate;
@@ -14,7 +16,7 @@
     /// Its place in the partner's model.
     pub place: usize,
     pub address: Address,
-    pub state: State,
+    pub state: EndpointState,
 }
 
 /// A call at an endpoint.
@@ -38,7 +40,7 @@
     pub address: Address,
     pub id: String,
     pub key: Option<String>,
-    pub first: At,
+    pub first: Timestamp,
     pub fresh: bool,
 }
 
@@ -68,7 +70,7 @@
     /// A request reaches its courier.
     Request(usize, u32, HandInId),
     /// An answer reaches its client, or the client gives up.
-    Told(HandInId, Told),
+    Told(HandInId, EnqueueOutcome),
     /// A courier's turn.
     Turn(usize, u32),
     /// A connection is up, and the call is written.
@@ -90,7 +92,7 @@
     /// A notice's answer reaches its courier.
     Heard(usize, u32, MessageId),
     /// News of the list reaches a courier's agent.
-    News(usize, usize, usize, State),
+    News(usize, usize, usize, EndpointState),
     /// News that was not told counts as told.
     ToldAtLast(usize),
     /// What is kept back by a broken courier.
--- a/crates/gullcart-emulator/src/faults.rs
+++ b/crates/gullcart-emulator/src/faults.rs
@@ -5,7 +5,9 @@
 use crate::events::{Endpoint, Scheduled, Sending};
 use crate::world::{World, LEAD};
 use gullcart_engine::Input;
-use gullcart_judge::trace::{By, CallId, CourierId, EndpointId, Event, Process as What, State};
+use gullcart_judge::trace::{
+    CallId, ClosedBy, CourierId, EndpointId, EndpointState, Event, ProcessEvent as What,
+};
 use gullcart_message::Target;
 use gullcart_rehearsal::figures::{END, FRONT_NOTICES, HANDED_AGAIN_MS, RESTART, ZONE};
 use gullcart_rehearsal::{Action, Replace};
@@ -20,15 +22,15 @@
     pub(crate) fn stand(&mut self, _partner: usize, place: usize, address: Option<Address>) -> Endpoint {
         let id = EndpointId(self.next_endpoint);
         self.next_endpoint += 1;
-        Endpoint { id, place, address: address.unwrap_or(Address(id.0)), state: State::Serving }
+        Endpoint { id, place, address: address.unwrap_or(Address(id.0)), state: EndpointState::Serving }
     }
 
     /// An endpoint as the register lists it.
-    pub(crate) fn target(&self, partner: usize, standing: &Endpoint) -> (Target, State) {
+    pub(crate) fn target(&self, partner: usize, standing: &Endpoint) -> (Target, EndpointState) {
         let state = match standing.state {
-            State::Serving => "SERVING",
-            State::Draining => "DRAINING",
-            State::Gone => "DELETED",
+            EndpointState::Serving => "SERVING",
+            EndpointState::Draining => "DRAINING",
+            EndpointState::Gone => "DELETED",
         };
         let target = Target {
             uid: format!("s-{:08x}", standing.id.0),
@@ -56,7 +58,7 @@
                 }
             }
             Action::End { id, partner } => self.partners[partner].end(id),
-            Action::Out(partner) => self.note(Event::Out { partner: World::partner_id(partner) }),
+            Action::Out(partner) => self.note(Event::OutageBegan { partner: World::partner_id(partner) }),
             Action::Back(partner) => {
                 self.partners[partner].come_back(now);
                 let (capacity, spec) =
@@ -64,15 +66,15 @@
                 // Calls of before hang no more.
                 (0..self.endpoints[partner].len())
                     .for_each(|standing| self.break_connections(partner, standing));
-                self.note(Event::Back {
+                self.note(Event::OutageEnded {
                     partner: World::partner_id(partner),
                     capacity,
-                    cold_from: spec.cold_from,
-                    warm: now + spec.cold,
+                    cold_capacity_share: spec.cold_from,
+                    warm_at: now + spec.cold,
                 });
             }
             Action::Drain { partner, endpoint, replace } => {
-                self.change(partner, endpoint, State::Draining);
+                self.change(partner, endpoint, EndpointState::Draining);
                 if replace == Replace::New {
                     self.replace(partner, None);
                 }
@@ -80,7 +82,7 @@
             Action::Gone { partner, endpoint, replace } => {
                 self.break_connections(partner, endpoint);
                 let address = self.endpoints[partner][endpoint].address;
-                self.change(partner, endpoint, State::Gone);
+                self.change(partner, endpoint, EndpointState::Gone);
                 if replace == Replace::SameAddress {
                     self.replace(partner, Some(address));
                 }
@@ -116,11 +118,11 @@
         let place = self.partners[partner].add_endpoint();
         let standing = self.stand(partner, place, address);
         self.endpoints[partner].push(standing);
-        self.change(partner, self.endpoints[partner].len() - 1, State::Serving);
+        self.change(partner, self.endpoints[partner].len() - 1, EndpointState::Serving);
     }
 
     /// An endpoint changes, and the register tells each courier in its own time.
-    fn change(&mut self, partner: usize, standing: usize, state: State) {
+    fn change(&mut self, partner: usize, standing: usize, state: EndpointState) {
         self.endpoints[partner][standing].state = state;
         let [from, to] = self.scenario.register.late_s;
         for courier in 0..self.places.len() {
@@ -131,7 +133,7 @@
     }
 
     /// News reaches a courier's agent.
-    pub(crate) fn news(&mut self, courier: usize, partner: usize, standing: usize, state: State) {
+    pub(crate) fn news(&mut self, courier: usize, partner: usize, standing: usize, state: EndpointState) {
         let there = &self.endpoints[partner][standing];
         let known = Endpoint { id: there.id, place: there.place, address: there.address, state };
         let target = self.target(partner, &known);
@@ -153,7 +155,7 @@
         }
         let (update, told) = self.places[courier].agent.changes();
         for (endpoint, state) in told {
-            self.note(Event::Listed { courier: CourierId(courier as u16), endpoint, state });
+            self.note(Event::ListingUpdated { courier: CourierId(courier as u16), endpoint, state });
         }
         self.input(courier, epoch, Input::ListUpdate(update));
     }
@@ -162,7 +164,7 @@
     pub(crate) fn count_as_told(&mut self, courier: usize) {
         let (_, told) = self.places[courier].agent.changes();
         for (endpoint, state) in told {
-            self.note(Event::Listed { courier: CourierId(courier as u16), endpoint, state });
+            self.note(Event::ListingUpdated { courier: CourierId(courier as u16), endpoint, state });
         }
     }
 
@@ -185,7 +187,7 @@
     }
 
     fn process(&mut self, courier: usize, what: What) {
-        self.note(Event::Process { courier: CourierId(courier as u16), what });
+        self.note(Event::Process { courier: CourierId(courier as u16), change: what });
     }
 
     fn terminate(&mut self, courier: usize) {
@@ -231,7 +233,7 @@
         let calls: Vec<CallId> = there.map(|(call, _)| *call).collect();
         for call in calls {
             self.calls.remove(&call);
-            self.note(Event::CallCut { call, by: By::Courier });
+            self.note(Event::CallAborted { call, closed_by: ClosedBy::Courier });
         }
         let waiting: Vec<_> = self
             .waiting
@@ -241,7 +243,7 @@
             .collect();
         for message in waiting {
             let at = self.over_there();
-            self.queue.put(at, Scheduled::Told(message, gullcart_judge::trace::Told::Unreached));
+            self.queue.put(at, Scheduled::Told(message, gullcart_judge::trace::EnqueueOutcome::Unreachable));
         }
     }
 }
--- a/crates/gullcart-emulator/src/play.rs
+++ b/crates/gullcart-emulator/src/play.rs
@@ -4,7 +4,7 @@
 use crate::outcome::{Emulated, EmulationError};
 use crate::world::{World, LEAD};
 use gullcart_engine::Input;
-use gullcart_judge::trace::{At, CourierId, Event, Process as What};
+use gullcart_judge::trace::{CourierId, Event, ProcessEvent as What, Timestamp};
 use gullcart_judge::Weights;
 use gullcart_rehearsal::figures::{AFTERMATH, LOOK};
 use gullcart_rehearsal::{Counts, Lateness, Report, Sample, Shown, Until, Verdict};
@@ -19,7 +19,7 @@
 #[derive(Default)]
 struct Samples {
     taken: Vec<Sample>,
-    next: At,
+    next: Timestamp,
     calls: u64,
     refused: u64,
 }
@@ -40,7 +40,7 @@
             self.look(at);
             if at >= samples.next {
                 self.sample(&mut samples);
-                progress(at.seconds());
+                progress(at.as_secs_f64());
             }
             if until.is_reached(&self.book.judge) {
                 break;
@@ -59,7 +59,7 @@
         for courier in 0..self.places.len() {
             self.start(courier)?;
         }
-        self.queue.put(At(0), Scheduled::Look);
+        self.queue.put(Timestamp(0), Scheduled::Look);
         match self.day.arrivals.first() {
             Some(first) => self.queue.put(first.at + LEAD, Scheduled::Arrival(0)),
             None => self.arrived = true,
@@ -72,13 +72,13 @@
     }
 
     /// When the day ends at the latest.
-    fn latest_end(&self) -> At {
+    fn latest_end(&self) -> Timestamp {
         let deadline = self.scenario.classes.iter().map(|class| class.deadline_s).fold(0.0, f64::max);
-        At(0) + Duration::from_secs_f64(self.scenario.seconds + deadline + LONGEST_AFTERMATH)
+        Timestamp(0) + Duration::from_secs_f64(self.scenario.seconds + deadline + LONGEST_AFTERMATH)
     }
 
     /// Has the judge look at the time, and clients send again what came back to them.
-    fn look(&mut self, at: At) {
+    fn look(&mut self, at: Timestamp) {
         self.book.judge.advance(at);
         for (origin, wait) in std::mem::take(&mut self.book.returned) {
             self.come_back(origin, wait);
@@ -88,7 +88,7 @@
 
     /// Whether nothing is to come and nothing is owed.
     fn is_quiet(&self) -> bool {
-        self.arrived && self.acted && self.busy == 0 && self.book.judge.owed() == 0
+        self.arrived && self.acted && self.busy == 0 && self.book.judge.pending_messages() == 0
     }
 
     fn handle(&mut self, event: Scheduled) -> Result<(), EmulationError> {
@@ -164,7 +164,7 @@
     /// A process answers: clients are sent to it.
     fn ready(&mut self, courier: usize, epoch: u32) {
         if self.places[courier].process(epoch).is_some() {
-            self.note(Event::Process { courier: CourierId(courier as u16), what: What::Ready });
+            self.note(Event::Process { courier: CourierId(courier as u16), change: What::Ready });
             self.places[courier].is_serving = true;
         }
     }
@@ -189,9 +189,9 @@
         let mut recent = std::mem::take(&mut self.book.recent);
         recent.sort_by(f64::total_cmp);
         samples.taken.push(Sample {
-            at: self.now.seconds(),
+            at: self.now.as_secs_f64(),
             out: self.calls.len() as u32,
-            owed: self.book.judge.owed(),
+            owed: self.book.judge.pending_messages(),
             calls: self.next_call - samples.calls,
             refused: self.counts.refused - samples.refused,
             memory_mb: vec![None; self.places.len()],
@@ -206,11 +206,11 @@
         if !ended_early {
             self.book.judge.finish(self.now);
         }
-        let service = self.book.service.figures(Weights::default());
-        let broken = self.book.judge.counts().clone();
+        let service = self.book.service.scores(Weights::default());
+        let broken = self.book.judge.violation_counts().clone();
         let verdict = if !broken.is_empty() {
             Verdict::Broken
-        } else if service.service < self.scenario.floor {
+        } else if service.combined < self.scenario.floor {
             Verdict::UnderFloor
         } else {
             Verdict::Kept
@@ -222,14 +222,14 @@
             about: scenario.about.clone(),
             seed: self.seed,
             seconds: scenario.seconds,
-            took: self.now.seconds(),
+            took: self.now.as_secs_f64(),
             ended_early,
             verdict,
             void: None,
             floor: scenario.floor,
             service,
             broken,
-            breaches: book.judge.breaches().iter().map(Shown::from).collect(),
+            breaches: book.judge.violations().iter().map(Shown::from).collect(),
             counts: Counts {
                 refused: self.counts.refused,
                 connections: self.counts.connections,
--- a/crates/gullcart-emulator/src/processes.rs
+++ b/crates/gullcart-emulator/src/processes.rs
@@ -10,7 +10,9 @@
 };
 use gullcart_journal::simulated::Disk;
 use gullcart_journal::{Journal, Options};
-use gullcart_judge::trace::{At, CourierId, Ended, Event, MessageId as HandInId, Process as What, Told};
+use gullcart_judge::trace::{
+    CourierId, EnqueueOutcome, Event, MessageId as HandInId, ProcessEvent as What, Timestamp, Verdict,
+};
 use gullcart_message::Verdict as End;
 use gullcart_standins::ids;
 use std::time::Duration;
@@ -26,7 +28,7 @@
     /// A process starts on its folder.
     pub fn start(&mut self, courier: usize) -> Result<(), EmulationError> {
         let (now, seed) = (self.now, self.rng.u64(..));
-        self.note(Event::Process { courier: CourierId(courier as u16), what: What::Started });
+        self.note(Event::Process { courier: CourierId(courier as u16), change: What::Started });
         let engine = self.load_engine(courier, seed)?;
         let rev = engine.list_revision();
         let share = IdleConnectionPolicy::new(self.parsed.settings.couriers, seed);
@@ -85,7 +87,7 @@
     }
 
     /// A courier's next turn comes no later than that.
-    pub fn wake(&mut self, courier: usize, at: At) {
+    pub fn wake(&mut self, courier: usize, at: Timestamp) {
         let epoch = self.places[courier].epoch;
         let Some(process) = &mut self.places[courier].process else { return };
         if process.wake.is_none_or(|wake| at < wake) {
@@ -112,7 +114,7 @@
             Ok(effects) => effects,
             Err(error) => {
                 self.remark(format!("courier {courier} ended by itself: {error}"));
-                self.note(Event::Process { courier: CourierId(courier as u16), what: What::Crashed });
+                self.note(Event::Process { courier: CourierId(courier as u16), change: What::Crashed });
                 self.places[courier].process = None;
                 return;
             }
@@ -133,9 +135,9 @@
         match effect {
             Effect::Answer(Ticket(message), answer) => {
                 let told = match answer {
-                    Answer::Taken(_) | Answer::Held => Told::Taken,
-                    Answer::Busy(after) => Told::Busy(after.map(|after| after.as_millis() as u64)),
-                    Answer::Error(_) => Told::Error,
+                    Answer::Taken(_) | Answer::Held => EnqueueOutcome::Accepted,
+                    Answer::Busy(after) => EnqueueOutcome::Busy(after.map(|after| after.as_millis() as u64)),
+                    Answer::Error(_) => EnqueueOutcome::Error,
                 };
                 let at = self.over_there();
                 self.queue.put(at, Scheduled::Told(HandInId(message), told));
@@ -181,10 +183,10 @@
         }
         let message = ids::message_of(&notice.id);
         let ended = match notice.verdict {
-            End::Failed => Ended::Failed,
-            End::Returned { after_ms } => Ended::Returned(Some(after_ms)),
+            End::Failed => Verdict::Failed,
+            End::Returned { after_ms } => Verdict::Returned(Some(after_ms)),
         };
-        self.note(Event::Notice { message, courier: CourierId(courier as u16), ended });
+        self.note(Event::Notice { message, courier: CourierId(courier as u16), verdict: ended });
         if let Some(message) = message {
             self.note(Event::NoticeAnswered { message });
         }
--- a/crates/gullcart-emulator/src/queue.rs
+++ b/crates/gullcart-emulator/src/queue.rs
@@ -1,11 +1,11 @@
 //! What is going to happen, in the order of time; what is due at the same time comes in the order in which it was put.
 
-use gullcart_judge::trace::At;
+use gullcart_judge::trace::Timestamp;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 struct Due<T> {
-    at: At,
+    at: Timestamp,
     number: u64,
     what: T,
 }
@@ -44,13 +44,13 @@
 
 impl<T> Queue<T> {
     /// Something will happen then.
-    pub fn put(&mut self, at: At, what: T) {
+    pub fn put(&mut self, at: Timestamp, what: T) {
         self.number += 1;
         self.due.push(Reverse(Due { at, number: self.number, what }));
     }
 
     /// The next thing, and when.
-    pub fn take(&mut self) -> Option<(At, T)> {
+    pub fn take(&mut self) -> Option<(Timestamp, T)> {
         self.due.pop().map(|Reverse(due)| (due.at, due.what))
     }
 
--- a/crates/gullcart-emulator/src/world.rs
+++ b/crates/gullcart-emulator/src/world.rs
@@ -5,7 +5,7 @@
 use crate::outcome::EmulationError;
 use crate::queue::Queue;
 use cloverstile::{parse_settings_json, ParsedSettings};
-use gullcart_judge::trace::{At, CallId, Entry, Event, MessageId as HandInId, PartnerId};
+use gullcart_judge::trace::{CallId, Entry, Event, MessageId as HandInId, PartnerId, Timestamp};
 use gullcart_rehearsal::book::Book;
 use gullcart_rehearsal::figures::{settings, spec};
 use gullcart_rehearsal::{Counts, Day, Scenario};
@@ -31,7 +31,7 @@
     /// The trace as it is judged.
     pub book: Book,
     /// The time of the present event.
-    pub now: At,
+    pub now: Timestamp,
     /// Events to come.
     pub queue: Queue<Scheduled>,
     pub rng: fastrand::Rng,
@@ -87,7 +87,7 @@
             seed,
             day,
             book: Book::new(scenario),
-            now: At(0),
+            now: Timestamp(0),
             queue: Queue::default(),
             rng: fastrand::Rng::with_seed(seed ^ SEED_MIX),
             partners: scenario.partners.iter().enumerate().map(partner).collect(),
@@ -145,7 +145,7 @@
     }
 
     /// One way over the network, from now on.
-    pub fn over_there(&mut self) -> At {
+    pub fn over_there(&mut self) -> Timestamp {
         self.now + ONE_WAY + Duration::from_micros(self.rng.u64(..JITTER_US))
     }
 
--- a/crates/gullcart-emulator/tests/days.rs
+++ b/crates/gullcart-emulator/tests/days.rs
@@ -24,7 +24,7 @@
                 report.verdict,
                 Verdict::Kept,
                 "{name}, seed {seed}: {} {first:?}",
-                report.service.service
+                report.service.combined
             );
             assert_eq!(report.remarks, Vec::<String>::new(), "{name}, seed {seed}");
             let counts = &report.counts;
--- a/crates/gullcart-peers/tests/common/mod.rs
+++ b/crates/gullcart-peers/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! Runs the processes of a group with unreliable links between them, and a partner that records their actions.
 #![allow(dead_code)]
 
-use gullcart_judge::duties::{judge, longest_gap, Act};
-use gullcart_judge::trace::At;
+use gullcart_judge::duties::{judge, longest_gap, DutyAction};
+use gullcart_judge::trace::Timestamp;
 use gullcart_standins::link::mesh::Mesh;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
@@ -35,7 +35,7 @@
 #[derive(Clone)]
 pub struct Partner {
     started: Instant,
-    acts: Rc<RefCell<BTreeMap<String, Vec<Act>>>>,
+    acts: Rc<RefCell<BTreeMap<String, Vec<DutyAction>>>>,
     recorded: watch::Receiver<u64>,
     address: SocketAddr,
 }
@@ -66,7 +66,7 @@
     async fn open() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let acts: Rc<RefCell<BTreeMap<String, Vec<Act>>>> = Rc::default();
+        let acts: Rc<RefCell<BTreeMap<String, Vec<DutyAction>>>> = Rc::default();
         let (notify, recorded) = watch::channel(0);
         let (started, shared) = (Instant::now(), acts.clone());
         spawn_local(async move {
@@ -79,8 +79,8 @@
                     let member = member.parse().unwrap();
                     while let Ok(Some(line)) = lines.next_line().await {
                         let Some((duty, epoch)) = line.split_once(' ') else { continue };
-                        let at = At(started.elapsed().as_micros() as u64);
-                        let act = Act { at, member, epoch: epoch.parse().unwrap() };
+                        let at = Timestamp(started.elapsed().as_micros() as u64);
+                        let act = DutyAction { at, member, epoch: epoch.parse().unwrap() };
                         shared.borrow_mut().entry(duty.to_owned()).or_default().push(act);
                         notify.send_modify(|count| *count += 1);
                     }
@@ -90,25 +90,25 @@
         Partner { started, acts, recorded, address }
     }
 
-    pub fn now(&self) -> At {
-        At(self.started.elapsed().as_micros() as u64)
+    pub fn now(&self) -> Timestamp {
+        Timestamp(self.started.elapsed().as_micros() as u64)
     }
 
-    pub fn acts(&self, duty: &str) -> Vec<Act> {
+    pub fn acts(&self, duty: &str) -> Vec<DutyAction> {
         self.acts.borrow().get(duty).cloned().unwrap_or_default()
     }
 
-    pub fn last_act(&self, duty: &str) -> Option<Act> {
+    pub fn last_act(&self, duty: &str) -> Option<DutyAction> {
         self.acts.borrow().get(duty).and_then(|acts| acts.last().copied())
     }
 
-    fn find(&self, duty: &str, from: usize, matches: &impl Fn(&Act) -> bool) -> Option<Act> {
+    fn find(&self, duty: &str, from: usize, matches: &impl Fn(&DutyAction) -> bool) -> Option<DutyAction> {
         let acts = self.acts.borrow();
         acts.get(duty)?.iter().skip(from).find(|act| matches(act)).copied()
     }
 
     /// Waits for a new action that fulfils the condition.
-    pub async fn until(&self, duty: &str, what: &str, matches: impl Fn(&Act) -> bool) -> Act {
+    pub async fn until(&self, duty: &str, what: &str, matches: impl Fn(&DutyAction) -> bool) -> DutyAction {
         let mut recorded = self.recorded.clone();
         let from = self.acts(duty).len();
         let waited = timeout(TIMEOUT, async {
@@ -123,7 +123,7 @@
         waited.await.unwrap_or_else(|_| panic!("timed out: {what}"))
     }
 
-    pub fn gap(&self, duty: &str, from: At, to: At) -> Duration {
+    pub fn gap(&self, duty: &str, from: Timestamp, to: Timestamp) -> Duration {
         longest_gap(&self.acts(duty), from, to)
     }
 }
@@ -316,8 +316,8 @@
     pub fn check_actions(&self) {
         for (duty, acts) in self.partner.acts.borrow().iter() {
             let found = judge(acts);
-            assert!(found.shared.is_empty(), "{duty}: {:?}", found.shared);
-            assert!(found.late.len() <= self.pauses, "{duty}: {:?}", found.late);
+            assert!(found.shared_epochs.is_empty(), "{duty}: {:?}", found.shared_epochs);
+            assert!(found.stale_actions.len() <= self.pauses, "{duty}: {:?}", found.stale_actions);
         }
     }
 }
--- a/crates/gullcart-rehearsal/src/book.rs
+++ b/crates/gullcart-rehearsal/src/book.rs
@@ -5,7 +5,7 @@
 use crate::report::Counts;
 use crate::scenario::{Effect, Scenario};
 use gullcart_judge::trace::*;
-use gullcart_judge::{Judge, Service};
+use gullcart_judge::{Judge, ServiceMeter};
 use std::collections::{HashMap, VecDeque};
 
 /// A hand-in that is remembered.
@@ -17,11 +17,11 @@
     /// Whether it was taken on.
     pub taken: bool,
     /// When it was delivered.
-    pub delivered: Option<At>,
+    pub delivered: Option<Timestamp>,
     /// Whether its end was told.
     pub over: bool,
     /// Until when it is remembered.
-    pub forget: At,
+    pub forget: Timestamp,
 }
 
 /// What a client meant to send; further tries belong to it.
@@ -41,7 +41,7 @@
     /// The rules.
     pub judge: Judge,
     /// The service kept.
-    pub service: Service,
+    pub service: ServiceMeter,
     /// Hand-ins by number.
     pub handed: HashMap<MessageId, Handed>,
     /// ... in the order in which they are forgotten.
@@ -65,7 +65,7 @@
     pub fn new(scenario: &Scenario) -> Self {
         Book {
             judge: Judge::new(rules(scenario)),
-            service: Service::new(worths(scenario)),
+            service: ServiceMeter::new(worths(scenario)),
             handed: HashMap::new(),
             forget: VecDeque::new(),
             calls: HashMap::new(),
@@ -94,10 +94,10 @@
     pub fn hear(&mut self, entry: Entry) {
         self.judge.feed(entry);
         match entry.event {
-            Event::Answered { message, told } => {
+            Event::EnqueueAnswered { message, outcome: told } => {
                 let Some(handed) = self.handed.get_mut(&message) else { return };
                 match told {
-                    Told::Taken => {
+                    EnqueueOutcome::Accepted => {
                         self.counts.taken += 1;
                         handed.taken = true;
                         if let Some(at) = handed.delivered {
@@ -105,15 +105,15 @@
                             self.deliver(origin, at);
                         }
                     }
-                    Told::Busy(_) => self.counts.busy += 1,
+                    EnqueueOutcome::Busy(_) => self.counts.busy += 1,
                     _ => self.counts.unanswered += 1,
                 }
             }
-            Event::Call { call, message: Some(message), .. } => {
+            Event::CallReceived { call, message: Some(message), .. } => {
                 self.counts.calls += 1;
                 self.calls.insert(call, message);
             }
-            Event::CallCut { call, .. } => drop(self.calls.remove(&call)),
+            Event::CallAborted { call, .. } => drop(self.calls.remove(&call)),
             Event::CallAnswered { call, answer } => {
                 let message = self.calls.remove(&call);
                 if answer == Answer::Ok {
@@ -127,14 +127,14 @@
                     }
                 }
             }
-            Event::Notice { message: Some(message), ended, .. } => {
+            Event::Notice { message: Some(message), verdict: ended, .. } => {
                 let Some(handed) = self.handed.get_mut(&message) else { return };
                 if std::mem::replace(&mut handed.over, true) {
                     return;
                 }
                 match ended {
-                    Ended::Failed => self.counts.failed += 1,
-                    Ended::Returned(wait) => {
+                    Verdict::Failed => self.counts.failed += 1,
+                    Verdict::Returned(wait) => {
                         self.counts.returned += 1;
                         self.returned.push((handed.origin, wait));
                     }
@@ -144,18 +144,18 @@
         }
     }
 
-    fn deliver(&mut self, origin: usize, at: At) {
+    fn deliver(&mut self, origin: usize, at: Timestamp) {
         let origin = &mut self.origins[origin];
         if !std::mem::replace(&mut origin.delivered, true) {
             let arrival = origin.arrival;
             self.counts.delivered += 1;
-            self.service.delivered(arrival.class, arrival.at, at);
+            self.service.record_delivery(arrival.class, arrival.at, at);
             self.recent.push((at - arrival.at).as_secs_f64() * 1e3);
         }
     }
 
     /// Forgets what can matter no more.
-    pub fn forget(&mut self, now: At) {
+    pub fn forget(&mut self, now: Timestamp) {
         while let Some(first) = self.forget.front() {
             if self.handed.get(first).is_some_and(|handed| handed.forget > now) {
                 break;
--- a/crates/gullcart-rehearsal/src/day.rs
+++ b/crates/gullcart-rehearsal/src/day.rs
@@ -9,7 +9,7 @@
 
 use crate::scenario::{FaultKind, Scenario};
 use actions::FaultActions;
-use gullcart_judge::trace::At;
+use gullcart_judge::trace::Timestamp;
 use serde::Serialize;
 
 /// Slots over what its part of the traffic keeps busy, and seconds of it that a courier holds.
@@ -35,7 +35,7 @@
     /// In the order of time.
     pub arrivals: Vec<Arrival>,
     /// In the order of time.
-    pub actions: Vec<(At, Action)>,
+    pub actions: Vec<(Timestamp, Action)>,
     /// In the order of the file.
     pub windows: Vec<Window>,
     /// Calls out at once, for each courier.
--- a/crates/gullcart-rehearsal/src/day/actions.rs
+++ b/crates/gullcart-rehearsal/src/day/actions.rs
@@ -2,7 +2,7 @@
 
 use super::time::at;
 use crate::scenario::{Fault, FaultKind, How, Replace, Scenario, Target};
-use gullcart_judge::trace::At;
+use gullcart_judge::trace::Timestamp;
 use gullcart_standins::partner::Trouble;
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
         /// One endpoint, or all.
         endpoint: Option<usize>,
         /// When it is to end.
-        until: At,
+        until: Timestamp,
     },
     /// A trouble ends.
     End {
@@ -93,12 +93,12 @@
     begin: f64,
     /// The number of its first trouble.
     first_id: u32,
-    actions: &'a mut Vec<(At, Action)>,
+    actions: &'a mut Vec<(Timestamp, Action)>,
 }
 
 impl<'a> FaultActions<'a> {
     /// Actions of the fault of this number, which begins after so many seconds, go to the end of a list.
-    pub fn new(number: u32, fault: &'a Fault, begin: f64, actions: &'a mut Vec<(At, Action)>) -> Self {
+    pub fn new(number: u32, fault: &'a Fault, begin: f64, actions: &'a mut Vec<(Timestamp, Action)>) -> Self {
         FaultActions { fault, begin, first_id: number * IDS_PER_FAULT, actions }
     }
 
@@ -118,15 +118,15 @@
         }
     }
 
-    fn from(&self) -> At {
+    fn from(&self) -> Timestamp {
         at(self.begin)
     }
 
-    fn to(&self) -> At {
+    fn to(&self) -> Timestamp {
         at(self.begin + self.fault.length_s)
     }
 
-    fn put(&mut self, at: At, action: Action) {
+    fn put(&mut self, at: Timestamp, action: Action) {
         self.actions.push((at, action));
     }
 
@@ -197,7 +197,14 @@
         self.put_trouble_within(self.first_id, site, trouble, self.from(), self.to());
     }
 
-    fn put_trouble_within(&mut self, id: u32, site: Site, trouble: Trouble, from: At, until: At) {
+    fn put_trouble_within(
+        &mut self,
+        id: u32,
+        site: Site,
+        trouble: Trouble,
+        from: Timestamp,
+        until: Timestamp,
+    ) {
         let Site { partner, endpoint } = site;
         self.put(from, Action::Begin { id, trouble, partner, endpoint, until });
         self.put(until, Action::End { id, partner });
--- a/crates/gullcart-rehearsal/src/day/arrivals.rs
+++ b/crates/gullcart-rehearsal/src/day/arrivals.rs
@@ -2,7 +2,7 @@
 
 use super::time::at;
 use crate::scenario::{Fault, FaultKind, Scenario};
-use gullcart_judge::trace::At;
+use gullcart_judge::trace::Timestamp;
 
 /// Sets what is drawn here apart from what else is drawn from the same seed.
 const SEED_MIX: u64 = 0x6172_7269_7661_6c73;
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Arrival {
     /// When.
-    pub at: At,
+    pub at: Timestamp,
     /// Place of its class.
     pub class: usize,
     /// Place of its partner.
--- a/crates/gullcart-rehearsal/src/figures.rs
+++ b/crates/gullcart-rehearsal/src/figures.rs
@@ -2,7 +2,7 @@
 
 use crate::day::Day;
 use crate::scenario::{Effect, Scenario};
-use gullcart_judge::{ClassRules, Figures, Worth};
+use gullcart_judge::{ClassRules, ClassWorth, RuleLimits};
 use gullcart_standins::partner::{Limit, Spec};
 use serde_json::{json, Value};
 use std::time::Duration;
@@ -27,7 +27,7 @@
 pub const ZONE: &str = "kingston-dc";
 
 /// What the judge judges by.
-pub fn rules(scenario: &Scenario) -> Figures {
+pub fn rules(scenario: &Scenario) -> RuleLimits {
     let classes = scenario.classes.iter().map(|class| ClassRules {
         effect: match class.effect {
             Effect::Safe => gullcart_judge::Effect::Safe,
@@ -38,23 +38,23 @@
         },
         in_order: class.in_order,
     });
-    Figures::new(classes.collect())
+    RuleLimits::new(classes.collect())
 }
 
 /// What service is measured by.
-pub fn worths(scenario: &Scenario) -> Vec<Worth> {
-    let worth = |class: &crate::scenario::Class| Worth {
+pub fn worths(scenario: &Scenario) -> Vec<ClassWorth> {
+    let worth = |class: &crate::scenario::Class| ClassWorth {
         worth: class.worth,
         aim: Duration::from_secs_f64(class.aim_s),
         deadline: Duration::from_secs_f64(class.deadline_s),
-        late_share: class.late_share,
+        share_at_deadline: class.late_share,
     };
     scenario.classes.iter().map(worth).collect()
 }
 
 /// A partner's figures.
 pub fn spec(partner: &crate::scenario::Partner) -> Spec {
-    let figures = Figures::new(Vec::new());
+    let figures = RuleLimits::new(Vec::new());
     let span = Duration::from_secs_f64(partner.span_s);
     Spec {
         limit: match (partner.rate, partner.count) {
@@ -69,8 +69,8 @@
         refused_count: partner.refused_count,
         cold_from: partner.cold_from,
         cold: Duration::from_secs_f64(partner.cold_s),
-        fall_multiple: figures.fall_multiple,
-        fall_window: figures.fall_window,
+        fall_multiple: figures.collapse_multiple,
+        fall_window: figures.collapse_window,
         errors: partner.errors,
     }
 }
@@ -116,8 +116,8 @@
             "ConnectTimeout": nanos(scenario.couriers.connect_s),
         },
         "Rules": {
-            "AnswerSlack": 20_000_000, "OrderSettle": figures.order_settle.as_nanos() as u64,
-            "Fall": figures.fall_window.as_nanos() as u64, "TipMultiple": figures.fall_multiple,
+            "AnswerSlack": 20_000_000, "OrderSettle": figures.order_settle_time.as_nanos() as u64,
+            "Fall": figures.collapse_window.as_nanos() as u64, "TipMultiple": figures.collapse_multiple,
             "Cold": nanos(cold), "ColdFrom": cold_from,
             "StopSendingWithin": figures.drain_grace.as_nanos() as u64,
         },
--- a/crates/gullcart-rehearsal/src/page.rs
+++ b/crates/gullcart-rehearsal/src/page.rs
@@ -100,8 +100,8 @@
     let at = |place: usize| {
         let from = place.saturating_sub(SMOOTH / 2);
         let part = &seconds[from..seconds.len().min(place + SMOOTH / 2 + 1)];
-        let asked: f64 = part.iter().map(|second| second.asked).sum();
-        let served: f64 = part.iter().map(|second| second.served).sum();
+        let asked: f64 = part.iter().map(|second| second.requested_worth).sum();
+        let served: f64 = part.iter().map(|second| second.delivered_worth).sum();
         (place as f64, if asked > 0.0 { served / asked } else { 1.0 })
     };
     let points = (0..seconds.len()).map(at).collect();
@@ -168,7 +168,7 @@
         Verdict::Kept => ("Kept: no rule was broken, and service is over the floor.".to_owned(), "kept"),
         Verdict::Broken => (format!("Broken: {} breaches.", report.broken.values().sum::<u64>()), "broken"),
         Verdict::UnderFloor => (
-            format!("Service {:.3} is under the floor of {:.2}.", report.service.service, report.floor),
+            format!("Service {:.3} is under the floor of {:.2}.", report.service.combined, report.floor),
             "broken",
         ),
         Verdict::Void => (format!("Void: {}.", report.void.as_deref().unwrap_or("the kit was late")), "void"),
@@ -239,10 +239,10 @@
 fn figures(html: &mut String, report: &Report) {
     let crate::Report { service, counts, late_clients, late_partners, .. } = report;
     let rows = [
-        ("Service kept", format!("{:.3} (floor {:.2})", service.service, report.floor)),
+        ("Service kept", format!("{:.3} (floor {:.2})", service.combined, report.floor)),
         (
             "... of the whole, the worst 10 s, the worst class",
-            format!("{:.3}, {:.3}, {:.3}", service.whole, service.worst_window, service.worst_class),
+            format!("{:.3}, {:.3}, {:.3}", service.whole_run, service.worst_window, service.worst_class),
         ),
         ("Messages meant to be sent, delivered", format!("{}, {}", counts.messages, counts.delivered)),
         (
--- a/crates/gullcart-rehearsal/src/report.rs
+++ b/crates/gullcart-rehearsal/src/report.rs
@@ -1,7 +1,7 @@
 //! What came of a rehearsal.
 
 use crate::day::Window;
-use gullcart_judge::{Breach, Latency, Rule, Second, ServiceFigures};
+use gullcart_judge::{LatencySummary, Rule, ServiceScores, Violation, WorthTotals};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -102,16 +102,16 @@
     pub proof: Vec<String>,
 }
 
-impl From<&Breach> for Shown {
-    fn from(breach: &Breach) -> Self {
+impl From<&Violation> for Shown {
+    fn from(breach: &Violation) -> Self {
         Shown {
-            at: breach.at.seconds(),
+            at: breach.at.as_secs_f64(),
             rule: breach.rule,
-            words: breach.rule.words(),
+            words: breach.rule.description(),
             courier: breach.courier.0,
             message: breach.message.map(|message| message.0),
-            what: breach.what.clone(),
-            proof: breach.proof.iter().map(ToString::to_string).collect(),
+            what: breach.description.clone(),
+            proof: breach.evidence.iter().map(ToString::to_string).collect(),
         }
     }
 }
@@ -138,7 +138,7 @@
     /// Service under this is a failure.
     pub floor: f64,
     /// The service kept.
-    pub service: ServiceFigures,
+    pub service: ServiceScores,
     /// Breaches by rule.
     pub broken: BTreeMap<Rule, u64>,
     /// The first breaches.
@@ -146,13 +146,13 @@
     /// Counted.
     pub counts: Counts,
     /// From the intended send to delivery, all classes.
-    pub latency: Latency,
+    pub latency: LatencySummary,
     /// Shares of the deliveries, and within how many milliseconds they came.
     pub percentiles: Vec<(f64, u64)>,
     /// Latency by class.
-    pub latency_of: Vec<(String, Latency)>,
+    pub latency_of: Vec<(String, LatencySummary)>,
     /// Service, second by second.
-    pub by_second: Vec<Second>,
+    pub by_second: Vec<WorthTotals>,
     /// The run, second by second.
     pub samples: Vec<Sample>,
     /// When faults were in force.
@@ -177,7 +177,7 @@
         writeln!(
             f,
             "  service   {:.3} (whole {:.3}, worst 10 s {:.3}, worst class {:.3}; floor {:.2})",
-            service.service, service.whole, service.worst_window, service.worst_class, self.floor
+            service.combined, service.whole_run, service.worst_window, service.worst_class, self.floor
         )?;
         writeln!(
             f,
@@ -203,7 +203,7 @@
             writeln!(f, "  note      {remark}")?;
         }
         for (rule, count) in &self.broken {
-            writeln!(f, "  BROKEN    {} x {}: {}", rule.name(), count, rule.words())?;
+            writeln!(f, "  BROKEN    {} x {}: {}", rule.name(), count, rule.description())?;
         }
         if let Some(first) = self.breaches.first() {
             writeln!(f, "  first     at {:.3} s, courier {}: {}", first.at, first.courier, first.what)?;
@@ -218,7 +218,7 @@
             (Verdict::Kept, _) => write!(f, "kept: no rule was broken, and service is over the floor"),
             (Verdict::Broken, _) => write!(f, "BROKEN: {} breaches", self.broken.values().sum::<u64>()),
             (Verdict::UnderFloor, _) => {
-                write!(f, "UNDER THE FLOOR: service {:.3} is under {:.2}", service.service, self.floor)
+                write!(f, "UNDER THE FLOOR: service {:.3} is under {:.2}", service.combined, self.floor)
             }
             (Verdict::Void, why) => write!(f, "VOID: {}", why.as_deref().unwrap_or("the kit was late")),
         }
--- a/crates/gullcart-rehearsal/src/run/clients.rs
+++ b/crates/gullcart-rehearsal/src/run/clients.rs
@@ -15,7 +15,7 @@
             let origin = {
                 let mut book = self.book.borrow_mut();
                 book.counts.messages += 1;
-                book.service.asked(arrival.class, arrival.at);
+                book.service.record_request(arrival.class, arrival.at);
                 let retries = u32::from(self.scenario.traffic.retries);
                 book.origins.push(Origin { arrival, retries, tries: 0, delivered: false });
                 book.origins.len() - 1
@@ -92,7 +92,7 @@
                 body: &ids::body(origin as u64, self.scenario.traffic.body),
             }
             .request();
-            self.recorder.note(Event::HandIn {
+            self.recorder.note(Event::EnqueueSent {
                 message,
                 courier: CourierId(courier as u16),
                 class: ClassId(arrival.class as u8),
@@ -101,17 +101,19 @@
                 deadline,
             });
             let mut told = self.places[courier].clients.hand_in(&request).await;
-            if told == Told::Cut && self.is_away(courier).await {
-                told = Told::Unreached;
+            if told == EnqueueOutcome::ConnectionLost && self.is_away(courier).await {
+                told = EnqueueOutcome::Unreachable;
             }
-            self.recorder.note(Event::Answered { message, told });
+            self.recorder.note(Event::EnqueueAnswered { message, outcome: told });
             match told {
-                Told::Taken | Told::Error => return,
-                Told::Busy(wait) => {
+                EnqueueOutcome::Accepted | EnqueueOutcome::Error => return,
+                EnqueueOutcome::Busy(wait) => {
                     self.come_back(origin, wait);
                     return;
                 }
-                Told::GaveUp | Told::Cut | Told::Unreached => {
+                EnqueueOutcome::ClientTimedOut
+                | EnqueueOutcome::ConnectionLost
+                | EnqueueOutcome::Unreachable => {
                     (avoid, again) = (Some(courier), true);
                     // A client that cannot reach anybody does not ask all the time.
                     sleep(Duration::from_millis(50)).await;
--- a/crates/gullcart-rehearsal/src/run/couriers.rs
+++ b/crates/gullcart-rehearsal/src/run/couriers.rs
@@ -5,14 +5,14 @@
 use tokio::time::timeout;
 
 impl World {
-    pub(super) fn process(&self, courier: usize, what: Process) {
-        self.recorder.note(Event::Process { courier: CourierId(courier as u16), what });
+    pub(super) fn process(&self, courier: usize, what: ProcessEvent) {
+        self.recorder.note(Event::Process { courier: CourierId(courier as u16), change: what });
     }
 
     pub(super) async fn start(self: &Rc<Self>, courier: usize) -> Result<(), RunError> {
         let place = &self.places[courier];
         let config = self.configure(courier).map_err(doing("a courier's configuration"))?;
-        self.process(courier, Process::Started);
+        self.process(courier, ProcessEvent::Started);
         let ending = Rc::new(Cell::new(false));
         *place.ending.borrow_mut() = ending.clone();
         let started = Courier::start(&self.launch, &config, &place.folder.join("state")).await;
@@ -26,7 +26,7 @@
             }
             sleep(Duration::from_millis(5)).await;
         }
-        self.process(courier, Process::Ready);
+        self.process(courier, ProcessEvent::Ready);
         place.serving.set(true);
         Ok(())
     }
@@ -39,7 +39,7 @@
             let _ = ended.wait_for(|ended| *ended).await;
             let place = &world.places[courier];
             if !ending.get() {
-                world.process(courier, Process::Crashed);
+                world.process(courier, ProcessEvent::Crashed);
                 place.serving.set(false);
                 place.clients.find(None);
                 let last = log.borrow().back().cloned().unwrap_or_default();
@@ -62,7 +62,7 @@
         let new = match Courier::start(&self.launch, &config, &place.folder.join("state")).await {
             Ok(new) => new,
             Err(error) => {
-                self.process(courier, Process::Crashed);
+                self.process(courier, ProcessEvent::Crashed);
                 return self.remark(format!("courier {courier} was not taken over: {error}"));
             }
         };
@@ -82,7 +82,7 @@
         let place = &self.places[courier];
         place.ending.borrow().set(true);
         place.signalled.set(Some(Instant::now()));
-        self.process(courier, Process::Terminated);
+        self.process(courier, ProcessEvent::Terminated);
         let ended = {
             let process = place.process.borrow();
             let Some(process) = &*process else { return };
@@ -99,7 +99,7 @@
             }
         }
         place.clients.find(None);
-        self.process(courier, Process::Ended);
+        self.process(courier, ProcessEvent::Ended);
     }
 
     pub(super) fn kill(self: &Rc<Self>, courier: usize, folder_lost: bool) {
@@ -111,7 +111,7 @@
             process.signal(Signal::KILL);
         }
         place.clients.find(None);
-        self.process(courier, Process::Ended);
+        self.process(courier, ProcessEvent::Ended);
         if folder_lost {
             let state = place.folder.join("state");
             let lost = std::fs::remove_dir_all(&state).and_then(|()| std::fs::create_dir_all(&state));
@@ -119,7 +119,7 @@
                 self.remark(format!("a courier's folder could not be lost: {error}"));
             }
             self.hand_again(courier);
-            self.process(courier, Process::FolderLost);
+            self.process(courier, ProcessEvent::FolderLost);
         }
     }
 
@@ -133,7 +133,7 @@
             process.signal(Signal::STOP);
         }
         place.suspended.set(true);
-        self.process(courier, Process::Suspended);
+        self.process(courier, ProcessEvent::Suspended);
         sleep(FRONT_NOTICES).await;
         if place.suspended.get() {
             place.serving.set(false);
@@ -146,7 +146,7 @@
             return;
         }
         // What came meanwhile is there before it goes on, and is judged from then.
-        self.process(courier, Process::Resumed);
+        self.process(courier, ProcessEvent::Resumed);
         if let Some(process) = &*place.process.borrow() {
             process.signal(Signal::CONT);
         }
@@ -174,7 +174,7 @@
         }
         if let Err(error) = self.start(courier).await {
             self.remark(format!("a courier did not start again: {error}"));
-            self.process(courier, Process::Crashed);
+            self.process(courier, ProcessEvent::Crashed);
         }
     }
 
@@ -193,7 +193,7 @@
             self.go_on(courier);
             place.ending.borrow().set(true);
             if place.process.borrow().as_ref().is_some_and(|process| !process.has_ended()) {
-                self.process(courier, Process::Terminated);
+                self.process(courier, ProcessEvent::Terminated);
             }
             if let Some(process) = &*place.process.borrow() {
                 process.signal(Signal::TERM);
--- a/crates/gullcart-rehearsal/src/run/faults.rs
+++ b/crates/gullcart-rehearsal/src/run/faults.rs
@@ -21,7 +21,7 @@
                 self.reopen(partner);
             }
             Action::Out(partner) => {
-                self.recorder.note(Event::Out { partner: partner_id(partner) });
+                self.recorder.note(Event::OutageBegan { partner: partner_id(partner) });
             }
             Action::Back(partner) => self.back(partner, now),
             Action::Drain { partner, endpoint, replace } => self.drain(partner, endpoint, replace),
@@ -60,7 +60,7 @@
     /// Opens or shuts the addresses of a partner's endpoints, as they are up or down.
     pub(super) fn reopen(&self, partner: usize) {
         for standing in &self.endpoints.borrow()[partner] {
-            if standing.state.get() == State::Gone {
+            if standing.state.get() == EndpointState::Gone {
                 continue;
             }
             if self.partners[partner].borrow().is_down(standing.endpoint.place) {
@@ -76,18 +76,18 @@
         }
     }
 
-    pub(super) fn back(&self, partner: usize, now: At) {
+    pub(super) fn back(&self, partner: usize, now: Timestamp) {
         let mut model = self.partners[partner].borrow_mut();
         model.come_back(now);
         let (capacity, spec) = (model.capacity(), model.spec().clone());
         drop(model);
         // Calls of before hang no more.
         self.endpoints.borrow()[partner].iter().for_each(|standing| standing.endpoint.break_connections());
-        self.recorder.note(Event::Back {
+        self.recorder.note(Event::OutageEnded {
             partner: partner_id(partner),
             capacity,
-            cold_from: spec.cold_from,
-            warm: now + spec.cold,
+            cold_capacity_share: spec.cold_from,
+            warm_at: now + spec.cold,
         });
     }
 
@@ -107,7 +107,7 @@
     }
 
     pub(super) fn drain(self: &Rc<Self>, partner: usize, place: usize, replace: Replace) {
-        self.endpoints.borrow()[partner][place].state.set(State::Draining);
+        self.endpoints.borrow()[partner][place].state.set(EndpointState::Draining);
         self.tell(partner, place);
         if replace == Replace::New {
             let model = self.partners[partner].borrow_mut().add_endpoint();
@@ -126,7 +126,7 @@
         {
             let endpoints = self.endpoints.borrow();
             let standing = &endpoints[partner][place];
-            standing.state.set(State::Gone);
+            standing.state.set(EndpointState::Gone);
             standing.endpoint.break_connections();
             if replace != Replace::SameAddress {
                 standing.doors.iter().for_each(Door::shut);
@@ -138,7 +138,7 @@
             let endpoint = self.new_endpoint(partner, model);
             let doors = self.endpoints.borrow()[partner][place].doors.clone();
             doors.iter().for_each(|door| door.hand_over(endpoint.clone()));
-            let standing = Standing { endpoint, doors, state: Cell::new(State::Serving) };
+            let standing = Standing { endpoint, doors, state: Cell::new(EndpointState::Serving) };
             self.endpoints.borrow_mut()[partner].push(standing);
             let place = self.endpoints.borrow()[partner].len() - 1;
             self.tell(partner, place);
--- a/crates/gullcart-rehearsal/src/run/mod.rs
+++ b/crates/gullcart-rehearsal/src/run/mod.rs
@@ -15,7 +15,7 @@
 use crate::report::{Counts, Lateness, Report, Sample, Shown, Verdict, LATE_MS};
 use crate::scenario::{Effect, FaultKind, Scenario};
 use gullcart_judge::trace::*;
-use gullcart_judge::{Judge, Rule, ServiceFigures, Weights};
+use gullcart_judge::{Judge, Rule, ServiceScores, Weights};
 use gullcart_standins::client::Clients;
 use gullcart_standins::endpoint::{Counters, Door, Endpoint, Expect, Expected, Site};
 use gullcart_standins::partner::Partner;
@@ -52,8 +52,8 @@
     pub fn is_reached(self, judge: &Judge) -> bool {
         match self {
             Until::TheEnd => false,
-            Until::TheFirstBreach => !judge.counts().is_empty(),
-            Until::BreachOf(rule) => judge.counts().contains_key(&rule),
+            Until::TheFirstBreach => !judge.violation_counts().is_empty(),
+            Until::BreachOf(rule) => judge.violation_counts().contains_key(&rule),
         }
     }
 }
@@ -77,7 +77,7 @@
     /// Seconds that messages come in.
     pub of: f64,
     /// Service of the messages whose time is not open any more.
-    pub service: ServiceFigures,
+    pub service: ServiceScores,
     /// Breaches so far.
     pub breaches: u64,
     /// Messages that are owed an end.
@@ -130,7 +130,7 @@
 struct Standing {
     endpoint: Rc<Endpoint>,
     doors: Rc<Vec<Door>>,
-    state: Cell<State>,
+    state: Cell<EndpointState>,
 }
 
 struct World {
@@ -293,9 +293,9 @@
         });
         let deadline = self.scenario.classes.iter().map(|class| class.deadline_s).fold(0.0, f64::max);
         // A courier that was away tells late ends only after it is back.
-        let last = At(0) + Duration::from_secs_f64(self.scenario.seconds + deadline + 5.0);
+        let last = Timestamp(0) + Duration::from_secs_f64(self.scenario.seconds + deadline + 5.0);
         let mut samples = Vec::new();
-        let mut next = At(0);
+        let mut next = Timestamp(0);
         let (mut calls, mut refused) = (0, 0);
         let mut quiet_since = None;
         loop {
@@ -318,7 +318,7 @@
             let quiet = arriving.is_finished()
                 && acting.is_finished()
                 && self.busy.get() == 0
-                && self.book.borrow().judge.owed() == 0;
+                && self.book.borrow().judge.pending_messages() == 0;
             quiet_since = if quiet { quiet_since.or(Some(now)) } else { None };
             if quiet_since.is_some_and(|since| now - since >= AFTERMATH) || now > last {
                 arriving.abort();
@@ -328,7 +328,7 @@
         }
     }
 
-    fn sample(&self, now: At, calls: &mut u64, refused: &mut u64) -> Sample {
+    fn sample(&self, now: Timestamp, calls: &mut u64, refused: &mut u64) -> Sample {
         let counters = &self.site.counters;
         let mut recent = std::mem::take(&mut self.book.borrow_mut().recent);
         recent.sort_by(f64::total_cmp);
@@ -337,9 +337,9 @@
             kb.map(|kb| kb as f64 / 1024.0)
         };
         let sample = Sample {
-            at: now.seconds(),
+            at: now.as_secs_f64(),
             out: counters.out.get(),
-            owed: self.book.borrow().judge.owed(),
+            owed: self.book.borrow().judge.pending_messages(),
             calls: counters.calls.get() - *calls,
             refused: counters.refused.get() - *refused,
             memory_mb: self.places.iter().map(memory).collect(),
@@ -349,15 +349,15 @@
         sample
     }
 
-    fn progress(&self, now: At, sample: &Sample) -> Progress {
-        let at = now.seconds();
+    fn progress(&self, now: Timestamp, sample: &Sample) -> Progress {
+        let at = now.as_secs_f64();
         let book = self.book.borrow();
         let in_force = self.day.windows.iter().filter(|window| (window.from..window.to).contains(&at));
         Progress {
             at,
             of: self.scenario.seconds,
-            service: book.service.figures(Weights::default()),
-            breaches: book.judge.counts().values().sum(),
+            service: book.service.scores(Weights::default()),
+            breaches: book.judge.violation_counts().values().sum(),
             owed: sample.owed,
             faults: in_force.map(|window| window.name.clone()).collect(),
         }
@@ -378,25 +378,25 @@
                 "the kit itself was late by {late:.0} ms at p99; over {LATE_MS:.0} ms nothing can be said"
             )
         });
-        let service = book.service.figures(Weights::default());
-        let broken = book.judge.counts().clone();
+        let service = book.service.scores(Weights::default());
+        let broken = book.judge.violation_counts().clone();
         let verdict = if void.is_some() {
             Verdict::Void
         } else if !broken.is_empty() {
             Verdict::Broken
-        } else if service.service < self.scenario.floor {
+        } else if service.combined < self.scenario.floor {
             Verdict::UnderFloor
         } else {
             Verdict::Kept
         };
-        let breaches = book.judge.breaches().iter().map(Shown::from).collect();
+        let breaches = book.judge.violations().iter().map(Shown::from).collect();
         let names = self.scenario.classes.iter().map(|class| class.name.clone());
         Report {
             scenario: self.scenario.name.clone(),
             about: self.scenario.about.clone(),
             seed: self.seed,
             seconds: self.scenario.seconds,
-            took: now.seconds(),
+            took: now.as_secs_f64(),
             ended_early,
             verdict,
             void,
--- a/crates/gullcart-rehearsal/src/run/stand.rs
+++ b/crates/gullcart-rehearsal/src/run/stand.rs
@@ -11,7 +11,7 @@
         let doors: io::Result<Vec<Door>> = (0..self.places.len())
             .map(|courier| Door::open(&self.site, CourierId(courier as u16), endpoint.clone()))
             .collect();
-        Ok(Standing { endpoint, doors: Rc::new(doors?), state: Cell::new(State::Serving) })
+        Ok(Standing { endpoint, doors: Rc::new(doors?), state: Cell::new(EndpointState::Serving) })
     }
 
     pub(super) fn new_endpoint(&self, partner: usize, place: usize) -> Rc<Endpoint> {
--- a/crates/gullcart-rehearsal/tests/scenarios.rs
+++ b/crates/gullcart-rehearsal/tests/scenarios.rs
@@ -1,6 +1,6 @@
 //! Scenario files and the days drawn from them.
 
-use gullcart_judge::trace::At;
+use gullcart_judge::trace::Timestamp;
 use gullcart_rehearsal::{Action, Day, Scenario, SHIPPED};
 use proptest::prelude::*;
 
@@ -126,7 +126,7 @@
     }
 }
 
-fn when(day: &Day, which: impl Fn(&Action) -> bool) -> Vec<At> {
+fn when(day: &Day, which: impl Fn(&Action) -> bool) -> Vec<Timestamp> {
     day.actions.iter().filter(|(_, action)| which(action)).map(|(at, _)| *at).collect()
 }
 
@@ -144,15 +144,18 @@
     let day = Day::draw(&read(&text), 1);
     assert_eq!(
         when(&day, |action| matches!(action, Action::Drain { .. })),
-        [At::ms(2000), At::ms(3500), At::ms(5000)]
+        [Timestamp::from_millis(2000), Timestamp::from_millis(3500), Timestamp::from_millis(5000)]
+    );
+    assert_eq!(
+        when(&day, |action| matches!(action, Action::Begin { partner: 1, .. })),
+        [Timestamp::from_millis(3750)]
     );
-    assert_eq!(when(&day, |action| matches!(action, Action::Begin { partner: 1, .. })), [At::ms(3750)]);
     let killed =
         |who| move |action: &Action| matches!(action, Action::Kill { courier, .. } if *courier == who);
     // The last endpoint is gone at 9 s.
-    assert_eq!(when(&day, killed(0)), [At::ms(9500)]);
+    assert_eq!(when(&day, killed(0)), [Timestamp::from_millis(9500)]);
     // Away for a second, and one more until it counts as back.
-    assert_eq!(when(&day, killed(1)), [At::ms(11_500)]);
+    assert_eq!(when(&day, killed(1)), [Timestamp::from_millis(11_500)]);
 }
 
 #[test]
@@ -175,7 +178,12 @@
         format!("{HEAD}[[fault]]\nname = \"s\"\nkind = \"surge\"\nstart_s = 5\nlength_s = 5\nseverity = 3\n");
     let day = Day::draw(&read(&surge), 3);
     let count = |from: u64, to: u64| {
-        day.arrivals.iter().filter(|arrival| (At::ms(from)..At::ms(to)).contains(&arrival.at)).count() as f64
+        day.arrivals
+            .iter()
+            .filter(|arrival| {
+                (Timestamp::from_millis(from)..Timestamp::from_millis(to)).contains(&arrival.at)
+            })
+            .count() as f64
     };
     let (inside, outside) = (count(5000, 10_000) / 5.0, (count(0, 5000) + count(10_000, 20_000)) / 15.0);
     assert!((45.0..75.0).contains(&inside), "{inside} a second");
@@ -192,7 +200,7 @@
         let (day, again) = (Day::draw(&scenario, seed), Day::draw(&scenario, seed));
         prop_assert_eq!(&day.arrivals, &again.arrivals);
         prop_assert!(day.arrivals.windows(2).all(|pair| pair[0].at <= pair[1].at));
-        prop_assert!(day.arrivals.iter().all(|arrival| arrival.at <= At::ms(20_000)));
+        prop_assert!(day.arrivals.iter().all(|arrival| arrival.at <= Timestamp::from_millis(20_000)));
         if day.arrivals.len() > 20 {
             prop_assert_ne!(&day.arrivals, &Day::draw(&scenario, seed.wrapping_add(1)).arrivals);
         }
--- a/crates/gullcart-standins/src/client.rs
+++ b/crates/gullcart-standins/src/client.rs
@@ -1,6 +1,6 @@
 //! Clients of one courier: connections that are kept, and what is told of each hand-in.
 
-use gullcart_judge::trace::Told;
+use gullcart_judge::trace::EnqueueOutcome;
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
@@ -87,7 +87,7 @@
 
     /// Hands a message in. A courier may close a connection between two requests, also before the first: a request
     /// that crosses that goes once more on a new one.
-    pub async fn hand_in(&self, request: &[u8]) -> Told {
+    pub async fn hand_in(&self, request: &[u8]) -> EnqueueOutcome {
         let until = Instant::now() + PATIENCE;
         let kept = self.idle.borrow_mut().pop();
         let stream = match kept {
@@ -96,40 +96,40 @@
         };
         match stream {
             Ok(stream) => match self.ask(stream, request, until).await {
-                Some(Told::Cut) | None => {}
+                Some(EnqueueOutcome::ConnectionLost) | None => {}
                 Some(told) => return told,
             },
             Err(told) => return told,
         }
         match self.connect(until).await {
-            Ok(stream) => self.ask(stream, request, until).await.unwrap_or(Told::Unreached),
+            Ok(stream) => self.ask(stream, request, until).await.unwrap_or(EnqueueOutcome::Unreachable),
             Err(told) => told,
         }
     }
 
-    async fn connect(&self, until: Instant) -> Result<TcpStream, Told> {
-        let address = self.address.get().ok_or(Told::Unreached)?;
+    async fn connect(&self, until: Instant) -> Result<TcpStream, EnqueueOutcome> {
+        let address = self.address.get().ok_or(EnqueueOutcome::Unreachable)?;
         match timeout_at(until, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => {
                 let _ = stream.set_nodelay(true);
                 Ok(stream)
             }
-            Ok(Err(_)) => Err(Told::Unreached),
-            Err(_) => Err(Told::GaveUp),
+            Ok(Err(_)) => Err(EnqueueOutcome::Unreachable),
+            Err(_) => Err(EnqueueOutcome::ClientTimedOut),
         }
     }
 
     /// None if the request could not be written.
-    async fn ask(&self, mut stream: TcpStream, request: &[u8], until: Instant) -> Option<Told> {
+    async fn ask(&self, mut stream: TcpStream, request: &[u8], until: Instant) -> Option<EnqueueOutcome> {
         match timeout_at(until, stream.write_all(request)).await {
             Ok(Ok(())) => {}
             Ok(Err(_)) => return None,
-            Err(_) => return Some(Told::GaveUp),
+            Err(_) => return Some(EnqueueOutcome::ClientTimedOut),
         }
         let line = match timeout_at(until, read_line(&mut stream)).await {
             Ok(Ok(Some(line))) => line,
-            Ok(_) => return Some(Told::Cut),
-            Err(_) => return Some(Told::GaveUp),
+            Ok(_) => return Some(EnqueueOutcome::ConnectionLost),
+            Err(_) => return Some(EnqueueOutcome::ClientTimedOut),
         };
         if self.idle.borrow().len() < MOST_IDLE {
             self.idle.borrow_mut().push(stream);
@@ -138,14 +138,14 @@
     }
 }
 
-fn read_answer(line: &str) -> Told {
+fn read_answer(line: &str) -> EnqueueOutcome {
     if line.starts_with(['+', '$']) {
-        return Told::Taken;
+        return EnqueueOutcome::Accepted;
     }
     match line.strip_prefix("-BUSY") {
-        Some("") => Told::Busy(None),
-        Some(wait) => wait.trim().parse().map_or(Told::Error, |ms| Told::Busy(Some(ms))),
-        None => Told::Error,
+        Some("") => EnqueueOutcome::Busy(None),
+        Some(wait) => wait.trim().parse().map_or(EnqueueOutcome::Error, |ms| EnqueueOutcome::Busy(Some(ms))),
+        None => EnqueueOutcome::Error,
     }
 }
 
--- a/crates/gullcart-standins/src/client/tests.rs
+++ b/crates/gullcart-standins/src/client/tests.rs
@@ -2,12 +2,12 @@
 
 #[test]
 fn answers_mean_what_the_protocol_says() {
-    assert_eq!(read_answer("+OK"), Told::Taken);
-    assert_eq!(read_answer("$2"), Told::Taken);
-    assert_eq!(read_answer("-BUSY"), Told::Busy(None));
-    assert_eq!(read_answer("-BUSY 40"), Told::Busy(Some(40)));
-    assert_eq!(read_answer("-BUSY soon"), Told::Error);
-    assert_eq!(read_answer("-ERR no"), Told::Error);
+    assert_eq!(read_answer("+OK"), EnqueueOutcome::Accepted);
+    assert_eq!(read_answer("$2"), EnqueueOutcome::Accepted);
+    assert_eq!(read_answer("-BUSY"), EnqueueOutcome::Busy(None));
+    assert_eq!(read_answer("-BUSY 40"), EnqueueOutcome::Busy(Some(40)));
+    assert_eq!(read_answer("-BUSY soon"), EnqueueOutcome::Error);
+    assert_eq!(read_answer("-ERR no"), EnqueueOutcome::Error);
 }
 
 #[test]
--- a/crates/gullcart-standins/src/endpoint.rs
+++ b/crates/gullcart-standins/src/endpoint.rs
@@ -68,7 +68,7 @@
 
 impl Counters {
     /// Something that was due is done now.
-    pub fn late(&self, due: At, now: At) {
+    pub fn late(&self, due: Timestamp, now: Timestamp) {
         self.late.borrow_mut().saturating_record(((now - due).as_micros() as u64).max(1));
     }
 }
@@ -300,7 +300,7 @@
             let key = request.header("idempotency-key").map(str::to_owned);
             expected.idempotency_key == key && expected.body == request.body
         });
-        let at = site.recorder.note(Event::Call {
+        let at = site.recorder.note(Event::CallReceived {
             call,
             message: message.filter(|_| expected.is_some()),
             courier: self.courier,
@@ -330,7 +330,7 @@
                 return self.cut(call, by);
             }
             if self.stream.write_all(&bytes).await.is_err() {
-                return self.cut(call, By::Courier);
+                return self.cut(call, ClosedBy::Courier);
             }
         }
         if let Err(by) = self.wait(due, breaks).await {
@@ -345,12 +345,12 @@
                 match wait.map(|wait| wait.as_micros().div_ceil(1000).max(1) as u64) {
                     Some(ms) => {
                         let header = format!("X-Come-Back-Ms: {ms}\r\n");
-                        self.answer(call, Answer::Full(Some(ms)), "429 Too Many", &header).await?;
+                        self.answer(call, Answer::Rejected(Some(ms)), "429 Too Many", &header).await?;
                     }
-                    None => self.answer(call, Answer::Full(None), "503 Full", "").await?,
+                    None => self.answer(call, Answer::Rejected(None), "503 Full", "").await?,
                 }
             }
-            Fate::Reset(_) | Fate::Silent => return self.cut(call, By::Partner),
+            Fate::Reset(_) | Fate::Silent => return self.cut(call, ClosedBy::Partner),
             Fate::Spoilt(_) => {
                 let (answer, bytes) = spoilt(call);
                 self.stream.write_all(bytes).await?;
@@ -367,16 +367,20 @@
     }
 
     /// A call ends with its connection.
-    fn cut(&self, call: CallId, by: By) -> io::Result<bool> {
-        self.site.recorder.note(Event::CallCut { call, by });
-        if by == By::Partner {
+    fn cut(&self, call: CallId, by: ClosedBy) -> io::Result<bool> {
+        self.site.recorder.note(Event::CallAborted { call, closed_by: by });
+        if by == ClosedBy::Partner {
             self.reset()?;
         }
         Ok(false)
     }
 
     /// Waits until an answer is due, and longer while the partner stands still.
-    async fn wait(&mut self, due: Option<At>, breaks: &mut watch::Receiver<u32>) -> Result<(), By> {
+    async fn wait(
+        &mut self,
+        due: Option<Timestamp>,
+        breaks: &mut watch::Receiver<u32>,
+    ) -> Result<(), ClosedBy> {
         let recorder = self.site.recorder.clone();
         let mut due = due;
         let mut more = Vec::new();
@@ -384,11 +388,11 @@
             let never = recorder.now() + Duration::from_secs(3600);
             tokio::select! {
                 biased;
-                _ = breaks.changed() => return Err(By::Partner),
+                _ = breaks.changed() => return Err(ClosedBy::Partner),
                 read = self.stream.read_buf(&mut more) => match read {
                     // A courier has nothing to say before its answer: it is soon given up.
                     Ok(count) if count > 0 && more.len() < BACKLOG as usize => {}
-                    _ => return Err(By::Courier),
+                    _ => return Err(ClosedBy::Courier),
                 },
                 () = sleep_until(recorder.instant(due.unwrap_or(never))) => {
                     let stalled = self.endpoint.partner.borrow().stalled(self.endpoint.place);
@@ -420,7 +424,7 @@
         self.last_delivery = (answer == Answer::Ok).then(|| text.into_bytes());
         let event = match written {
             Ok(()) => Event::CallAnswered { call, answer },
-            Err(_) => Event::CallCut { call, by: By::Courier },
+            Err(_) => Event::CallAborted { call, closed_by: ClosedBy::Courier },
         };
         self.site.recorder.note_at(at, event);
         written
@@ -430,11 +434,11 @@
 /// Damaged answers, in turn: what they mean, and their bytes. Behind each the connection ends.
 fn spoilt(call: CallId) -> (Answer, &'static [u8]) {
     match call.0 % 5 {
-        0 => (Answer::Spoilt, b"\x00\xff\x07 no answer at all\r\n\r\n"),
+        0 => (Answer::Malformed, b"\x00\xff\x07 no answer at all\r\n\r\n"),
         // Turned away, it seems, but not whole: it is not to be believed.
-        1 => (Answer::Spoilt, b"HTTP/1.1 503 Full\r\nContent-Length: 90\r\n\r\nand then"),
-        2 => (Answer::Spoilt, b"HTTP/1.1 429 Later\r\nX-Come-Back-Ms: 50"),
-        3 => (Answer::Spoilt, b"HTTP/9"),
+        1 => (Answer::Malformed, b"HTTP/1.1 503 Full\r\nContent-Length: 90\r\n\r\nand then"),
+        2 => (Answer::Malformed, b"HTTP/1.1 429 Later\r\nX-Come-Back-Ms: 50"),
+        3 => (Answer::Malformed, b"HTTP/9"),
         // A first line with 200 delivers, whatever is wrong behind it.
         _ => (Answer::Ok, b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 7\r\n\r\nok"),
     }
--- a/crates/gullcart-standins/src/http.rs
+++ b/crates/gullcart-standins/src/http.rs
@@ -1,6 +1,6 @@
 //! As much of HTTP/1.1 as partners and the register need: requests in, with the time of their first byte.
 
-use gullcart_judge::trace::At;
+use gullcart_judge::trace::Timestamp;
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
@@ -16,7 +16,7 @@
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
     /// When its first byte came.
-    pub first_byte: At,
+    pub first_byte: Timestamp,
 }
 
 impl Request {
@@ -32,7 +32,7 @@
 #[derive(Default)]
 pub struct Reader {
     buffer: Vec<u8>,
-    first_byte: Option<At>,
+    first_byte: Option<Timestamp>,
 }
 
 fn bad(what: &str) -> io::Error {
@@ -44,7 +44,7 @@
     pub async fn next(
         &mut self,
         input: &mut (impl AsyncRead + Unpin),
-        now: impl Fn() -> At,
+        now: impl Fn() -> Timestamp,
     ) -> io::Result<Option<Request>> {
         loop {
             if let Some((request, length)) = self.parse(self.first_byte.unwrap_or_else(&now))? {
@@ -65,7 +65,7 @@
         }
     }
 
-    fn parse(&self, first_byte: At) -> io::Result<Option<(Request, usize)>> {
+    fn parse(&self, first_byte: Timestamp) -> io::Result<Option<(Request, usize)>> {
         let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
         let mut parsed = httparse::Request::new(&mut headers);
         let head = match parsed.parse(&self.buffer).map_err(|error| bad(&error.to_string()))? {
--- a/crates/gullcart-standins/src/link/mod.rs
+++ b/crates/gullcart-standins/src/link/mod.rs
@@ -5,7 +5,7 @@
 pub mod plan;
 
 use crate::endpoint::{bound, BACKLOG, PAUSE};
-use gullcart_judge::trace::At;
+use gullcart_judge::trace::Timestamp;
 use plan::{Plan, Trouble, Way, MOST_HELD};
 use socket2::{SockRef, Socket};
 use std::cell::{Cell, RefCell};
@@ -36,8 +36,8 @@
 }
 
 impl Shared {
-    fn now(&self) -> At {
-        At(self.begun.elapsed().as_micros() as u64)
+    fn now(&self) -> Timestamp {
+        Timestamp(self.begun.elapsed().as_micros() as u64)
     }
 
     /// Waits while this way is cut.
@@ -153,7 +153,7 @@
             accepting.abort();
         }
         // Connections end with it.
-        self.shared.plan.borrow_mut().begin(u32::MAX, Trouble::Refused, At(0));
+        self.shared.plan.borrow_mut().begin(u32::MAX, Trouble::Refused, Timestamp(0));
         self.shared.changes.send_replace(());
     }
 }
--- a/crates/gullcart-standins/src/link/plan.rs
+++ b/crates/gullcart-standins/src/link/plan.rs
@@ -3,7 +3,7 @@
 //! A link is directed by who connects: the connections that one process opens to another go through it, with what is said
 //! on them in both ways. The link of the other direction is another one, with troubles of its own.
 
-use gullcart_judge::trace::At;
+use gullcart_judge::trace::Timestamp;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -47,12 +47,12 @@
 /// A link's troubles.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
-    troubles: BTreeMap<u32, (Trouble, At)>,
+    troubles: BTreeMap<u32, (Trouble, Timestamp)>,
 }
 
 impl Plan {
     /// A trouble begins; a number in use is given to the new one.
-    pub fn begin(&mut self, number: u32, trouble: Trouble, now: At) {
+    pub fn begin(&mut self, number: u32, trouble: Trouble, now: Timestamp) {
         self.troubles.insert(number, (trouble, now));
     }
 
@@ -71,7 +71,7 @@
         self.troubles.is_empty()
     }
 
-    fn all(&self) -> impl Iterator<Item = (Trouble, At)> + '_ {
+    fn all(&self) -> impl Iterator<Item = (Trouble, Timestamp)> + '_ {
         self.troubles.values().copied()
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// Whether nothing arrives this way now.
-    pub fn is_cut(&self, way: Way, now: At) -> bool {
+    pub fn is_cut(&self, way: Way, now: Timestamp) -> bool {
         self.all().any(|(trouble, began)| match trouble {
             Trouble::Cut(cut) => cut == way,
             Trouble::Silent => true,
@@ -99,13 +99,13 @@
     }
 
     /// When [`Plan::is_cut`] may change next by itself.
-    pub fn changes_at(&self, now: At) -> Option<At> {
-        let next = |(trouble, began): (Trouble, At)| {
+    pub fn changes_at(&self, now: Timestamp) -> Option<Timestamp> {
+        let next = |(trouble, began): (Trouble, Timestamp)| {
             let Trouble::Flapping(up, down) = trouble else { return None };
             let round = (up + down).as_micros().max(1) as u64;
             let passed = (now - began).as_micros() as u64 % round;
             let edge = if passed < up.as_micros() as u64 { up.as_micros() as u64 } else { round };
-            Some(At(now.0 + edge - passed))
+            Some(Timestamp(now.0 + edge - passed))
         };
         self.all().filter_map(next).min()
     }
--- a/crates/gullcart-standins/src/partner.rs
+++ b/crates/gullcart-standins/src/partner.rs
@@ -1,8 +1,8 @@
 //! The model of a partner: what it takes, how long it works, what faults do to it, and how it returns from an outage.
 //! It knows no socket and no clock.
 
-use gullcart_judge::cold::Cold;
-use gullcart_judge::trace::At;
+use gullcart_judge::slow_start::SlowStart;
+use gullcart_judge::trace::Timestamp;
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -91,7 +91,7 @@
     what: Trouble,
     /// One endpoint, or all.
     endpoint: Option<usize>,
-    until: At,
+    until: Timestamp,
 }
 
 /// A second copy of an earlier answer, written while a call is out.
@@ -107,24 +107,24 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fate {
     /// It is answered with 200 when it is done.
-    Done(At),
+    Done(Timestamp),
     /// It runs and ends in an error.
-    Error(At),
+    Error(Timestamp),
     /// It is turned away at once.
     Refused(Option<Duration>),
     /// It is never answered.
     Silent,
     /// Its connection is reset at that time.
-    Reset(At),
+    Reset(Timestamp),
     /// Its answer is damaged.
-    Spoilt(At),
+    Spoilt(Timestamp),
 }
 
 struct Endpoint {
     /// When each server is free.
-    servers: Vec<At>,
+    servers: Vec<Timestamp>,
     /// When the calls that wait begin.
-    waiting: VecDeque<At>,
+    waiting: VecDeque<Timestamp>,
 }
 
 /// A partner with its endpoints.
@@ -134,11 +134,11 @@
     servers: usize,
     rng: fastrand::Rng,
     tokens: f64,
-    filled: At,
+    filled: Timestamp,
     span: u64,
     used: u32,
     troubles: Vec<Active>,
-    cold: Option<Cold>,
+    cold: Option<SlowStart>,
     fallen: bool,
 }
 
@@ -161,7 +161,7 @@
             endpoints: Vec::new(),
             servers,
             rng: fastrand::Rng::with_seed(seed),
-            filled: At(0),
+            filled: Timestamp(0),
             span: 0,
             used: 0,
             troubles: Vec::new(),
@@ -176,7 +176,7 @@
 
     /// One more endpoint, as strong as the others; its place.
     pub fn add_endpoint(&mut self) -> usize {
-        self.endpoints.push(Endpoint { servers: vec![At(0); self.servers], waiting: VecDeque::new() });
+        self.endpoints.push(Endpoint { servers: vec![Timestamp(0); self.servers], waiting: VecDeque::new() });
         self.endpoints.len() - 1
     }
 
@@ -201,12 +201,12 @@
     }
 
     /// Until when an endpoint is cut off; none if it is not.
-    pub fn cut_until(&self, endpoint: usize) -> Option<At> {
+    pub fn cut_until(&self, endpoint: usize) -> Option<Timestamp> {
         self.active(endpoint).filter(|active| active.what == Trouble::Cut).map(|active| active.until).max()
     }
 
     /// A trouble begins; `until` is when it is meant to end.
-    pub fn begin(&mut self, id: u32, what: Trouble, endpoint: Option<usize>, until: At) {
+    pub fn begin(&mut self, id: u32, what: Trouble, endpoint: Option<usize>, until: Timestamp) {
         self.troubles.push(Active { id, what, endpoint, until });
     }
 
@@ -216,9 +216,10 @@
     }
 
     /// It comes back from an outage, cold.
-    pub fn come_back(&mut self, now: At) {
+    pub fn come_back(&mut self, now: Timestamp) {
         let Spec { cold_from, cold, fall_multiple, fall_window, .. } = self.spec;
-        self.cold = Some(Cold::new(now, now + cold, self.capacity(), cold_from, fall_multiple, fall_window));
+        self.cold =
+            Some(SlowStart::new(now, now + cold, self.capacity(), cold_from, fall_multiple, fall_window));
         for endpoint in &mut self.endpoints {
             endpoint.waiting.clear();
             endpoint.servers.fill(now);
@@ -226,8 +227,8 @@
     }
 
     /// Share of the capacity that is there now.
-    pub fn share(&self, now: At) -> f64 {
-        self.cold.as_ref().map_or(1.0, |cold| cold.share(now))
+    pub fn share(&self, now: Timestamp) -> f64 {
+        self.cold.as_ref().map_or(1.0, |cold| cold.capacity_share(now))
     }
 
     fn active(&self, endpoint: usize) -> impl Iterator<Item = &Active> {
@@ -235,7 +236,7 @@
     }
 
     /// Until when an endpoint stands still; none if it does not.
-    pub fn stalled(&self, endpoint: usize) -> Option<At> {
+    pub fn stalled(&self, endpoint: usize) -> Option<Timestamp> {
         self.active(endpoint).filter(|active| active.what == Trouble::Stall).map(|active| active.until).max()
     }
 
@@ -256,8 +257,8 @@
     }
 
     /// A call's last byte has come. Troubles come first, then the limit, then the queue.
-    pub fn call(&mut self, endpoint: usize, now: At) -> Fate {
-        let fallen_now = self.cold.as_mut().and_then(|cold| cold.call(now, false)).is_some();
+    pub fn call(&mut self, endpoint: usize, now: Timestamp) -> Fate {
+        let fallen_now = self.cold.as_mut().and_then(|cold| cold.record_call(now, false)).is_some();
         if self.cold.as_ref().is_some_and(|cold| cold.is_warm(now)) {
             self.cold = None;
         }
@@ -300,7 +301,7 @@
     }
 
     /// The wait until there is room again, if the call is above the limit.
-    fn above_limit(&mut self, now: At) -> Option<Duration> {
+    fn above_limit(&mut self, now: Timestamp) -> Option<Duration> {
         match self.spec.limit {
             Limit::Rate(rate) => {
                 let most = (rate * BURST_S).max(1.0);
@@ -326,13 +327,13 @@
                     self.used += 1;
                     return None;
                 }
-                Some(At((number + 1) * micros) - now)
+                Some(Timestamp((number + 1) * micros) - now)
             }
         }
     }
 
     /// When a call is done that begins as soon as a server is free; none where the queue is full.
-    fn work(&mut self, place: usize, now: At, slow: f64) -> Option<At> {
+    fn work(&mut self, place: usize, now: Timestamp, slow: f64) -> Option<Timestamp> {
         // Between half and twice the mean, most near it.
         let spread = 0.5 + self.rng.f64() * 0.5 + self.rng.f64() * self.rng.f64() * 1.0;
         let span = self.spec.pace.mul_f64(spread * slow / self.share(now).max(0.01));
@@ -354,7 +355,7 @@
     }
 
     /// What an answer reports: the share of the limit that is left, and the limit in calls a second.
-    pub fn report(&mut self, now: At) -> (f64, f64) {
+    pub fn report(&mut self, now: Timestamp) -> (f64, f64) {
         let limit = self.spec.limit.per_second();
         let left = match self.spec.limit {
             Limit::Rate(rate) => {
--- a/crates/gullcart-standins/src/recorder.rs
+++ b/crates/gullcart-standins/src/recorder.rs
@@ -1,6 +1,6 @@
 //! Where stand-ins write down what happens.
 
-use gullcart_judge::trace::{At, Entry, Event};
+use gullcart_judge::trace::{Entry, Event, Timestamp};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,9 +22,9 @@
     }
 
     /// Time since the beginning.
-    pub fn now(&self) -> At {
+    pub fn now(&self) -> Timestamp {
         let begun = self.begun.get();
-        At(begun.map_or(0, |begun| Instant::now().saturating_duration_since(begun).as_micros() as u64))
+        Timestamp(begun.map_or(0, |begun| Instant::now().saturating_duration_since(begun).as_micros() as u64))
     }
 
     /// Starts the clock at some moment, which may be still to come.
@@ -33,12 +33,12 @@
     }
 
     /// The moment of a time.
-    pub fn instant(&self, at: At) -> Instant {
+    pub fn instant(&self, at: Timestamp) -> Instant {
         self.begun.get().unwrap_or_else(Instant::now) + Duration::from_micros(at.0)
     }
 
     /// Writes down what happens now.
-    pub fn note(&self, event: Event) -> At {
+    pub fn note(&self, event: Event) -> Timestamp {
         let at = self.now();
         self.note_at(at, event);
         at
@@ -46,7 +46,7 @@
 
     /// Writes down what happened a moment ago: what an answer tells holds from when it was written, not from when the
     /// kit came round to note it.
-    pub fn note_at(&self, at: At, event: Event) {
+    pub fn note_at(&self, at: Timestamp, event: Event) {
         (self.hear.borrow_mut())(Entry { at, event });
     }
 }
--- a/crates/gullcart-standins/src/register.rs
+++ b/crates/gullcart-standins/src/register.rs
@@ -37,15 +37,15 @@
     /// What the partner takes from all couriers together, in calls a second.
     pub weight: f64,
     /// What it is now.
-    pub state: State,
+    pub state: EndpointState,
 }
 
 impl Target {
     fn json(&self) -> Value {
         let state = match self.state {
-            State::Serving => "SERVING",
-            State::Draining => "DRAINING",
-            State::Gone => "DELETED",
+            EndpointState::Serving => "SERVING",
+            EndpointState::Draining => "DRAINING",
+            EndpointState::Gone => "DELETED",
         };
         json!({
             "uid": format!("s-{:08x}", self.endpoint.0), "endpoint": self.address.to_string(), "az": self.zone,
@@ -75,12 +75,12 @@
     fn list(&self) -> String {
         let targets = self.targets.borrow();
         let there: Vec<Value> =
-            targets.values().filter(|target| target.state != State::Gone).map(Target::json).collect();
+            targets.values().filter(|target| target.state != EndpointState::Gone).map(Target::json).collect();
         json!({"rev": *self.rev.borrow(), "all": true, "targets": there}).to_string()
     }
 
-    fn tell(&self, endpoint: EndpointId, state: State) {
-        self.recorder.note(Event::Listed { courier: self.courier, endpoint, state });
+    fn tell(&self, endpoint: EndpointId, state: EndpointState) {
+        self.recorder.note(Event::ListingUpdated { courier: self.courier, endpoint, state });
     }
 
     /// What has changed after a version, as a line of the watch; it counts as told.
@@ -199,7 +199,9 @@
             notices(agent, &mut stream, &request).await?;
         } else if request.method == "GET" && request.path == "/v1/endpoints" {
             speaks(agent).await;
-            for target in agent.targets.borrow().values().filter(|target| target.state != State::Serving) {
+            for target in
+                agent.targets.borrow().values().filter(|target| target.state != EndpointState::Serving)
+            {
                 agent.tell(target.endpoint, target.state);
             }
             let list = agent.list();
@@ -260,7 +262,7 @@
             return stream.write_all(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").await;
         };
         let message = ids::message_of(&id);
-        agent.recorder.note(Event::Notice { message, courier: agent.courier, ended });
+        agent.recorder.note(Event::Notice { message, courier: agent.courier, verdict: ended });
         heard.extend(message);
     }
     stream.write_all(b"HTTP/1.1 204 No Content\r\n\r\n").await?;
@@ -270,11 +272,11 @@
     Ok(())
 }
 
-fn read_notice(line: &[u8]) -> Option<(String, Ended)> {
+fn read_notice(line: &[u8]) -> Option<(String, Verdict)> {
     let value: Value = serde_json::from_slice(line).ok()?;
     let ended = match value.get("state")?.as_str()? {
-        "failed" => Ended::Failed,
-        "returned" => Ended::Returned(value.get("after_ms").and_then(Value::as_u64)),
+        "failed" => Verdict::Failed,
+        "returned" => Verdict::Returned(value.get("after_ms").and_then(Value::as_u64)),
         _ => return None,
     };
     Some((value.get("id")?.as_str()?.to_owned(), ended))
--- a/crates/gullcart-standins/tests/standins.rs
+++ b/crates/gullcart-standins/tests/standins.rs
@@ -117,7 +117,7 @@
         let calls: Vec<(Option<MessageId>, bool)> = events(&stand.trace)
             .into_iter()
             .filter_map(|event| match event {
-                Event::Call { message, intact, .. } => Some((message, intact)),
+                Event::CallReceived { message, intact, .. } => Some((message, intact)),
                 _ => None,
             })
             .collect();
@@ -129,7 +129,7 @@
 fn a_shut_partner_tells_its_wait_and_a_silent_one_nothing() {
     on_loopback(async {
         let stand = stand();
-        stand.partner.borrow_mut().begin(1, Trouble::Shut(true), None, At::ms(3_600_000));
+        stand.partner.borrow_mut().begin(1, Trouble::Shut(true), None, Timestamp::from_millis(3_600_000));
         let mut stream = TcpStream::connect(stand.door.address()).await.unwrap();
         send(&mut stream, 1, &ids::body(1, 8)).await;
         let text = answer(&mut stream).await;
@@ -137,14 +137,14 @@
             text.split("X-Come-Back-Ms: ").nth(1).and_then(|rest| rest.lines().next()?.parse::<u64>().ok());
         assert!(text.starts_with("HTTP/1.1 429 ") && wait.is_some_and(|ms| ms > 3_500_000), "{text}");
         stand.partner.borrow_mut().end(1);
-        stand.partner.borrow_mut().begin(2, Trouble::Silent, None, At::ms(3_600_000));
+        stand.partner.borrow_mut().begin(2, Trouble::Silent, None, Timestamp::from_millis(3_600_000));
         send(&mut stream, 2, &ids::body(2, 8)).await;
         assert!(timeout(Duration::from_millis(300), answer(&mut stream)).await.is_err());
         // It is given up by ending the sending side; that is seen.
         stream.shutdown().await.unwrap();
         assert_eq!(answer(&mut stream).await, "");
         let last = events(&stand.trace).pop();
-        assert!(matches!(last, Some(Event::CallCut { by: By::Courier, .. })), "{last:?}");
+        assert!(matches!(last, Some(Event::CallAborted { closed_by: ClosedBy::Courier, .. })), "{last:?}");
     });
 }
 
@@ -152,16 +152,16 @@
 fn a_broken_endpoint_resets_and_a_shut_door_refuses_and_keeps_its_port() {
     on_loopback(async {
         let stand = stand();
-        stand.partner.borrow_mut().begin(1, Trouble::Silent, None, At::ms(3_600_000));
+        stand.partner.borrow_mut().begin(1, Trouble::Silent, None, Timestamp::from_millis(3_600_000));
         let mut stream = TcpStream::connect(stand.door.address()).await.unwrap();
         send(&mut stream, 1, &ids::body(1, 8)).await;
-        while !events(&stand.trace).iter().any(|event| matches!(event, Event::Call { .. })) {
+        while !events(&stand.trace).iter().any(|event| matches!(event, Event::CallReceived { .. })) {
             tokio::task::yield_now().await;
         }
         stand.endpoint.break_connections();
         assert_eq!(answer(&mut stream).await, "");
         let last = events(&stand.trace).pop();
-        assert!(matches!(last, Some(Event::CallCut { by: By::Partner, .. })), "{last:?}");
+        assert!(matches!(last, Some(Event::CallAborted { closed_by: ClosedBy::Partner, .. })), "{last:?}");
         stand.door.shut();
         tokio::task::yield_now().await;
         assert!(TcpStream::connect(stand.door.address()).await.is_err());
@@ -170,7 +170,7 @@
     });
 }
 
-fn target(state: State) -> Target {
+fn target(state: EndpointState) -> Target {
     Target {
         endpoint: EndpointId(7),
         partner: PartnerId(1),
@@ -203,16 +203,17 @@
 fn a_change_is_told_when_it_is_written_and_a_silent_register_writes_nothing() {
     on_loopback(async {
         let (recorder, trace) = recorder();
-        let agent = Agent::start(&recorder, CourierId(0), vec![target(State::Serving)]).await.unwrap();
+        let agent =
+            Agent::start(&recorder, CourierId(0), vec![target(EndpointState::Serving)]).await.unwrap();
         let mut watching = watch(agent.address()).await;
         line(&mut watching, "200 OK").await;
         agent.silence(true);
-        agent.change(target(State::Draining));
+        agent.change(target(EndpointState::Draining));
         let silent = timeout(Duration::from_millis(300), line(&mut watching, "DRAINING")).await;
         assert!(silent.is_err() && events(&trace).is_empty());
         agent.silence(false);
         assert!(line(&mut watching, "DRAINING").await.contains("\"rev\":2"));
-        assert!(matches!(events(&trace)[..], [Event::Listed { state: State::Draining, .. }]));
+        assert!(matches!(events(&trace)[..], [Event::ListingUpdated { state: EndpointState::Draining, .. }]));
         // A watch that begins anew is told what it has missed.
         let agent = agent.move_on().await.unwrap();
         assert!(line(&mut watch(agent.address()).await, "DRAINING").await.contains("s-00000007"));
@@ -236,8 +237,8 @@
             assert!(answer(&mut stream).await.starts_with(&format!("HTTP/1.1 {status} ")));
         }
         let message = MessageId(5);
-        let ended = Ended::Returned(Some(40));
-        let told = Event::Notice { message: Some(message), courier: CourierId(0), ended };
+        let ended = Verdict::Returned(Some(40));
+        let told = Event::Notice { message: Some(message), courier: CourierId(0), verdict: ended };
         assert_eq!(events(&trace), [told, Event::NoticeAnswered { message }]);
     });
 }
@@ -278,17 +279,17 @@
         }
         .request();
         let clients = Clients::default();
-        assert_eq!(clients.hand_in(&request).await, Told::Unreached);
+        assert_eq!(clients.hand_in(&request).await, EnqueueOutcome::Unreachable);
         clients.find(Some(courier(vec!["+OK\r\n", "-BUSY 30\r\n"]).await));
-        assert_eq!(clients.hand_in(&request).await, Told::Taken);
-        assert_eq!(clients.hand_in(&request).await, Told::Busy(Some(30)));
+        assert_eq!(clients.hand_in(&request).await, EnqueueOutcome::Accepted);
+        assert_eq!(clients.hand_in(&request).await, EnqueueOutcome::Busy(Some(30)));
         // A new connection that is closed without an answer: taken on at the second try.
         let clients = Clients::default();
         clients.find(Some(courier(vec!["", "+OK\r\n"]).await));
-        assert_eq!(clients.hand_in(&request).await, Told::Taken);
+        assert_eq!(clients.hand_in(&request).await, EnqueueOutcome::Accepted);
         // Closed without an answer on two connections: the message is lost.
         let clients = Clients::default();
         clients.find(Some(courier(vec!["", ""]).await));
-        assert_eq!(clients.hand_in(&request).await, Told::Cut);
+        assert_eq!(clients.hand_in(&request).await, EnqueueOutcome::ConnectionLost);
     });
 }
--- a/crates/gullcartctl/src/emulate.rs
+++ b/crates/gullcartctl/src/emulate.rs
@@ -152,7 +152,7 @@
 
 /// Prints the results of several runs together. Returns whether all rules were kept in all of them.
 fn print_summary(scenario: &Scenario, runs: &BTreeMap<u64, Emulated>, took_s: f64) -> bool {
-    let mut service: Vec<f64> = runs.values().map(|run| run.report.service.service).collect();
+    let mut service: Vec<f64> = runs.values().map(|run| run.report.service.combined).collect();
     service.sort_by(f64::total_cmp);
     let kept = runs.values().filter(|run| run.report.verdict == Verdict::Kept).count();
     let virtual_s: f64 = runs.values().map(|run| run.report.took).sum();
@@ -177,7 +177,7 @@
             entry.1 += times;
         }
         if run.report.verdict == Verdict::UnderFloor {
-            println!("  seed {seed}: service {:.3} lies under the floor", run.report.service.service);
+            println!("  seed {seed}: service {:.3} lies under the floor", run.report.service.combined);
         }
     }
     for (rule, (seed, times)) in &broken_rules {
--- a/crates/gullcartctl/src/prove/tests.rs
+++ b/crates/gullcartctl/src/prove/tests.rs
@@ -4,7 +4,7 @@
 #[test]
 fn listed_rules_have_two_faults_and_every_fault_has_a_built_in_scenario() {
     for FaultCase { fault, rule, scenario } in FAULT_CASES {
-        assert!(Rule::of(rule).is_some(), "{fault}");
+        assert!(Rule::from_name(rule).is_some(), "{fault}");
         assert!(gullcart_rehearsal::shipped(scenario).is_some(), "{fault}");
     }
     // The rule "destination" is not in this list: only one fault breaks it.
--- a/crates/gullcartctl/src/rehearse.rs
+++ b/crates/gullcartctl/src/rehearse.rs
@@ -95,7 +95,7 @@
     Ok(match breach {
         None => Until::TheEnd,
         Some(ANY_RULE) => Until::TheFirstBreach,
-        Some(name) => Until::BreachOf(Rule::of(name).ok_or_else(|| {
+        Some(name) => Until::BreachOf(Rule::from_name(name).ok_or_else(|| {
             let names: Vec<&str> = Rule::ALL.iter().map(|rule| rule.name()).collect();
             format!("there is no rule '{name}'; the rules are {}", names.join(", "))
         })?),
@@ -194,7 +194,7 @@
         let Progress { at, of, service, breaches, owed, faults } = progress;
         let faults = if faults.is_empty() { String::new() } else { format!("  [{}]", faults.join(", ")) };
         let text =
-            format!("service {:.3}  breaches {breaches}  messages pending {owed}{faults}", service.service);
+            format!("service {:.3}  breaches {breaches}  messages pending {owed}{faults}", service.combined);
         if self.is_plain && !self.quiet && *at >= self.next_line_s {
             self.next_line_s = at + PLAIN_PROGRESS_INTERVAL_S;
             eprintln!("{at:.0}/{of:.0} s  {text}");
