--- a/crates/gullcart-emulator/src/calls.rs
+++ b/crates/gullcart-emulator/src/calls.rs
@@ -3,7 +3,7 @@
 use crate::address::Address;
 use crate::courier::OutCall;
 use crate::events::{CallInTransit, EndpointCall, Scheduled};
-use crate::world::World;
+use crate::simulation::World;
 use cloverstile::{LimitReport, MessageId, Outcome};
 use gullcart_engine::{Call, CallResult, Input, StopReason};
 use gullcart_judge::trace::{Answer, At, By, CallId, CourierId, Event, State};
--- a/crates/gullcart-emulator/src/clients.rs
+++ b/crates/gullcart-emulator/src/clients.rs
@@ -1,7 +1,7 @@
 //! Clients: messages sent by the schedule, and what they do with answers.
 
 use crate::events::{PendingRequest, Scheduled, Sending};
-use crate::world::{World, LEAD};
+use crate::simulation::{World, LEAD};
 use bytes_of::body;
 use gullcart_engine::{Enqueue, Input, Ticket};
 use gullcart_judge::trace::{ClassId, CourierId, Event, MessageId, OrderKey, Told};
--- a/crates/gullcart-emulator/src/faults.rs
+++ b/crates/gullcart-emulator/src/faults.rs
@@ -3,7 +3,7 @@
 use crate::address::Address;
 use crate::courier::Process;
 use crate::events::{Endpoint, Scheduled, Sending};
-use crate::world::{World, LEAD};
+use crate::simulation::{World, LEAD};
 use gullcart_engine::Input;
 use gullcart_judge::trace::{By, CallId, CourierId, EndpointId, Event, Process as What, State};
 use gullcart_message::Target;
--- a/crates/gullcart-emulator/src/lib.rs
+++ b/crates/gullcart-emulator/src/lib.rs
@@ -13,10 +13,10 @@
 mod events;
 mod faults;
 mod outcome;
-mod play;
 mod processes;
 mod queue;
-mod world;
+mod run;
+mod simulation;
 
 pub use outcome::{Emulated, EmulationError};
 
@@ -40,7 +40,7 @@
     progress: impl FnMut(f64),
 ) -> Result<Emulated, EmulationError> {
     #[cfg_attr(not(feature = "broken"), allow(unused_mut))]
-    let mut world = world::World::build(scenario, options.seed)?;
+    let mut world = simulation::World::build(scenario, options.seed)?;
     #[cfg(feature = "broken")]
     {
         world.broken = options.broken;
--- a/crates/gullcart-emulator/src/processes.rs
+++ b/crates/gullcart-emulator/src/processes.rs
@@ -3,7 +3,7 @@
 use crate::courier::Process;
 use crate::events::Scheduled;
 use crate::outcome::EmulationError;
-use crate::world::World;
+use crate::simulation::World;
 use cloverstile::EndpointId;
 use gullcart_engine::{
     Answer, Effect, Engine, EngineConfig, IdleConnectionPolicy, Input, Notice, Ticket, EPOCH,
--- a/crates/gullcart-emulator/src/play.rs
+++ b/crates/gullcart-emulator/src/run.rs
@@ -2,7 +2,7 @@
 
 use crate::events::Scheduled;
 use crate::outcome::{Emulated, EmulationError};
-use crate::world::{World, LEAD};
+use crate::simulation::{World, LEAD};
 use gullcart_engine::Input;
 use gullcart_judge::trace::{At, CourierId, Event, Process as What};
 use gullcart_judge::Weights;
