--- a/crates/gullcart-standins/src/client/tests.rs
+++ b/crates/gullcart-standins/src/client/tests.rs
@@ -2,28 +2,28 @@
 
 #[test]
 fn answers_mean_what_the_protocol_says() {
-    assert_eq!(read_answer("+OK"), Told::Taken);
-    assert_eq!(read_answer("$2"), Told::Taken);
-    assert_eq!(read_answer("-BUSY"), Told::Busy(None));
-    assert_eq!(read_answer("-BUSY 40"), Told::Busy(Some(40)));
-    assert_eq!(read_answer("-BUSY soon"), Told::Error);
-    assert_eq!(read_answer("-ERR no"), Told::Error);
+    assert_eq!(read_reply("+OK"), Told::Taken);
+    assert_eq!(read_reply("$2"), Told::Taken);
+    assert_eq!(read_reply("-BUSY"), Told::Busy(None));
+    assert_eq!(read_reply("-BUSY 40"), Told::Busy(Some(40)));
+    assert_eq!(read_reply("-BUSY soon"), Told::Error);
+    assert_eq!(read_reply("-ERR no"), Told::Error);
 }
 
 #[test]
 fn a_hand_in_is_five_bulk_strings() {
-    let hand_in = HandIn {
+    let request = EnqueueRequest {
         id: "ab",
-        key: 5,
+        order_key: 5,
         class: "notice",
         partner: 7,
-        left: Duration::from_secs(2),
+        time_left: Duration::from_secs(2),
         idempotency_key: Some("k1"),
         retry: true,
-        again: false,
+        from_dead_courier: false,
         body: b"x\r\n",
     };
-    let text = String::from_utf8(hand_in.request()).unwrap();
+    let text = String::from_utf8(request.encode()).unwrap();
     let expected = "*5\r\n$7\r\nENQUEUE\r\n$16\r\n0000000000000005\r\n$2\r\nab\r\n\
                     $33\r\nc=notice,d=2000,dest=7,k=k1,r=1\r\n$3\r\nx\r\n\r\n";
     assert_eq!(text, expected.replace("$33", "$31"));
--- a/crates/gullcart-standins/src/endpoint.rs
+++ b/crates/gullcart-standins/src/endpoint.rs
@@ -1,9 +1,9 @@
 //! Endpoints of partners on sockets. Each courier has an address of its own for every endpoint, so that who calls is
 //! known by where the call comes in.
 
-use crate::http::{Reader, Request};
+use crate::http::{Request, RequestReader};
 use crate::ids;
-use crate::partner::{Fate, Partner, SecondCopy};
+use crate::partner::{CallOutcome, DuplicateAnswer, Partner};
 use crate::Recorder;
 use gullcart_judge::trace::*;
 use hdrhistogram::Histogram;
@@ -20,20 +20,20 @@
 use tokio::time::{sleep_until, timeout};
 
 /// A connection that stands idle for so long is closed.
-pub const IDLE: Duration = Duration::from_secs(15);
+pub const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// What a new connection costs the first call on it.
-const HANDSHAKE: Duration = Duration::from_millis(10);
+const HANDSHAKE_DELAY: Duration = Duration::from_millis(10);
 /// Connections that wait to be accepted.
-pub(crate) const BACKLOG: i32 = 256;
+pub(crate) const ACCEPT_BACKLOG: i32 = 256;
 /// Connections that fill a queue of none, with one to spare.
-const FILLERS: usize = 2;
+const QUEUE_FILLERS: usize = 2;
 /// Between failures to accept.
-pub(crate) const PAUSE: Duration = Duration::from_millis(20);
+pub(crate) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// The longest lateness that is told apart, in microseconds.
-const LONGEST_LATE_US: u64 = 60_000_000;
+const MAX_LATENESS_US: u64 = 60_000_000;
 
 /// What a message should look like on arrival.
-pub struct Expected {
+pub struct ExpectedMessage {
     /// Its key, in keyed classes.
     pub idempotency_key: Option<String>,
     /// Its body.
@@ -41,45 +41,51 @@
 }
 
 /// What was handed in under a number, if anything was.
-pub type Expect = Rc<dyn Fn(MessageId) -> Option<Expected>>;
+pub type ExpectedMessageLookup = Rc<dyn Fn(MessageId) -> Option<ExpectedMessage>>;
 
 /// What all stand-ins count together.
 pub struct Counters {
     /// Calls out now.
-    pub out: Cell<u32>,
+    pub calls_in_flight: Cell<u32>,
     /// Calls so far.
-    pub calls: Cell<u64>,
+    pub calls_received: Cell<u64>,
     /// Calls turned away so far.
-    pub refused: Cell<u64>,
+    pub calls_rejected: Cell<u64>,
     /// Connections accepted so far.
-    pub connections: Cell<u64>,
+    pub connections_accepted: Cell<u64>,
     /// How late the stand-ins did what was due, in microseconds.
-    pub late: RefCell<Histogram<u64>>,
+    pub lateness_us: RefCell<Histogram<u64>>,
 }
 
 impl Default for Counters {
     fn default() -> Self {
-        let late = Histogram::new_with_bounds(1, LONGEST_LATE_US, 3);
-        let late = RefCell::new(late.expect("the bounds are constants that the histogram allows"));
-        let (out, calls, refused, connections) = Default::default();
-        Counters { out, calls, refused, connections, late }
+        let lateness_us = Histogram::new_with_bounds(1, MAX_LATENESS_US, 3);
+        Counters {
+            calls_in_flight: Cell::default(),
+            calls_received: Cell::default(),
+            calls_rejected: Cell::default(),
+            connections_accepted: Cell::default(),
+            lateness_us: RefCell::new(
+                lateness_us.expect("the bounds are constants that the histogram allows"),
+            ),
+        }
     }
 }
 
 impl Counters {
     /// Something that was due is done now.
-    pub fn late(&self, due: At, now: At) {
-        self.late.borrow_mut().saturating_record(((now - due).as_micros() as u64).max(1));
+    pub fn record_lateness(&self, due: At, now: At) {
+        self.lateness_us.borrow_mut().saturating_record(((now - due).as_micros() as u64).max(1));
     }
 }
 
 /// What endpoints share.
 #[derive(Clone)]
-pub struct Site {
+pub struct EndpointContext {
     /// Where things are written down.
     pub recorder: Recorder,
     /// What was handed in.
-    pub expect: Expect,
+    pub expected_message: ExpectedMessageLookup,
     /// Counted together.
     pub counters: Rc<Counters>,
 }
@@ -92,11 +98,11 @@
     pub partner_id: PartnerId,
     /// The model behind it.
     pub partner: Rc<RefCell<Partner>>,
-    /// Its place in the model.
-    pub place: usize,
+    /// Its index in the model.
+    pub index: usize,
     /// Whether its answers report the limit.
-    pub reports: bool,
-    breaks: watch::Sender<u32>,
+    pub reports_limit: bool,
+    reset_requests: watch::Sender<u32>,
 }
 
 impl Endpoint {
@@ -105,24 +111,24 @@
         id: EndpointId,
         partner_id: PartnerId,
         partner: Rc<RefCell<Partner>>,
-        place: usize,
-        reports: bool,
+        index: usize,
+        reports_limit: bool,
     ) -> Self {
-        Endpoint { id, partner_id, partner, place, reports, breaks: watch::Sender::new(0) }
+        Endpoint { id, partner_id, partner, index, reports_limit, reset_requests: watch::Sender::new(0) }
     }
 
     /// Resets all connections to it.
-    pub fn break_connections(&self) {
-        self.breaks.send_modify(|times| *times += 1);
+    pub fn reset_connections(&self) {
+        self.reset_requests.send_modify(|times| *times += 1);
     }
 }
 
-/// An address at which one courier finds an endpoint. Another may take its place at the same address.
-pub struct Door {
+/// An address at which one courier finds an endpoint. Another may take its index at the same address.
+pub struct EndpointListener {
     address: SocketAddr,
     /// Bound and not listening: keeps the port while connections are refused.
-    _reserved: Socket,
-    site: Site,
+    _reserved_port: Socket,
+    context: EndpointContext,
     courier: CourierId,
     endpoint: Rc<RefCell<Rc<Endpoint>>>,
     /// None while connections are refused.
@@ -132,7 +138,7 @@
     fillers: RefCell<Vec<Socket>>,
 }
 
-pub(crate) fn bound(address: SocketAddr) -> io::Result<Socket> {
+pub(crate) fn bind_reusable(address: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_port(true)?;
     socket.set_nonblocking(true)?;
@@ -140,24 +146,24 @@
     Ok(socket)
 }
 
-impl Door {
+impl EndpointListener {
     /// A new address, open.
-    pub fn open(site: &Site, courier: CourierId, endpoint: Rc<Endpoint>) -> io::Result<Self> {
-        let reserved = bound(SocketAddr::from(([127, 0, 0, 1], 0)))?;
+    pub fn open(context: &EndpointContext, courier: CourierId, endpoint: Rc<Endpoint>) -> io::Result<Self> {
+        let reserved = bind_reusable(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let address = reserved.local_addr()?;
         let address = address.as_socket().ok_or_else(|| io::Error::other("an address that is not of IP"))?;
-        let door = Door {
+        let endpoint_listener = EndpointListener {
             address,
-            _reserved: reserved,
-            site: site.clone(),
+            _reserved_port: reserved,
+            context: context.clone(),
             courier,
             endpoint: Rc::new(RefCell::new(endpoint)),
             listener: RefCell::default(),
             accepting: RefCell::default(),
             fillers: RefCell::default(),
         };
-        door.reopen()?;
-        Ok(door)
+        endpoint_listener.reopen()?;
+        Ok(endpoint_listener)
     }
 
     /// Where it is.
@@ -175,31 +181,31 @@
             // It was cut off: who waited comes up, as the kernel tries again, and the fillers go.
             Some(listener) => {
                 let socket = SockRef::from(&*listener);
-                socket.listen(BACKLOG)?;
+                socket.listen(ACCEPT_BACKLOG)?;
                 self.fillers.take().iter().for_each(|_| drop(socket.accept()));
                 listener
             }
             None => {
-                let socket = bound(self.address)?;
-                socket.listen(BACKLOG)?;
+                let socket = bind_reusable(self.address)?;
+                socket.listen(ACCEPT_BACKLOG)?;
                 Rc::new(TcpListener::from_std(socket.into())?)
             }
         };
         *self.listener.borrow_mut() = Some(listener.clone());
-        let (site, courier, endpoint) = (self.site.clone(), self.courier, self.endpoint.clone());
+        let (context, courier, endpoint) = (self.context.clone(), self.courier, self.endpoint.clone());
         *self.accepting.borrow_mut() = Some(spawn_local(async move {
             loop {
                 let Ok((stream, _)) = listener.accept().await else {
-                    tokio::time::sleep(PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 };
-                site.counters.connections.set(site.counters.connections.get() + 1);
-                let (site, endpoint) = (site.clone(), endpoint.borrow().clone());
+                context.counters.connections_accepted.set(context.counters.connections_accepted.get() + 1);
+                let (context, endpoint) = (context.clone(), endpoint.borrow().clone());
                 spawn_local(async move {
-                    let reader = Reader::default();
+                    let reader = RequestReader::default();
                     let connection =
-                        Connection { site, courier, endpoint, stream, reader, last_delivery: None };
-                    // One that breaks is written down where a call was out on it.
+                        Connection { context, courier, endpoint, stream, reader, last_delivery: None };
+                    // One that reset_requests is written down where a call was out on it.
                     let _ = connection.serve().await;
                 });
             }
@@ -208,7 +214,7 @@
     }
 
     /// Refuses connections. Those that there are stay.
-    pub fn shut(&self) {
+    pub fn refuse_connections(&self) {
         if let Some(accepting) = self.accepting.borrow_mut().take() {
             accepting.abort();
         }
@@ -218,12 +224,12 @@
 
     /// Lets no connection come up until it is opened again: the queue in front of it is full, so that first words are
     /// dropped. Those that there are stay.
-    pub fn cut(&self) -> io::Result<()> {
+    pub fn block_connections(&self) -> io::Result<()> {
         let Some(accepting) = self.accepting.take() else { return Ok(()) };
         accepting.abort();
         let Some(listener) = &*self.listener.borrow() else { return Ok(()) };
         SockRef::from(&**listener).listen(0)?;
-        for _ in 0..FILLERS {
+        for _ in 0..QUEUE_FILLERS {
             let filler = Socket::new(Domain::IPV4, Type::STREAM, None)?;
             filler.set_nonblocking(true)?;
             // Comes up or waits, as the others.
@@ -234,23 +240,23 @@
     }
 
     /// Another endpoint takes over the address.
-    pub fn hand_over(&self, endpoint: Rc<Endpoint>) {
+    pub fn replace_endpoint(&self, endpoint: Rc<Endpoint>) {
         *self.endpoint.borrow_mut() = endpoint;
     }
 }
 
-impl Drop for Door {
+impl Drop for EndpointListener {
     fn drop(&mut self) {
-        self.shut();
+        self.refuse_connections();
     }
 }
 
 struct Connection {
-    site: Site,
+    context: EndpointContext,
     courier: CourierId,
     endpoint: Rc<Endpoint>,
     stream: TcpStream,
-    reader: Reader,
+    reader: RequestReader,
     /// The bytes of its last delivery.
     last_delivery: Option<Vec<u8>>,
 }
@@ -258,23 +264,24 @@
 impl Connection {
     async fn serve(mut self) -> io::Result<()> {
         self.stream.set_nodelay(true)?;
-        let mut breaks = self.endpoint.breaks.subscribe();
-        let recorder = self.site.recorder.clone();
-        let mut fresh = true;
+        let mut reset_requests = self.endpoint.reset_requests.subscribe();
+        let recorder = self.context.recorder.clone();
+        let mut is_first_call = true;
         loop {
             let request = tokio::select! {
                 biased;
-                _ = breaks.changed() => return self.reset(),
-                request = timeout(IDLE, self.reader.next(&mut self.stream, || recorder.now())) => request,
+                _ = reset_requests.changed() => return self.reset(),
+                request = timeout(IDLE_TIMEOUT, self.reader.next(&mut self.stream, || recorder.now())) => request,
             };
             // Idle for too long, or at an end between two requests.
             let Some(request) = request.unwrap_or(Ok(None))? else { return Ok(()) };
-            let counters = self.site.counters.clone();
-            counters.calls.set(counters.calls.get() + 1);
-            counters.out.set(counters.out.get() + 1);
-            let goes_on = self.call(&request, &mut breaks, std::mem::take(&mut fresh)).await;
-            counters.out.set(counters.out.get() - 1);
-            if !goes_on? {
+            let counters = self.context.counters.clone();
+            counters.calls_received.set(counters.calls_received.get() + 1);
+            counters.calls_in_flight.set(counters.calls_in_flight.get() + 1);
+            let keep_open =
+                self.serve_call(&request, &mut reset_requests, std::mem::take(&mut is_first_call)).await;
+            counters.calls_in_flight.set(counters.calls_in_flight.get() - 1);
+            if !keep_open? {
                 return Ok(());
             }
         }
@@ -286,21 +293,21 @@
     }
 
     /// Serves one call; false when the connection is of no further use.
-    async fn call(
+    async fn serve_call(
         &mut self,
         request: &Request,
-        breaks: &mut watch::Receiver<u32>,
-        fresh: bool,
+        reset_requests: &mut watch::Receiver<u32>,
+        is_first_call: bool,
     ) -> io::Result<bool> {
-        let site = self.site.clone();
-        let call = CallId(site.counters.calls.get());
-        let message = request.header("x-call-id").and_then(ids::message_of);
-        let expected = message.and_then(|message| (site.expect)(message));
+        let context = self.context.clone();
+        let call = CallId(context.counters.calls_received.get());
+        let message = request.header("x-call-id").and_then(ids::parse_wire_id);
+        let expected = message.and_then(|message| (context.expected_message)(message));
         let intact = expected.as_ref().is_some_and(|expected| {
             let key = request.header("idempotency-key").map(str::to_owned);
             expected.idempotency_key == key && expected.body == request.body
         });
-        let at = site.recorder.note(Event::Call {
+        let at = context.recorder.record(Event::Call {
             call,
             message: message.filter(|_| expected.is_some()),
             courier: self.courier,
@@ -313,34 +320,37 @@
             self.answer(call, Answer::Error, "400 Bad Request", "").await?;
             return Ok(false);
         }
-        let copy = self.last_delivery.take().zip(self.second_copy());
-        let refused_after = copy.as_ref().and_then(|(_, copy)| copy.refused_after);
-        let fate = match refused_after {
-            Some(_) => Fate::Refused(None),
-            None => self.endpoint.partner.borrow_mut().call(self.endpoint.place, at),
+        let duplicate = self.last_delivery.take().zip(self.duplicate_answer());
+        let rejected_after = duplicate.as_ref().and_then(|(_, duplicate)| duplicate.rejected_after);
+        let outcome = match rejected_after {
+            Some(_) => CallOutcome::Rejected(None),
+            None => self.endpoint.partner.borrow_mut().handle_call(self.endpoint.index, at),
         };
-        let handshake = if fresh { HANDSHAKE } else { Duration::ZERO };
-        let due = match fate {
-            Fate::Done(at) | Fate::Error(at) | Fate::Reset(at) | Fate::Spoilt(at) => Some(at + handshake),
-            Fate::Refused(_) => Some(at + refused_after.unwrap_or(handshake)),
-            Fate::Silent => None,
+        let handshake = if is_first_call { HANDSHAKE_DELAY } else { Duration::ZERO };
+        let due = match outcome {
+            CallOutcome::Success(at)
+            | CallOutcome::Error(at)
+            | CallOutcome::Reset(at)
+            | CallOutcome::Malformed(at) => Some(at + handshake),
+            CallOutcome::Rejected(_) => Some(at + rejected_after.unwrap_or(handshake)),
+            CallOutcome::NoAnswer => None,
         };
-        if let Some((bytes, copy)) = copy {
-            if let Err(by) = self.wait(Some(at + copy.after), breaks).await {
-                return self.cut(call, by);
+        if let Some((bytes, duplicate)) = duplicate {
+            if let Err(by) = self.wait(Some(at + duplicate.delay), reset_requests).await {
+                return self.close_unanswered(call, by);
             }
             if self.stream.write_all(&bytes).await.is_err() {
-                return self.cut(call, By::Courier);
+                return self.close_unanswered(call, By::Courier);
             }
         }
-        if let Err(by) = self.wait(due, breaks).await {
-            return self.cut(call, by);
+        if let Err(by) = self.wait(due, reset_requests).await {
+            return self.close_unanswered(call, by);
         }
-        match fate {
-            Fate::Done(_) => self.answer(call, Answer::Ok, "200 OK", "").await?,
-            Fate::Error(_) => self.answer(call, Answer::Error, "500 Oops", "").await?,
-            Fate::Refused(wait) => {
-                site.counters.refused.set(site.counters.refused.get() + 1);
+        match outcome {
+            CallOutcome::Success(_) => self.answer(call, Answer::Ok, "200 OK", "").await?,
+            CallOutcome::Error(_) => self.answer(call, Answer::Error, "500 Oops", "").await?,
+            CallOutcome::Rejected(wait) => {
+                context.counters.calls_rejected.set(context.counters.calls_rejected.get() + 1);
                 // Never 0, which would be no wait, and never less than what is meant.
                 match wait.map(|wait| wait.as_micros().div_ceil(1000).max(1) as u64) {
                     Some(ms) => {
@@ -350,25 +360,25 @@
                     None => self.answer(call, Answer::Full(None), "503 Full", "").await?,
                 }
             }
-            Fate::Reset(_) | Fate::Silent => return self.cut(call, By::Partner),
-            Fate::Spoilt(_) => {
-                let (answer, bytes) = spoilt(call);
+            CallOutcome::Reset(_) | CallOutcome::NoAnswer => return self.close_unanswered(call, By::Partner),
+            CallOutcome::Malformed(_) => {
+                let (answer, bytes) = malformed_response(call);
                 self.stream.write_all(bytes).await?;
-                site.recorder.note(Event::CallAnswered { call, answer });
+                context.recorder.record(Event::CallAnswered { call, answer });
                 return Ok(false);
             }
         }
         Ok(true)
     }
 
-    /// The second copy of its last delivery that the call gets now, if it gets one.
-    fn second_copy(&self) -> Option<SecondCopy> {
-        self.endpoint.partner.borrow_mut().second_copy(self.endpoint.place)
+    /// The second duplicate of its last delivery that the call gets now, if it gets one.
+    fn duplicate_answer(&self) -> Option<DuplicateAnswer> {
+        self.endpoint.partner.borrow_mut().duplicate_answer(self.endpoint.index)
     }
 
     /// A call ends with its connection.
-    fn cut(&self, call: CallId, by: By) -> io::Result<bool> {
-        self.site.recorder.note(Event::CallCut { call, by });
+    fn close_unanswered(&self, call: CallId, by: By) -> io::Result<bool> {
+        self.context.recorder.record(Event::CallCut { call, by });
         if by == By::Partner {
             self.reset()?;
         }
@@ -376,26 +386,26 @@
     }
 
     /// Waits until an answer is due, and longer while the partner stands still.
-    async fn wait(&mut self, due: Option<At>, breaks: &mut watch::Receiver<u32>) -> Result<(), By> {
-        let recorder = self.site.recorder.clone();
+    async fn wait(&mut self, due: Option<At>, reset_requests: &mut watch::Receiver<u32>) -> Result<(), By> {
+        let recorder = self.context.recorder.clone();
         let mut due = due;
-        let mut more = Vec::new();
+        let mut unexpected = Vec::new();
         loop {
-            let never = recorder.now() + Duration::from_secs(3600);
+            let far_future = recorder.now() + Duration::from_secs(3600);
             tokio::select! {
                 biased;
-                _ = breaks.changed() => return Err(By::Partner),
-                read = self.stream.read_buf(&mut more) => match read {
+                _ = reset_requests.changed() => return Err(By::Partner),
+                read = self.stream.read_buf(&mut unexpected) => match read {
                     // A courier has nothing to say before its answer: it is soon given up.
-                    Ok(count) if count > 0 && more.len() < BACKLOG as usize => {}
+                    Ok(count) if count > 0 && unexpected.len() < ACCEPT_BACKLOG as usize => {}
                     _ => return Err(By::Courier),
                 },
-                () = sleep_until(recorder.instant(due.unwrap_or(never))) => {
-                    let stalled = self.endpoint.partner.borrow().stalled(self.endpoint.place);
-                    match (due, stalled.filter(|until| *until > recorder.now())) {
+                () = sleep_until(recorder.instant(due.unwrap_or(far_future))) => {
+                    let stalled_until = self.endpoint.partner.borrow().stalled_until(self.endpoint.index);
+                    match (due, stalled_until.filter(|until| *until > recorder.now())) {
                         (Some(_), Some(until)) => due = Some(until),
                         (Some(at), None) => {
-                            self.site.counters.late(at, recorder.now());
+                            self.context.counters.record_lateness(at, recorder.now());
                             return Ok(());
                         }
                         (None, _) => {}
@@ -406,8 +416,8 @@
     }
 
     async fn answer(&mut self, call: CallId, answer: Answer, status: &str, header: &str) -> io::Result<()> {
-        let report = if self.endpoint.reports {
-            let (left, limit) = self.endpoint.partner.borrow_mut().report(self.site.recorder.now());
+        let report = if self.endpoint.reports_limit {
+            let (left, limit) = self.endpoint.partner.borrow_mut().limit_report(self.context.recorder.now());
             format!("X-Load-Report: x0={left:.2},x1={limit:.1}\r\n")
         } else {
             String::new()
@@ -415,20 +425,20 @@
         let body = format!("{:016x}", call.0);
         let length = body.len();
         let text = format!("HTTP/1.1 {status}\r\n{header}{report}Content-Length: {length}\r\n\r\n{body}");
-        let at = self.site.recorder.now();
+        let at = self.context.recorder.now();
         let written = self.stream.write_all(text.as_bytes()).await;
         self.last_delivery = (answer == Answer::Ok).then(|| text.into_bytes());
         let event = match written {
             Ok(()) => Event::CallAnswered { call, answer },
             Err(_) => Event::CallCut { call, by: By::Courier },
         };
-        self.site.recorder.note_at(at, event);
+        self.context.recorder.record_at(at, event);
         written
     }
 }
 
 /// Damaged answers, in turn: what they mean, and their bytes. Behind each the connection ends.
-fn spoilt(call: CallId) -> (Answer, &'static [u8]) {
+fn malformed_response(call: CallId) -> (Answer, &'static [u8]) {
     match call.0 % 5 {
         0 => (Answer::Spoilt, b"\x00\xff\x07 no answer at all\r\n\r\n"),
         // Turned away, it seems, but not whole: it is not to be believed.
--- a/crates/gullcart-standins/src/folder.rs
+++ b/crates/gullcart-standins/src/folder.rs
@@ -6,12 +6,12 @@
 
 /// A copy of a folder of plain files.
 #[derive(Debug)]
-pub struct Copy {
-    of: PathBuf,
+pub struct FolderCopy {
+    folder: PathBuf,
     files: Vec<(std::ffi::OsString, Vec<u8>)>,
 }
 
-impl Copy {
+impl FolderCopy {
     /// Copies what is there now; the process may be running, as when a backup is made.
     pub fn take(folder: &Path) -> io::Result<Self> {
         let mut files = Vec::new();
@@ -26,18 +26,18 @@
                 }
             }
         }
-        Ok(Copy { of: folder.to_owned(), files })
+        Ok(FolderCopy { folder: folder.to_owned(), files })
     }
 
     /// Puts it in the place of what is there: the files are new ones with the old contents.
-    pub fn put_back(&self) -> io::Result<()> {
-        lose(&self.of)?;
-        self.files.iter().try_for_each(|(name, bytes)| fs::write(self.of.join(name), bytes))
+    pub fn restore(&self) -> io::Result<()> {
+        clear_folder(&self.folder)?;
+        self.files.iter().try_for_each(|(name, bytes)| fs::write(self.folder.join(name), bytes))
     }
 }
 
 /// Loses all that is in a folder; the folder is there again, empty.
-pub fn lose(folder: &Path) -> io::Result<()> {
+pub fn clear_folder(folder: &Path) -> io::Result<()> {
     fs::remove_dir_all(folder)?;
     fs::create_dir_all(folder)
 }
--- a/crates/gullcart-standins/src/http.rs
+++ b/crates/gullcart-standins/src/http.rs
@@ -5,8 +5,8 @@
 use tokio::io::{AsyncRead, AsyncReadExt};
 
 /// A request's head and body hold at most this.
-const LONGEST: usize = 80 << 10;
-const MOST_HEADERS: usize = 32;
+const MAX_REQUEST_BYTES: usize = 80 << 10;
+const MAX_HEADERS: usize = 32;
 
 /// A request, with what is asked of it.
 #[derive(Debug)]
@@ -30,16 +30,16 @@
 
 /// Reads requests from a connection, one after the other.
 #[derive(Default)]
-pub struct Reader {
+pub struct RequestReader {
     buffer: Vec<u8>,
     first_byte: Option<At>,
 }
 
-fn bad(what: &str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, what)
+fn invalid_data(message: &str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, message)
 }
 
-impl Reader {
+impl RequestReader {
     /// The next request; none at a clean end. `now` tells the time.
     pub async fn next(
         &mut self,
@@ -52,23 +52,23 @@
                 self.first_byte = (!self.buffer.is_empty()).then(&now);
                 return Ok(Some(request));
             }
-            if self.buffer.len() > LONGEST {
-                return Err(bad("the request is too long"));
+            if self.buffer.len() > MAX_REQUEST_BYTES {
+                return Err(invalid_data("the request is too long"));
             }
             let before = self.buffer.len();
             self.buffer.reserve(4096);
             let count = input.read_buf(&mut self.buffer).await?;
             if count == 0 {
-                return if before == 0 { Ok(None) } else { Err(bad("half a request")) };
+                return if before == 0 { Ok(None) } else { Err(invalid_data("half a request")) };
             }
             self.first_byte.get_or_insert_with(&now);
         }
     }
 
     fn parse(&self, first_byte: At) -> io::Result<Option<(Request, usize)>> {
-        let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut headers);
-        let head = match parsed.parse(&self.buffer).map_err(|error| bad(&error.to_string()))? {
+        let head = match parsed.parse(&self.buffer).map_err(|error| invalid_data(&error.to_string()))? {
             httparse::Status::Complete(head) => head,
             httparse::Status::Partial => return Ok(None),
         };
@@ -81,11 +81,11 @@
             first_byte,
         };
         let length = match request.header("content-length") {
-            Some(length) => length.trim().parse().map_err(|_| bad("the length cannot be read"))?,
+            Some(length) => length.trim().parse().map_err(|_| invalid_data("the length cannot be read"))?,
             None => 0,
         };
-        if length > LONGEST {
-            return Err(bad("the body is too long"));
+        if length > MAX_REQUEST_BYTES {
+            return Err(invalid_data("the body is too long"));
         }
         let Some(body) = self.buffer.get(head..head + length) else { return Ok(None) };
         request.body = body.to_vec();
--- a/crates/gullcart-standins/src/ids/tests.rs
+++ b/crates/gullcart-standins/src/ids/tests.rs
@@ -4,9 +4,9 @@
 fn ids_can_be_read_back_and_foreign_ones_are_not_taken() {
     for number in [0, 1, 2, 999_999, 1 << 39] {
         let id = wire_id(MessageId(number));
-        assert_eq!(message_of(&id), Some(MessageId(number)), "{id}");
+        assert_eq!(parse_wire_id(&id), Some(MessageId(number)), "{id}");
     }
     for foreign in ["", "0", "0000000000000000", "zzzzzzzzzzzzzzzz", "9e3779b97f4a7c16", "00ff00ff00ff00ff"] {
-        assert_eq!(message_of(foreign), None, "{foreign}");
+        assert_eq!(parse_wire_id(foreign), None, "{foreign}");
     }
 }
--- a/crates/gullcart-standins/src/link/plan.rs
+++ b/crates/gullcart-standins/src/link/faults.rs
@@ -8,28 +8,28 @@
 use std::time::Duration;
 
 /// Bytes that are held back on a link and way until they may go on: who writes more waits, as on a full line.
-pub const MOST_HELD: usize = 256 * 1024;
+pub const MAX_HELD_BYTES: usize = 256 * 1024;
 
 /// A way along the connections of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Way {
+pub enum Direction {
     /// From who connected to who was connected to.
-    There,
+    Forward,
     /// And back.
-    Back,
+    Backward,
 }
 
-impl Way {
+impl Direction {
     /// Both.
-    pub const ALL: [Way; 2] = [Way::There, Way::Back];
+    pub const ALL: [Direction; 2] = [Direction::Forward, Direction::Backward];
 }
 
 /// What is wrong with a link. Several may be in force at once.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
+pub enum LinkFault {
     /// What is sent this way does not arrive until the trouble ends, or the connection does. The other way still works. A
     /// loopback link cannot lose the first packets of a connection: it comes up, and is as dead as the rest.
-    Cut(Way),
+    Cut(Direction),
     /// Connections come up, and nothing ever arrives on those that came up meanwhile, in either way, also not later.
     Silent,
     /// Connections are refused, and those that there are end.
@@ -37,114 +37,114 @@
     /// So many bytes a second in each way, for each connection.
     Slow(u32),
     /// What is sent arrives later, each piece by a draw from this range; order is kept.
-    Late(Duration, Duration),
+    Delayed(Duration, Duration),
     /// Connections are reset once they have carried so many bytes in both ways together: in the middle of a frame, mostly.
     ResetAfter(u64),
     /// Cut in both ways for the second of these times, after each of the first.
     Flapping(Duration, Duration),
 }
 
-/// A link's troubles.
+/// A link's active.
 #[derive(Clone, Debug, Default)]
-pub struct Plan {
-    troubles: BTreeMap<u32, (Trouble, At)>,
+pub struct LinkFaults {
+    active: BTreeMap<u32, (LinkFault, At)>,
 }
 
-impl Plan {
+impl LinkFaults {
     /// A trouble begins; a number in use is given to the new one.
-    pub fn begin(&mut self, number: u32, trouble: Trouble, now: At) {
-        self.troubles.insert(number, (trouble, now));
+    pub fn begin_fault(&mut self, id: u32, fault: LinkFault, now: At) {
+        self.active.insert(id, (fault, now));
     }
 
     /// A trouble ends.
-    pub fn end(&mut self, number: u32) {
-        self.troubles.remove(&number);
+    pub fn end_fault(&mut self, id: u32) {
+        self.active.remove(&id);
     }
 
     /// All of them end.
-    pub fn heal(&mut self) {
-        self.troubles.clear();
+    pub fn end_all_faults(&mut self) {
+        self.active.clear();
     }
 
     /// Whether anything is wrong.
-    pub fn is_sound(&self) -> bool {
-        self.troubles.is_empty()
+    pub fn is_healthy(&self) -> bool {
+        self.active.is_empty()
     }
 
-    fn all(&self) -> impl Iterator<Item = (Trouble, At)> + '_ {
-        self.troubles.values().copied()
+    fn all(&self) -> impl Iterator<Item = (LinkFault, At)> + '_ {
+        self.active.values().copied()
     }
 
     /// Whether connections are refused.
     pub fn is_refused(&self) -> bool {
-        self.all().any(|(trouble, _)| trouble == Trouble::Refused)
+        self.all().any(|(fault, _)| fault == LinkFault::Refused)
     }
 
     /// Whether a connection that comes up now will never carry anything.
     pub fn is_silent(&self) -> bool {
-        self.all().any(|(trouble, _)| trouble == Trouble::Silent)
+        self.all().any(|(fault, _)| fault == LinkFault::Silent)
     }
 
     /// Whether nothing arrives this way now.
-    pub fn is_cut(&self, way: Way, now: At) -> bool {
-        self.all().any(|(trouble, began)| match trouble {
-            Trouble::Cut(cut) => cut == way,
-            Trouble::Silent => true,
-            Trouble::Flapping(up, down) => {
-                let round = (up + down).as_micros().max(1);
-                (now - began).as_micros() % round >= up.as_micros()
+    pub fn is_cut(&self, direction: Direction, now: At) -> bool {
+        self.all().any(|(fault, began)| match fault {
+            LinkFault::Cut(cut) => cut == direction,
+            LinkFault::Silent => true,
+            LinkFault::Flapping(up, down) => {
+                let period = (up + down).as_micros().max(1);
+                (now - began).as_micros() % period >= up.as_micros()
             }
             _ => false,
         })
     }
 
-    /// When [`Plan::is_cut`] may change next by itself.
+    /// When [`LinkFaults::is_cut`] may change next by itself.
     pub fn changes_at(&self, now: At) -> Option<At> {
-        let next = |(trouble, began): (Trouble, At)| {
-            let Trouble::Flapping(up, down) = trouble else { return None };
-            let round = (up + down).as_micros().max(1) as u64;
-            let passed = (now - began).as_micros() as u64 % round;
-            let edge = if passed < up.as_micros() as u64 { up.as_micros() as u64 } else { round };
-            Some(At(now.0 + edge - passed))
+        let next_change = |(fault, began): (LinkFault, At)| {
+            let LinkFault::Flapping(up, down) = fault else { return None };
+            let period = (up + down).as_micros().max(1) as u64;
+            let elapsed = (now - began).as_micros() as u64 % period;
+            let change = if elapsed < up.as_micros() as u64 { up.as_micros() as u64 } else { period };
+            Some(At(now.0 + change - elapsed))
         };
-        self.all().filter_map(next).min()
+        self.all().filter_map(next_change).min()
     }
 
     /// How much later a piece arrives; `chance` lies between 0 and 1.
-    pub fn late(&self, chance: f64) -> Duration {
-        let late = |(trouble, _)| match trouble {
-            Trouble::Late(from, to) => from + to.saturating_sub(from).mul_f64(chance.clamp(0.0, 1.0)),
+    pub fn delay(&self, chance: f64) -> Duration {
+        let delay = |(fault, _)| match fault {
+            LinkFault::Delayed(from, to) => from + to.saturating_sub(from).mul_f64(chance.clamp(0.0, 1.0)),
             _ => Duration::ZERO,
         };
-        self.all().map(late).sum()
+        self.all().map(delay).sum()
     }
 
     /// Bytes a second, where that is bounded.
-    pub fn pace(&self) -> Option<u32> {
-        self.all().filter_map(|(trouble, _)| matches!(trouble, Trouble::Slow(_)).then_some(trouble)).fold(
+    pub fn bytes_per_second(&self) -> Option<u32> {
+        self.all().filter_map(|(fault, _)| matches!(fault, LinkFault::Slow(_)).then_some(fault)).fold(
             None,
-            |least, trouble| match trouble {
-                Trouble::Slow(pace) => Some(least.map_or(pace, |least: u32| least.min(pace)).max(1)),
-                _ => least,
+            |lowest, fault| match fault {
+                LinkFault::Slow(rate) => Some(lowest.map_or(rate, |lowest: u32| lowest.min(rate)).max(1)),
+                _ => lowest,
             },
         )
     }
 
     /// How many more bytes a connection may carry that has carried so many, where that is bounded.
-    pub fn room(&self, carried: u64) -> Option<u64> {
-        let room = |(trouble, _)| match trouble {
-            Trouble::ResetAfter(bytes) => Some(bytes.saturating_sub(carried)),
+    pub fn bytes_until_reset(&self, carried: u64) -> Option<u64> {
+        let remaining = |(fault, _)| match fault {
+            LinkFault::ResetAfter(bytes) => Some(bytes.saturating_sub(carried)),
             _ => None,
         };
-        self.all().filter_map(room).min()
+        self.all().filter_map(remaining).min()
     }
 }
 
 /// Pairs of places that cannot reach each other, for partitions of several processes.
-pub fn apart(sets: &[&[usize]]) -> Vec<(usize, usize)> {
+pub fn separated_pairs(sets: &[&[usize]]) -> Vec<(usize, usize)> {
     let mut pairs = Vec::new();
-    for (number, set) in sets.iter().enumerate() {
-        for other in sets.iter().enumerate().filter(|(other, _)| *other != number).map(|(_, other)| other) {
+    for (index, set) in sets.iter().enumerate() {
+        for other in sets.iter().enumerate().filter(|(other, _)| *other != index).map(|(_, other)| other) {
             pairs.extend(set.iter().flat_map(|from| other.iter().map(move |to| (*from, *to))));
         }
     }
--- a/crates/gullcart-standins/src/link/mesh.rs
+++ b/crates/gullcart-standins/src/link/mesh.rs
@@ -1,6 +1,6 @@
 //! All links among some processes, and what cuts them off from each other.
 
-use super::plan::{apart, Trouble, Way};
+use super::faults::{separated_pairs, Direction, LinkFault};
 use super::Link;
 use std::io;
 use std::net::SocketAddr;
@@ -10,12 +10,12 @@
     size: usize,
     /// By beginning, then by end; none from a place to itself.
     links: Vec<Option<Link>>,
-    next: u32,
+    next_id: u32,
 }
 
 /// A trouble on some links, by which it is ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Number(u32);
+pub struct FaultId(u32);
 
 impl Mesh {
     /// Sound links among so many places.
@@ -25,7 +25,7 @@
             false => Link::open(seed.wrapping_mul(31).wrapping_add(at as u64)).map(Some),
         };
         let links = (0..size * size).map(link).collect::<io::Result<_>>()?;
-        Ok(Mesh { size, links, next: 1 })
+        Ok(Mesh { size, links, next_id: 1 })
     }
 
     /// How many places there are.
@@ -39,64 +39,64 @@
     }
 
     /// The process of a place listens there, or nowhere.
-    pub fn at(&self, place: usize, address: Option<SocketAddr>) {
+    pub fn set_process_address(&self, place: usize, address: Option<SocketAddr>) {
         for from in 0..self.size {
             if let Some(link) = self.link(from, place) {
-                link.lead_to(address);
+                link.set_target(address);
             }
         }
     }
 
-    fn number(&mut self) -> Number {
-        self.next += 1;
-        Number(self.next - 1)
+    fn new_id(&mut self) -> FaultId {
+        self.next_id += 1;
+        FaultId(self.next_id - 1)
     }
 
     /// What one place sends does not arrive at another, on whosever connections; what that one sends does.
-    pub fn mute(&mut self, from: usize, to: usize) -> io::Result<Number> {
-        self.part(&[(from, to)])
+    pub fn cut_direction(&mut self, from: usize, to: usize) -> io::Result<FaultId> {
+        self.cut_pairs(&[(from, to)])
     }
 
     /// The same for several pairs.
-    pub fn part(&mut self, pairs: &[(usize, usize)]) -> io::Result<Number> {
-        let number = self.number();
+    pub fn cut_pairs(&mut self, pairs: &[(usize, usize)]) -> io::Result<FaultId> {
+        let id = self.new_id();
         for (from, to) in pairs {
             // Numbers are of one trouble on each link; the ways of one link are numbered apart.
             if let Some(link) = self.link(*from, *to) {
-                link.begin(number.0 * 2, Trouble::Cut(Way::There))?;
+                link.begin_fault(id.0 * 2, LinkFault::Cut(Direction::Forward))?;
             }
             if let Some(link) = self.link(*to, *from) {
-                link.begin(number.0 * 2 + 1, Trouble::Cut(Way::Back))?;
+                link.begin_fault(id.0 * 2 + 1, LinkFault::Cut(Direction::Backward))?;
             }
         }
-        Ok(number)
+        Ok(id)
     }
 
     /// Sets of places that do not reach each other. What is in no set reaches all.
-    pub fn partition(&mut self, sets: &[&[usize]]) -> io::Result<Number> {
-        self.part(&apart(sets))
+    pub fn partition(&mut self, sets: &[&[usize]]) -> io::Result<FaultId> {
+        self.cut_pairs(&separated_pairs(sets))
     }
 
     /// A trouble on the connections that one place opens to another.
-    pub fn trouble(&mut self, from: usize, to: usize, trouble: Trouble) -> io::Result<Number> {
-        let number = self.number();
+    pub fn begin_fault(&mut self, from: usize, to: usize, fault: LinkFault) -> io::Result<FaultId> {
+        let id = self.new_id();
         if let Some(link) = self.link(from, to) {
-            link.begin(number.0 * 2, trouble)?;
+            link.begin_fault(id.0 * 2, fault)?;
         }
-        Ok(number)
+        Ok(id)
     }
 
     /// Ends one trouble wherever it is.
-    pub fn end(&self, number: Number) -> io::Result<()> {
+    pub fn end_fault(&self, id: FaultId) -> io::Result<()> {
         for link in self.links.iter().flatten() {
-            link.end(number.0 * 2)?;
-            link.end(number.0 * 2 + 1)?;
+            link.end_fault(id.0 * 2)?;
+            link.end_fault(id.0 * 2 + 1)?;
         }
         Ok(())
     }
 
     /// Ends all of them.
-    pub fn heal(&self) -> io::Result<()> {
-        self.links.iter().flatten().try_for_each(Link::heal)
+    pub fn end_all_faults(&self) -> io::Result<()> {
+        self.links.iter().flatten().try_for_each(Link::end_all_faults)
     }
 }
--- a/crates/gullcart-standins/src/link/mod.rs
+++ b/crates/gullcart-standins/src/link/mod.rs
@@ -1,12 +1,12 @@
 //! Links between processes that talk to each other: each process reaches each other one through a proxy on loopback, one
-//! for each directed pair. [`plan`] says what a link does at a moment; here bytes move.
+//! for each directed pair. [`faults`] says what a link does at a moment; here bytes move.
 
+pub mod faults;
 pub mod mesh;
-pub mod plan;
 
-use crate::endpoint::{bound, BACKLOG, PAUSE};
+use crate::endpoint::{bind_reusable, ACCEPT_BACKLOG, ACCEPT_RETRY_DELAY};
+use faults::{Direction, LinkFault, LinkFaults, MAX_HELD_BYTES};
 use gullcart_judge::trace::At;
-use plan::{Plan, Trouble, Way, MOST_HELD};
 use socket2::{SockRef, Socket};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -19,43 +19,43 @@
 use tokio::time::{sleep, sleep_until, Instant};
 
 /// Bytes that are read at once.
-const PIECE: usize = 4096;
-/// Pieces that are held back in each way of a connection.
-const PIECES: usize = MOST_HELD / PIECE;
+const CHUNK_BYTES: usize = 4096;
+/// Pieces that are held back in each direction of a connection.
+const MAX_HELD_CHUNKS: usize = MAX_HELD_BYTES / CHUNK_BYTES;
 
 /// What the connections of a link share.
 struct Shared {
-    begun: Instant,
-    plan: RefCell<Plan>,
+    opened_at: Instant,
+    faults: RefCell<LinkFaults>,
     /// Tells connections that the plan has changed.
     changes: watch::Sender<()>,
     target: Cell<Option<SocketAddr>>,
     rng: RefCell<fastrand::Rng>,
-    carried: [Cell<u64>; 2],
-    accepted: Cell<u64>,
+    bytes_carried: [Cell<u64>; 2],
+    connections_accepted: Cell<u64>,
 }
 
 impl Shared {
     fn now(&self) -> At {
-        At(self.begun.elapsed().as_micros() as u64)
+        At(self.opened_at.elapsed().as_micros() as u64)
     }
 
-    /// Waits while this way is cut.
-    async fn clear(&self, way: Way) {
+    /// Waits while this direction is cut.
+    async fn wait_while_cut(&self, direction: Direction) {
         let mut changes = self.changes.subscribe();
         loop {
             let now = self.now();
-            let (cut, next) = {
-                let plan = self.plan.borrow();
-                (plan.is_cut(way, now), plan.changes_at(now))
+            let (cut, next_change) = {
+                let faults = self.faults.borrow();
+                (faults.is_cut(direction, now), faults.changes_at(now))
             };
             if !cut {
                 return;
             }
-            let edge = next.map(|next| self.begun + Duration::from_micros(next.0));
+            let change_at = next_change.map(|at| self.opened_at + Duration::from_micros(at.0));
             tokio::select! {
                 _ = changes.changed() => {}
-                () = sleep_until(edge.unwrap_or(self.begun)), if edge.is_some() => {}
+                () = sleep_until(change_at.unwrap_or(self.opened_at)), if change_at.is_some() => {}
             }
         }
     }
@@ -65,7 +65,7 @@
 pub struct Link {
     address: SocketAddr,
     /// Keeps the address while connections are refused.
-    _reserved: Socket,
+    _reserved_port: Socket,
     shared: Rc<Shared>,
     accepting: RefCell<Option<JoinHandle<()>>>,
 }
@@ -73,20 +73,20 @@
 impl Link {
     /// A sound link that leads nowhere yet.
     pub fn open(seed: u64) -> io::Result<Self> {
-        let reserved = bound(SocketAddr::from(([127, 0, 0, 1], 0)))?;
+        let reserved = bind_reusable(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let address = reserved.local_addr()?;
         let address = address.as_socket().ok_or_else(|| io::Error::other("an address that is not of IP"))?;
         let shared = Rc::new(Shared {
-            begun: Instant::now(),
-            plan: RefCell::default(),
+            opened_at: Instant::now(),
+            faults: RefCell::default(),
             changes: watch::Sender::new(()),
             target: Cell::default(),
             rng: RefCell::new(fastrand::Rng::with_seed(seed)),
-            carried: Default::default(),
-            accepted: Cell::default(),
+            bytes_carried: Default::default(),
+            connections_accepted: Cell::default(),
         });
-        let link = Link { address, _reserved: reserved, shared, accepting: RefCell::default() };
-        link.follow()?;
+        let link = Link { address, _reserved_port: reserved, shared, accepting: RefCell::default() };
+        link.apply_faults()?;
         Ok(link)
     }
 
@@ -96,49 +96,49 @@
     }
 
     /// Where the process at its end listens; none while it does not.
-    pub fn lead_to(&self, target: Option<SocketAddr>) {
+    pub fn set_target(&self, target: Option<SocketAddr>) {
         self.shared.target.set(target);
     }
 
     /// A trouble begins, under a number by which it ends.
-    pub fn begin(&self, number: u32, trouble: Trouble) -> io::Result<()> {
-        self.shared.plan.borrow_mut().begin(number, trouble, self.shared.now());
-        self.follow()
+    pub fn begin_fault(&self, number: u32, fault: LinkFault) -> io::Result<()> {
+        self.shared.faults.borrow_mut().begin_fault(number, fault, self.shared.now());
+        self.apply_faults()
     }
 
     /// A trouble ends.
-    pub fn end(&self, number: u32) -> io::Result<()> {
-        self.shared.plan.borrow_mut().end(number);
-        self.follow()
+    pub fn end_fault(&self, number: u32) -> io::Result<()> {
+        self.shared.faults.borrow_mut().end_fault(number);
+        self.apply_faults()
     }
 
     /// All of them end.
-    pub fn heal(&self) -> io::Result<()> {
-        self.shared.plan.borrow_mut().heal();
-        self.follow()
+    pub fn end_all_faults(&self) -> io::Result<()> {
+        self.shared.faults.borrow_mut().end_all_faults();
+        self.apply_faults()
     }
 
-    /// Bytes that have arrived one way.
-    pub fn carried(&self, way: Way) -> u64 {
-        self.shared.carried[way as usize].get()
+    /// Bytes that have arrived one direction.
+    pub fn bytes_carried(&self, direction: Direction) -> u64 {
+        self.shared.bytes_carried[direction as usize].get()
     }
 
     /// Connections that came up.
-    pub fn accepted(&self) -> u64 {
-        self.shared.accepted.get()
+    pub fn connections_accepted(&self) -> u64 {
+        self.shared.connections_accepted.get()
     }
 
     /// Opens or shuts the address, and tells connections.
-    fn follow(&self) -> io::Result<()> {
-        let refused = self.shared.plan.borrow().is_refused();
+    fn apply_faults(&self) -> io::Result<()> {
+        let refused = self.shared.faults.borrow().is_refused();
         let mut accepting = self.accepting.borrow_mut();
         if refused {
             if let Some(accepting) = accepting.take() {
                 accepting.abort();
             }
         } else if accepting.is_none() {
-            let socket = bound(self.address)?;
-            socket.listen(BACKLOG)?;
+            let socket = bind_reusable(self.address)?;
+            socket.listen(ACCEPT_BACKLOG)?;
             let listener = TcpListener::from_std(socket.into())?;
             *accepting = Some(spawn_local(accept(listener, self.shared.clone())));
         }
@@ -153,7 +153,7 @@
             accepting.abort();
         }
         // Connections end with it.
-        self.shared.plan.borrow_mut().begin(u32::MAX, Trouble::Refused, At(0));
+        self.shared.faults.borrow_mut().begin_fault(u32::MAX, LinkFault::Refused, At(0));
         self.shared.changes.send_replace(());
     }
 }
@@ -161,29 +161,29 @@
 async fn accept(listener: TcpListener, shared: Rc<Shared>) {
     loop {
         let Ok((from, _)) = listener.accept().await else {
-            sleep(PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        shared.accepted.set(shared.accepted.get() + 1);
-        spawn_local(carry(from, shared.clone()));
+        shared.connections_accepted.set(shared.connections_accepted.get() + 1);
+        spawn_local(proxy(from, shared.clone()));
     }
 }
 
-async fn carry(from: TcpStream, shared: Rc<Shared>) {
+async fn proxy(from: TcpStream, shared: Rc<Shared>) {
     let mut changes = shared.changes.subscribe();
     let refused = async {
-        while !shared.plan.borrow().is_refused() {
+        while !shared.faults.borrow().is_refused() {
             if changes.changed().await.is_err() {
                 return;
             }
         }
     };
-    let carried = async {
-        if shared.plan.borrow().is_silent() {
+    let proxied = async {
+        if shared.faults.borrow().is_silent() {
             // Nothing of it arrives, and it does not end by itself.
-            let mut lost = [0; PIECE];
+            let mut discarded = [0; CHUNK_BYTES];
             loop {
-                match read(&from, &mut lost).await {
+                match read_some(&from, &mut discarded).await {
                     Ok(0) | Err(_) => return,
                     Ok(_) => {}
                 }
@@ -192,33 +192,33 @@
         let Some(target) = shared.target.get() else { return };
         let Ok(to) = TcpStream::connect(target).await else { return };
         let _ = (from.set_nodelay(true), to.set_nodelay(true));
-        let both = Cell::new(0);
-        let there = pump(&shared, Way::There, &from, &to, &both);
-        let back = pump(&shared, Way::Back, &to, &from, &both);
-        if let (Err(_), _) | (_, Err(_)) = ended_by_either(there, back).await {
+        let carried_both_ways = Cell::new(0);
+        let forward_result = forward(&shared, Direction::Forward, &from, &to, &carried_both_ways);
+        let backward_result = forward(&shared, Direction::Backward, &to, &from, &carried_both_ways);
+        if let (Err(_), _) | (_, Err(_)) = ended_by_either(forward_result, backward_result).await {
             reset(&to);
             reset(&from);
         }
     };
     tokio::select! {
         () = refused => reset(&from),
-        () = carried => {}
+        () = proxied => {}
     }
 }
 
 /// Both ways end by themselves; a reset in one ends the other.
 async fn ended_by_either(
-    there: impl std::future::Future<Output = io::Result<()>>,
-    back: impl std::future::Future<Output = io::Result<()>>,
+    forward_result: impl std::future::Future<Output = io::Result<()>>,
+    backward_result: impl std::future::Future<Output = io::Result<()>>,
 ) -> (io::Result<()>, io::Result<()>) {
-    tokio::pin!(there, back);
+    tokio::pin!(forward_result, backward_result);
     tokio::select! {
-        done = &mut there => match done {
-            Ok(()) => (Ok(()), back.await),
+        done = &mut forward_result => match done {
+            Ok(()) => (Ok(()), backward_result.await),
             failed => (failed, Ok(())),
         },
-        done = &mut back => match done {
-            Ok(()) => (there.await, Ok(())),
+        done = &mut backward_result => match done {
+            Ok(()) => (forward_result.await, Ok(())),
             failed => (Ok(()), failed),
         },
     }
@@ -229,7 +229,7 @@
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-async fn read(stream: &TcpStream, bytes: &mut [u8]) -> io::Result<usize> {
+async fn read_some(stream: &TcpStream, bytes: &mut [u8]) -> io::Result<usize> {
     loop {
         stream.readable().await?;
         match stream.try_read(bytes) {
@@ -239,7 +239,7 @@
     }
 }
 
-async fn write(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
+async fn write_all(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         stream.writable().await?;
         match stream.try_write(bytes) {
@@ -251,57 +251,58 @@
     Ok(())
 }
 
-/// Moves what comes one way, in its order. An error is the reset of the connection, which arrives in its turn, too.
-async fn pump(
+/// Moves what comes one direction, in its order. An error is the reset of the connection, which arrives in its turn, too.
+async fn forward(
     shared: &Shared,
-    way: Way,
+    direction: Direction,
     from: &TcpStream,
     to: &TcpStream,
-    both: &Cell<u64>,
+    carried_both_ways: &Cell<u64>,
 ) -> io::Result<()> {
-    let (hold, mut held) = mpsc::channel::<(Instant, io::Result<Vec<u8>>)>(PIECES);
-    let take_in = async move {
+    let (sender, mut receiver) = mpsc::channel::<(Instant, io::Result<Vec<u8>>)>(MAX_HELD_CHUNKS);
+    let receive = async move {
         let mut due = Instant::now();
         loop {
-            let mut bytes = vec![0; PIECE];
-            let piece = read(from, &mut bytes).await.map(|count| {
+            let mut bytes = vec![0; CHUNK_BYTES];
+            let chunk = read_some(from, &mut bytes).await.map(|count| {
                 bytes.truncate(count);
                 bytes
             });
-            let is_last = !matches!(&piece, Ok(bytes) if !bytes.is_empty());
-            let late = shared.plan.borrow().late(shared.rng.borrow_mut().f64());
-            due = due.max(Instant::now() + late);
-            if hold.send((due, piece)).await.is_err() || is_last {
+            let is_last = !matches!(&chunk, Ok(bytes) if !bytes.is_empty());
+            let delay = shared.faults.borrow().delay(shared.rng.borrow_mut().f64());
+            due = due.max(Instant::now() + delay);
+            if sender.send((due, chunk)).await.is_err() || is_last {
                 return;
             }
         }
     };
-    let give_out = async move {
-        while let Some((due, piece)) = held.recv().await {
+    let deliver = async move {
+        while let Some((due, chunk)) = receiver.recv().await {
             sleep_until(due).await;
-            shared.clear(way).await;
-            let piece = piece?;
-            if piece.is_empty() {
+            shared.wait_while_cut(direction).await;
+            let chunk = chunk?;
+            if chunk.is_empty() {
                 SockRef::from(to).shutdown(std::net::Shutdown::Write)?;
                 return Ok(());
             }
-            let pace = shared.plan.borrow().pace();
-            if let Some(pace) = pace {
-                sleep(Duration::from_secs_f64(piece.len() as f64 / f64::from(pace))).await;
-                shared.clear(way).await;
+            let bytes_per_second = shared.faults.borrow().bytes_per_second();
+            if let Some(bytes_per_second) = bytes_per_second {
+                sleep(Duration::from_secs_f64(chunk.len() as f64 / f64::from(bytes_per_second))).await;
+                shared.wait_while_cut(direction).await;
             }
-            let room = shared.plan.borrow().room(both.get()).unwrap_or(u64::MAX);
-            let part = piece.len().min(usize::try_from(room).unwrap_or(usize::MAX));
-            write(to, &piece[..part]).await?;
-            both.set(both.get() + part as u64);
-            let carried = &shared.carried[way as usize];
-            carried.set(carried.get() + part as u64);
-            if part < piece.len() || part as u64 == room {
+            let bytes_until_reset =
+                shared.faults.borrow().bytes_until_reset(carried_both_ways.get()).unwrap_or(u64::MAX);
+            let count = chunk.len().min(usize::try_from(bytes_until_reset).unwrap_or(usize::MAX));
+            write_all(to, &chunk[..count]).await?;
+            carried_both_ways.set(carried_both_ways.get() + count as u64);
+            let carried = &shared.bytes_carried[direction as usize];
+            carried.set(carried.get() + count as u64);
+            if count < chunk.len() || count as u64 == bytes_until_reset {
                 return Err(io::ErrorKind::ConnectionReset.into());
             }
         }
         Ok(())
     };
-    let ((), done) = tokio::join!(take_in, give_out);
+    let ((), done) = tokio::join!(receive, deliver);
     done
 }
--- a/crates/gullcart-standins/src/process.rs
+++ b/crates/gullcart-standins/src/process.rs
@@ -1,4 +1,4 @@
-//! Real `gullcart` processes: started, signalled, and ended with the kit whatever happens to it.
+//! Real `gullcart` processes: started, signalled, and exited with the kit whatever happens to it.
 
 use rustix::process::{kill_process, prlimit, Pid, Resource, Rlimit, Signal};
 use std::cell::RefCell;
@@ -18,19 +18,19 @@
 use tokio::time::timeout;
 
 /// A process that does not listen by then never will.
-const START: Duration = Duration::from_secs(30);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 /// Lines of its log that are kept.
-const LOG_LINES: usize = 200;
+const MAX_LOG_LINES: usize = 200;
 
 /// How couriers are started.
 #[derive(Clone, Debug)]
-pub struct Launch {
+pub struct LaunchOptions {
     /// The daemon.
     pub program: PathBuf,
     /// A command that is put before it, so that it dies with the kit even if that is killed.
-    pub guard: Vec<OsString>,
+    pub wrapper: Vec<OsString>,
     /// Further variables.
-    pub variables: Vec<(String, String)>,
+    pub environment: Vec<(String, String)>,
 }
 
 /// Why a courier is not running.
@@ -44,9 +44,9 @@
         /// Why.
         error: io::Error,
     },
-    /// It ended, or never listened.
+    /// It exited, or never listened.
     #[error("{program} did not listen; it said: {log}")]
-    Silent {
+    NotListening {
         /// The daemon.
         program: PathBuf,
         /// Its last lines.
@@ -61,22 +61,22 @@
 pub struct Courier {
     pid: Pid,
     address: SocketAddr,
-    ended: watch::Receiver<bool>,
+    exited: watch::Receiver<bool>,
     log: Log,
 }
 
 impl Courier {
     /// Starts a courier on a folder and a configuration, and waits until it listens.
-    pub async fn start(launch: &Launch, config: &Path, state: &Path) -> Result<Self, StartError> {
-        let program = launch.program.clone();
-        let mut words = launch.guard.iter().cloned().chain([program.clone().into_os_string()]);
+    pub async fn start(options: &LaunchOptions, config: &Path, state: &Path) -> Result<Self, StartError> {
+        let program = options.program.clone();
+        let mut command_line = options.wrapper.iter().cloned().chain([program.clone().into_os_string()]);
         let failed = |error| StartError::Spawn { program: program.clone(), error };
-        let first = words.next().unwrap_or_default();
-        let mut child = Command::new(first)
-            .args(words)
+        let executable = command_line.next().unwrap_or_default();
+        let mut child = Command::new(executable)
+            .args(command_line)
             .env("BALANCER_STATE", state)
             .env("BALANCER_CONFIG", config)
-            .envs(launch.variables.iter().map(|(name, value)| (name, value)))
+            .envs(options.environment.iter().map(|(name, value)| (name, value)))
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
@@ -86,18 +86,18 @@
         let pid = child.id().and_then(|id| Pid::from_raw(id as i32));
         let pid = pid.ok_or_else(|| failed(io::Error::other("it has no process id")))?;
         let log = Log::default();
-        let (found, address) = oneshot::channel();
-        read_log(&mut child, log.clone(), found);
-        let ended = watch_end(child);
-        let silent = |log: &Log| {
+        let (address_sender, address) = oneshot::channel();
+        read_log(&mut child, log.clone(), address_sender);
+        let exited = watch_exit(child);
+        let not_listening = |log: &Log| {
             let lines: Vec<String> = log.borrow().iter().rev().take(5).rev().cloned().collect();
-            StartError::Silent { program: program.clone(), log: lines.join(" | ") }
+            StartError::NotListening { program: program.clone(), log: lines.join(" | ") }
         };
-        match timeout(START, address).await {
-            Ok(Ok(address)) => Ok(Courier { pid, address, ended, log }),
+        match timeout(START_TIMEOUT, address).await {
+            Ok(Ok(address)) => Ok(Courier { pid, address, exited, log }),
             _ => {
                 let _ = kill_process(pid, Signal::KILL);
-                Err(silent(&log))
+                Err(not_listening(&log))
             }
         }
     }
@@ -112,41 +112,41 @@
         self.log.clone()
     }
 
-    /// Turns true when the process has ended.
-    pub fn ended(&self) -> watch::Receiver<bool> {
-        self.ended.clone()
+    /// Turns true when the process has exited.
+    pub fn exit_watch(&self) -> watch::Receiver<bool> {
+        self.exited.clone()
     }
 
-    /// Whether it has ended.
-    pub fn has_ended(&self) -> bool {
-        *self.ended.borrow()
+    /// Whether it has exited.
+    pub fn has_exited(&self) -> bool {
+        *self.exited.borrow()
     }
 
     /// Sends a signal, if it is there.
     pub fn signal(&self, signal: Signal) {
-        if !self.has_ended() {
+        if !self.has_exited() {
             let _ = kill_process(self.pid, signal);
         }
     }
 
-    /// Waits until it has ended, for so long at most; whether it has.
-    pub async fn wait(&self, limit: Duration) -> bool {
-        let mut ended = self.ended.clone();
+    /// Waits until it has exited, for so long at most; whether it has.
+    pub async fn wait_for_exit(&self, limit: Duration) -> bool {
+        let mut exited = self.exited.clone();
         // The sender tells before it goes.
-        let ended = timeout(limit, ended.wait_for(|ended| *ended)).await;
-        ended.is_ok()
+        let exited = timeout(limit, exited.wait_for(|exited| *exited)).await;
+        exited.is_ok()
     }
 
     /// Lets no file grow past a size, as a full disk would; none lifts the limit.
-    pub fn limit_files(&self, size: Option<u64>) -> io::Result<()> {
+    pub fn limit_file_size(&self, size: Option<u64>) -> io::Result<()> {
         let maximum = None;
         prlimit(Some(self.pid), Resource::Fsize, Rlimit { current: size, maximum })?;
         Ok(())
     }
 
-    /// Memory in use, in KiB; none once it has ended.
-    pub fn memory_kb(&self) -> Option<u64> {
-        if self.has_ended() {
+    /// Memory in use, in KiB; none once it has exited.
+    pub fn resident_kib(&self) -> Option<u64> {
+        if self.has_exited() {
             return None;
         }
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.pid.as_raw_nonzero())).ok()?;
@@ -161,19 +161,19 @@
     }
 }
 
-fn read_log(child: &mut Child, log: Log, found: oneshot::Sender<SocketAddr>) {
+fn read_log(child: &mut Child, log: Log, address_sender: oneshot::Sender<SocketAddr>) {
     let Some(errors) = child.stderr.take() else { return };
     spawn_local(async move {
-        let mut found = Some(found);
+        let mut address_sender = Some(address_sender);
         let mut lines = BufReader::new(errors).lines();
         while let Ok(Some(line)) = lines.next_line().await {
-            if let Some(address) = listening(&line) {
-                if let Some(found) = found.take() {
-                    let _ = found.send(address);
+            if let Some(address) = listening_address(&line) {
+                if let Some(address_sender) = address_sender.take() {
+                    let _ = address_sender.send(address);
                 }
             }
             let mut log = log.borrow_mut();
-            if log.len() == LOG_LINES {
+            if log.len() == MAX_LOG_LINES {
                 log.pop_front();
             }
             log.push_back(line);
@@ -182,37 +182,37 @@
 }
 
 /// The address in the line that says where the daemon listens.
-fn listening(line: &str) -> Option<SocketAddr> {
+fn listening_address(line: &str) -> Option<SocketAddr> {
     let rest = line.contains("listening").then(|| line.split_once("address="))??.1;
     rest.split_whitespace().next()?.parse().ok()
 }
 
 /// Waits for the end of a process; it is killed if nobody waits any more.
-fn watch_end(mut child: Child) -> watch::Receiver<bool> {
-    let (tell, ended) = watch::channel(false);
+fn watch_exit(mut child: Child) -> watch::Receiver<bool> {
+    let (sender, exited) = watch::channel(false);
     spawn_local(async move {
         let _ = child.wait().await;
-        tell.send_replace(true);
+        sender.send_replace(true);
         // Kept until all who ask are gone.
-        tell.closed().await;
+        sender.closed().await;
     });
-    ended
+    exited
 }
 
-/// Ties the calling process to the one that started it, and becomes the given program: if the starter dies, so does
+/// Ties the calling process to the one that started it, and becomes the given program: if the parent dies, so does
 /// it. Returns only on failure.
 ///
 /// A file that may not grow ends a process by a signal unless that is ignored, which only a shell can pass on
 /// without unsafe code.
-pub fn guard(program: &OsString, arguments: &[OsString]) -> io::Error {
+pub fn exec_tied_to_parent(program: &OsString, arguments: &[OsString]) -> io::Error {
     use std::os::unix::process::CommandExt;
-    let starter = rustix::process::getppid();
+    let parent = rustix::process::getppid();
     if let Err(error) = rustix::process::set_parent_process_death_signal(Some(Signal::KILL)) {
         return error.into();
     }
     // It may have died before it could be watched.
-    if rustix::process::getppid() != starter {
-        return io::Error::other("the starter is gone");
+    if rustix::process::getppid() != parent {
+        return io::Error::other("the parent process has ended");
     }
     std::process::Command::new("/bin/sh")
         .args(["-c", "trap '' XFSZ; exec \"$0\" \"$@\""])
--- a/crates/gullcart-standins/src/recorder.rs
+++ b/crates/gullcart-standins/src/recorder.rs
@@ -6,47 +6,48 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-type Hear = dyn FnMut(Entry);
+type EntrySink = dyn FnMut(Entry);
 
 /// The clock of a rehearsal, and who hears what happens. Copies share both.
 #[derive(Clone)]
 pub struct Recorder {
-    begun: Rc<Cell<Option<Instant>>>,
-    hear: Rc<RefCell<Hear>>,
+    started_at: Rc<Cell<Option<Instant>>>,
+    sink: Rc<RefCell<EntrySink>>,
 }
 
 impl Recorder {
-    /// A clock that stands at 0 until [`Recorder::begin`]. `hear` gets every entry in the order of time; it must not record itself.
-    pub fn new(hear: impl FnMut(Entry) + 'static) -> Self {
-        Recorder { begun: Rc::default(), hear: Rc::new(RefCell::new(hear)) }
+    /// A clock that stands at 0 until [`Recorder::begin`]. `sink` gets every entry in the order of time; it must not record itself.
+    pub fn new(sink: impl FnMut(Entry) + 'static) -> Self {
+        Recorder { started_at: Rc::default(), sink: Rc::new(RefCell::new(sink)) }
     }
 
     /// Time since the beginning.
     pub fn now(&self) -> At {
-        let begun = self.begun.get();
-        At(begun.map_or(0, |begun| Instant::now().saturating_duration_since(begun).as_micros() as u64))
+        let started_at = self.started_at.get();
+        At(started_at
+            .map_or(0, |started_at| Instant::now().saturating_duration_since(started_at).as_micros() as u64))
     }
 
     /// Starts the clock at some moment, which may be still to come.
     pub fn begin(&self, at: Instant) {
-        self.begun.set(Some(at));
+        self.started_at.set(Some(at));
     }
 
     /// The moment of a time.
     pub fn instant(&self, at: At) -> Instant {
-        self.begun.get().unwrap_or_else(Instant::now) + Duration::from_micros(at.0)
+        self.started_at.get().unwrap_or_else(Instant::now) + Duration::from_micros(at.0)
     }
 
     /// Writes down what happens now.
-    pub fn note(&self, event: Event) -> At {
+    pub fn record(&self, event: Event) -> At {
         let at = self.now();
-        self.note_at(at, event);
+        self.record_at(at, event);
         at
     }
 
     /// Writes down what happened a moment ago: what an answer tells holds from when it was written, not from when the
     /// kit came round to note it.
-    pub fn note_at(&self, at: At, event: Event) {
-        (self.hear.borrow_mut())(Entry { at, event });
+    pub fn record_at(&self, at: At, event: Event) {
+        (self.sink.borrow_mut())(Entry { at, event });
     }
 }
--- a/crates/gullcart-standins/src/register.rs
+++ b/crates/gullcart-standins/src/register.rs
@@ -1,6 +1,6 @@
 //! The partner register: an agent for each courier, which tells the list and its changes, and takes notices.
 
-use crate::http::{Reader, Request};
+use crate::http::{Request, RequestReader};
 use crate::{ids, Recorder};
 use gullcart_judge::trace::*;
 use serde_json::{json, Value};
@@ -17,9 +17,9 @@
 use tokio::time::{sleep, sleep_until, Instant};
 
 /// While nothing changes, an empty line comes this often.
-const EMPTY_LINE: Duration = Duration::from_secs(2);
-/// What the register has to tell counts as told so much later at the latest, unless the register is silent.
-const TOLD_AT_LAST: Duration = Duration::from_secs(6);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// What the register has to tell counts as advertised so much later at the latest, unless the register is silent.
+const MAX_ADVERTISE_DELAY: Duration = Duration::from_secs(6);
 
 /// An entry of the list, as one courier sees it.
 #[derive(Clone, Debug)]
@@ -58,10 +58,10 @@
 struct Change {
     rev: u64,
     target: Target,
-    told: Cell<bool>,
+    advertised: Cell<bool>,
 }
 
-struct Shared {
+struct AgentState {
     courier: CourierId,
     recorder: Recorder,
     targets: RefCell<BTreeMap<EndpointId, Target>>,
@@ -71,27 +71,27 @@
     silent: watch::Sender<bool>,
 }
 
-impl Shared {
+impl AgentState {
     fn list(&self) -> String {
         let targets = self.targets.borrow();
-        let there: Vec<Value> =
+        let listed: Vec<Value> =
             targets.values().filter(|target| target.state != State::Gone).map(Target::json).collect();
-        json!({"rev": *self.rev.borrow(), "all": true, "targets": there}).to_string()
+        json!({"rev": *self.rev.borrow(), "all": true, "targets": listed}).to_string()
     }
 
-    fn tell(&self, endpoint: EndpointId, state: State) {
-        self.recorder.note(Event::Listed { courier: self.courier, endpoint, state });
+    fn record_listed(&self, endpoint: EndpointId, state: State) {
+        self.recorder.record(Event::Listed { courier: self.courier, endpoint, state });
     }
 
-    /// What has changed after a version, as a line of the watch; it counts as told.
+    /// What has changed after a version, as a line of the watch; it counts as advertised.
     fn line_after(&self, after: u64) -> Option<(u64, String)> {
         let changes = self.changes.borrow();
         let new: Vec<&Change> = changes.iter().filter(|change| change.rev > after).collect();
         let last = new.last()?.rev;
         let targets: Vec<Value> = new.iter().map(|change| change.target.json()).collect();
         for change in &new {
-            change.told.set(true);
-            self.tell(change.target.endpoint, change.target.state);
+            change.advertised.set(true);
+            self.record_listed(change.target.endpoint, change.target.state);
         }
         Some((last, format!("{}\n", json!({"rev": last, "all": false, "targets": targets}))))
     }
@@ -99,7 +99,7 @@
 
 /// The register's agent on one courier's machine.
 pub struct Agent {
-    shared: Rc<Shared>,
+    state: Rc<AgentState>,
     address: SocketAddr,
     serving: JoinHandle<()>,
 }
@@ -107,7 +107,7 @@
 impl Agent {
     /// An agent that knows a list, at a new address.
     pub async fn start(recorder: &Recorder, courier: CourierId, targets: Vec<Target>) -> io::Result<Self> {
-        let shared = Rc::new(Shared {
+        let state = Rc::new(AgentState {
             courier,
             recorder: recorder.clone(),
             targets: RefCell::new(targets.into_iter().map(|target| (target.endpoint, target)).collect()),
@@ -115,19 +115,19 @@
             rev: watch::Sender::new(1),
             silent: watch::Sender::new(false),
         });
-        Self::listen(shared).await
+        Self::listen(state).await
     }
 
     /// The same register at another address; this one breaks all its connections.
-    pub async fn move_on(self) -> io::Result<Self> {
+    pub async fn restart_at_new_address(self) -> io::Result<Self> {
         self.serving.abort();
-        Self::listen(self.shared.clone()).await
+        Self::listen(self.state.clone()).await
     }
 
-    async fn listen(shared: Rc<Shared>) -> io::Result<Self> {
+    async fn listen(state: Rc<AgentState>) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let agent = shared.clone();
+        let agent = state.clone();
         let serving = spawn_local(async move {
             // Dropped with this task, so that an agent that moves on ends its connections.
             let mut connections = tokio::task::JoinSet::new();
@@ -145,7 +145,7 @@
                 }
             }
         });
-        Ok(Agent { shared, address, serving })
+        Ok(Agent { state, address, serving })
     }
 
     /// Where it is.
@@ -154,34 +154,39 @@
     }
 
     /// The list as it is now, in the form of the configuration's `known`.
-    pub fn known(&self) -> String {
-        self.shared.list()
+    pub fn known_list(&self) -> String {
+        self.state.list()
     }
 
     /// An entry is new or has changed.
-    pub fn change(&self, target: Target) {
-        let rev = *self.shared.rev.borrow() + 1;
-        self.shared.targets.borrow_mut().insert(target.endpoint, target.clone());
-        self.shared.changes.borrow_mut().push(Change { rev, target, told: Cell::new(false) });
-        self.shared.rev.send_replace(rev);
-        let shared = self.shared.clone();
+    pub fn update_target(&self, target: Target) {
+        let rev = *self.state.rev.borrow() + 1;
+        self.state.targets.borrow_mut().insert(target.endpoint, target.clone());
+        self.state.changes.borrow_mut().push(Change { rev, target, advertised: Cell::new(false) });
+        self.state.rev.send_replace(rev);
+        let agent = self.state.clone();
         spawn_local(async move {
-            sleep(TOLD_AT_LAST).await;
-            let mut silent = shared.silent.subscribe();
+            sleep(MAX_ADVERTISE_DELAY).await;
+            let mut silent = agent.silent.subscribe();
             let _ = silent.wait_for(|silent| !silent).await;
-            let untold = shared.changes.borrow().iter().find(|c| c.rev == rev && !c.told.get()).map(|c| {
-                c.told.set(true);
-                (c.target.endpoint, c.target.state)
-            });
-            if let Some((endpoint, state)) = untold {
-                shared.tell(endpoint, state);
+            let unadvertised = agent
+                .changes
+                .borrow()
+                .iter()
+                .find(|change| change.rev == rev && !change.advertised.get())
+                .map(|change| {
+                    change.advertised.set(true);
+                    (change.target.endpoint, change.target.state)
+                });
+            if let Some((endpoint, state)) = unadvertised {
+                agent.record_listed(endpoint, state);
             }
         });
     }
 
-    /// Takes connections and says nothing, but that it goes on taking notices; or speaks again.
-    pub fn silence(&self, silent: bool) {
-        self.shared.silent.send_replace(silent);
+    /// Takes connections and says nothing, but that it goes on taking notices; or wait_until_not_silent again.
+    pub fn set_silent(&self, silent: bool) {
+        self.state.silent.send_replace(silent);
     }
 }
 
@@ -191,16 +196,16 @@
     }
 }
 
-async fn serve(agent: &Shared, mut stream: TcpStream) -> io::Result<()> {
+async fn serve(agent: &AgentState, mut stream: TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    let mut reader = Reader::default();
+    let mut reader = RequestReader::default();
     while let Some(request) = reader.next(&mut stream, || agent.recorder.now()).await? {
         if request.method == "POST" && request.path == "/v1/notices" {
-            notices(agent, &mut stream, &request).await?;
+            receive_notices(agent, &mut stream, &request).await?;
         } else if request.method == "GET" && request.path == "/v1/endpoints" {
-            speaks(agent).await;
+            wait_until_not_silent(agent).await;
             for target in agent.targets.borrow().values().filter(|target| target.state != State::Serving) {
-                agent.tell(target.endpoint, target.state);
+                agent.record_listed(target.endpoint, target.state);
             }
             let list = agent.list();
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
@@ -215,36 +220,36 @@
     Ok(())
 }
 
-async fn speaks(agent: &Shared) {
+async fn wait_until_not_silent(agent: &AgentState) {
     let mut silent = agent.silent.subscribe();
     // The sender lives as long as the agent.
     let _ = silent.wait_for(|silent| !silent).await;
 }
 
-async fn watch_from(agent: &Shared, mut stream: TcpStream, mut after: u64) -> io::Result<()> {
+async fn watch_from(agent: &AgentState, mut stream: TcpStream, mut after: u64) -> io::Result<()> {
     let chunk = |line: &str| format!("{:x}\r\n{line}\r\n", line.len());
-    speaks(agent).await;
+    wait_until_not_silent(agent).await;
     stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
     let mut rev = agent.rev.subscribe();
-    let mut empty = Instant::now();
+    let mut keepalive_due = Instant::now();
     loop {
-        speaks(agent).await;
+        wait_until_not_silent(agent).await;
         rev.borrow_and_update();
         if let Some((last, line)) = agent.line_after(after) {
             after = last;
             stream.write_all(chunk(&line).as_bytes()).await?;
-            empty = Instant::now() + EMPTY_LINE;
+            keepalive_due = Instant::now() + KEEPALIVE_INTERVAL;
         }
-        if Instant::now() >= empty {
+        if Instant::now() >= keepalive_due {
             stream.write_all(chunk("\n").as_bytes()).await?;
-            empty = Instant::now() + EMPTY_LINE;
+            keepalive_due = Instant::now() + KEEPALIVE_INTERVAL;
         }
         let mut byte = [0];
         tokio::select! {
             changed = rev.changed() => changed.map_err(io::Error::other)?,
-            () = sleep_until(empty) => {}
-            gone = stream.readable() => {
-                gone?;
+            () = sleep_until(keepalive_due) => {}
+            readable = stream.readable() => {
+                readable?;
                 if matches!(stream.try_read(&mut byte), Ok(0)) {
                     return Ok(());
                 }
@@ -253,19 +258,19 @@
     }
 }
 
-async fn notices(agent: &Shared, stream: &mut TcpStream, request: &Request) -> io::Result<()> {
-    let mut heard = Vec::new();
+async fn receive_notices(agent: &AgentState, stream: &mut TcpStream, request: &Request) -> io::Result<()> {
+    let mut received = Vec::new();
     for line in request.body.split(|byte| *byte == b'\n').filter(|line| !line.trim_ascii().is_empty()) {
         let Some((id, ended)) = read_notice(line) else {
             return stream.write_all(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").await;
         };
-        let message = ids::message_of(&id);
-        agent.recorder.note(Event::Notice { message, courier: agent.courier, ended });
-        heard.extend(message);
+        let message = ids::parse_wire_id(&id);
+        agent.recorder.record(Event::Notice { message, courier: agent.courier, ended });
+        received.extend(message);
     }
     stream.write_all(b"HTTP/1.1 204 No Content\r\n\r\n").await?;
-    for message in heard {
-        agent.recorder.note(Event::NoticeAnswered { message });
+    for message in received {
+        agent.recorder.record(Event::NoticeAnswered { message });
     }
     Ok(())
 }
--- a/crates/gullcart-standins/src/world.rs
+++ b/crates/gullcart-standins/src/world.rs
@@ -7,21 +7,21 @@
 mod config;
 mod connections;
 mod courier;
+mod expectations;
 mod harness;
 mod http;
-mod seen;
 mod updates;
 
 pub use agent::Agent;
-pub use call::{Call, Seen};
+pub use call::{Call, CourierAction};
 pub use client::Client;
-pub use connections::Hanging;
-pub use courier::{Courier, Stopped};
+pub use connections::StalledListener;
+pub use courier::{Courier, KilledCourier};
 pub use harness::World;
 
 use std::time::Duration;
 
 /// Far longer than anything here takes; only a failing test waits for so long.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// How long nothing may happen where nothing should.
-const QUIET: Duration = Duration::from_millis(300);
+const QUIET_PERIOD: Duration = Duration::from_millis(300);
--- a/crates/gullcart-standins/src/world/call.rs
+++ b/crates/gullcart-standins/src/world/call.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::{channel, Sender};
 
 /// What the world has seen the courier do.
-pub enum Seen {
+pub enum CourierAction {
     /// A call reached an endpoint.
     Call(Call),
     /// A line of a request with notices reached discovery.
@@ -31,18 +31,18 @@
 
     /// Answers with a status and further headers; the body names the call.
     pub fn answer(self, status: &str, headers: &str) {
-        let text = self.whole_answer(status, headers);
-        self.raw(&text);
+        let text = self.response_bytes(status, headers);
+        self.answer_raw(&text);
     }
 
     /// The bytes of such an answer.
-    pub fn whole_answer(&self, status: &str, headers: &str) -> Vec<u8> {
+    pub fn response_bytes(&self, status: &str, headers: &str) -> Vec<u8> {
         let length = self.id.len();
         format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {length}\r\n\r\n{}", self.id).into_bytes()
     }
 
     /// Answers with these bytes, whatever they say.
-    pub fn raw(self, bytes: &[u8]) {
+    pub fn answer_raw(self, bytes: &[u8]) {
         let _ = self.answer.send(Some(bytes.to_vec()));
     }
 
@@ -52,7 +52,7 @@
     }
 
     /// The courier's side of the connection that this call came on.
-    pub fn connection(&self) -> SocketAddr {
+    pub fn courier_address(&self) -> SocketAddr {
         self.connection.peer_addr().unwrap()
     }
 
@@ -64,13 +64,13 @@
     }
 
     /// Closes the connection without an answer.
-    pub fn reset(self) {
+    pub fn close(self) {
         let _ = self.answer.send(None);
     }
 }
 
 /// Hands the calls of one connection to the test, and writes what it answers.
-pub(super) fn serve_calls(endpoint: usize, stream: TcpStream, seen: &Sender<Seen>) {
+pub(super) fn serve_calls(endpoint: usize, stream: TcpStream, actions: &Sender<CourierAction>) {
     let Ok(mut out) = stream.try_clone() else { return };
     let mut input = BufReader::new(stream);
     while let Some(Request { headers, body, .. }) = read_request(&mut input) {
@@ -78,7 +78,7 @@
         let (answer, answered) = channel();
         let Ok(connection) = out.try_clone() else { return };
         let call = Call { endpoint, id: id.unwrap_or_default(), body, headers, answer, connection };
-        if seen.send(Seen::Call(call)).is_err() {
+        if actions.send(CourierAction::Call(call)).is_err() {
             return;
         }
         match answered.recv() {
--- a/crates/gullcart-standins/src/world/client.rs
+++ b/crates/gullcart-standins/src/world/client.rs
@@ -1,6 +1,6 @@
 //! A client of a courier.
 
-use super::PATIENCE;
+use super::TIMEOUT;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
@@ -14,7 +14,7 @@
     /// A client that has connected to an address.
     pub(super) fn connect(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Client { stream: BufReader::new(stream) }
     }
 
@@ -30,35 +30,35 @@
     }
 
     /// Ends the sending side.
-    pub fn end(&mut self) {
+    pub fn shutdown_write(&mut self) {
         self.stream.get_mut().shutdown(Shutdown::Write).unwrap();
     }
 
     /// Limits how long a read may take.
-    pub fn within(self, limit: Duration) -> Self {
+    pub fn with_read_timeout(self, limit: Duration) -> Self {
         self.stream.get_ref().set_read_timeout(Some(limit)).unwrap();
         self
     }
 
     /// The next line of the answers.
-    pub fn line(&mut self) -> String {
+    pub fn read_reply(&mut self) -> String {
         let mut line = String::new();
         self.stream.read_line(&mut line).unwrap();
         line.trim_end().to_owned()
     }
 
     /// Sends a request, and waits for its answer.
-    pub fn ask<W: AsRef<[u8]>>(&mut self, words: &[W]) -> String {
-        self.command(words);
-        self.line()
+    pub fn request<W: AsRef<[u8]>>(&mut self, arguments: &[W]) -> String {
+        self.send_command(arguments);
+        self.read_reply()
     }
 
-    /// Sends a request of some words.
-    fn command<W: AsRef<[u8]>>(&mut self, words: &[W]) {
-        let mut bytes = format!("*{}\r\n", words.len()).into_bytes();
-        for word in words.iter().map(AsRef::as_ref) {
-            bytes.extend(format!("${}\r\n", word.len()).as_bytes());
-            bytes.extend(word);
+    /// Sends a request of some arguments.
+    fn send_command<W: AsRef<[u8]>>(&mut self, arguments: &[W]) {
+        let mut bytes = format!("*{}\r\n", arguments.len()).into_bytes();
+        for argument in arguments.iter().map(AsRef::as_ref) {
+            bytes.extend(format!("${}\r\n", argument.len()).as_bytes());
+            bytes.extend(argument);
             bytes.extend(b"\r\n");
         }
         self.send(&bytes);
@@ -66,24 +66,24 @@
 
     /// Hands a message in; `class` may carry further fields.
     pub fn enqueue(&mut self, id: &str, key: &str, class: &str, destination: u32, body: &[u8]) -> String {
-        self.begin_enqueue(id, key, class, destination, body);
-        self.line()
+        self.send_enqueue(id, key, class, destination, body);
+        self.read_reply()
     }
 
     /// Sends a hand-in without waiting for its answer.
-    pub fn begin_enqueue(&mut self, id: &str, key: &str, class: &str, destination: u32, body: &[u8]) {
+    pub fn send_enqueue(&mut self, id: &str, key: &str, class: &str, destination: u32, body: &[u8]) {
         let fields = format!("d=20000,c={class},dest={destination}");
-        self.command(&[b"ENQUEUE", key.as_bytes(), id.as_bytes(), fields.as_bytes(), body]);
+        self.send_command(&[b"ENQUEUE", key.as_bytes(), id.as_bytes(), fields.as_bytes(), body]);
     }
 
     /// Waits until the courier has ended its sending: the bytes that came before that.
-    pub fn until_end(&mut self) -> std::io::Result<String> {
+    pub fn read_to_end(&mut self) -> std::io::Result<String> {
         let mut rest = String::new();
         self.stream.read_to_string(&mut rest)?;
         Ok(rest)
     }
 
-    /// Whether the courier closes the connection without a word.
+    /// Whether the courier closes the connection without a argument.
     pub fn is_closed(&mut self) -> bool {
         match self.stream.read(&mut [0]) {
             Ok(count) => count == 0,
--- a/crates/gullcart-standins/src/world/config.rs
+++ b/crates/gullcart-standins/src/world/config.rs
@@ -29,7 +29,7 @@
             "settings": {
                 "Balancers": self.couriers, "Lanes": classes, "MachineTypes": ["banks"], "Zones": ["kingston"],
                 "WeightSource": "nominal", "FamilyInfo": {"CallsOut": self.slots, "KindBatch": [1], "OwnLimits": [false]},
-                "Permissions": {"MostHeld": self.most_held, "SendCap": 8, "Cancel": true, "ConnIdle": 15_000_000_000_u64, "ConnectTimeout": 5_000_000_000_u64},
+                "Permissions": {"MostHeld": self.max_held, "SendCap": 8, "Cancel": true, "ConnIdle": 15_000_000_000_u64, "ConnectTimeout": 5_000_000_000_u64},
                 "Rules": {"AnswerSlack": 20_000_000, "OrderSettle": 100_000_000, "Fall": 2_000_000_000},
             },
         });
@@ -39,7 +39,7 @@
     }
 
     /// Puts other words in the place of the configuration.
-    pub fn spoil_configuration(&self) {
+    pub fn write_invalid_configuration(&self) {
         std::fs::write(self.folder.join("config.json"), "{\"name\":").unwrap();
     }
 }
--- a/crates/gullcart-standins/src/world/courier.rs
+++ b/crates/gullcart-standins/src/world/courier.rs
@@ -3,7 +3,7 @@
 use super::agent::Agent;
 use super::client::Client;
 use super::harness::World;
-use super::PATIENCE;
+use super::TIMEOUT;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::process::{Child, Command, ExitStatus, Stdio};
@@ -19,26 +19,26 @@
     }
 
     /// Starts a courier whose discovery is at some agent.
-    pub fn start_at(&self, agent: &Agent) -> Courier<'_> {
+    pub fn start_with_agent(&self, agent: &Agent) -> Courier<'_> {
         self.configure(agent);
         Courier::start(self)
     }
 
     /// What a courier says that does not start, and its exit status.
-    pub fn refuse_to_start(&self) -> (String, ExitStatus) {
+    pub fn run_to_exit(&self) -> (String, ExitStatus) {
         self.configure(&self.discovery);
         let output = self.command().output().unwrap();
         (String::from_utf8_lossy(&output.stderr).into_owned(), output.status)
     }
 
     /// What a courier says that does not start with the configuration as it lies there, and its exit status.
-    pub fn start_as_configured(&self) -> (String, ExitStatus) {
+    pub fn run_to_exit_as_configured(&self) -> (String, ExitStatus) {
         let output = self.command().output().unwrap();
         (String::from_utf8_lossy(&output.stderr).into_owned(), output.status)
     }
 
     /// Starts a courier that ends at once; what it says of that.
-    pub fn start_fails(&self) -> String {
+    pub fn expect_failed_start(&self) -> String {
         self.configure(&self.discovery);
         let output = self.command().output().unwrap();
         assert!(!output.status.success());
@@ -49,19 +49,19 @@
     fn command(&self) -> Command {
         let mut command = match self.descriptor_limit {
             None => Command::new(&self.program),
-            Some(limit) => limited(&self.program, limit),
+            Some(limit) => with_descriptor_limit(&self.program, limit),
         };
         command
-            .env("BALANCER_STATE", self.state())
+            .env("BALANCER_STATE", self.state_folder())
             .env("BALANCER_CONFIG", self.folder.join("config.json"))
-            .envs(self.variables.iter().map(|(name, value)| (name, value)));
+            .envs(self.environment.iter().map(|(name, value)| (name, value)));
         command
     }
 }
 
 /// A program that the system holds to so many descriptors. The shell is not asked to run a script of ours: a process that
 /// another test forks meanwhile may hold such a file open for writing, and then it cannot be executed.
-fn limited(program: &str, descriptors: u32) -> Command {
+fn with_descriptor_limit(program: &str, descriptors: u32) -> Command {
     let mut command = Command::new("/bin/sh");
     command.arg("-c").arg(format!("ulimit -n {descriptors} && exec \"$0\"")).arg(program);
     command
@@ -69,45 +69,45 @@
 
 /// The lines that a courier has written to its log.
 #[derive(Default)]
-struct Log {
+struct LogLines {
     lines: Mutex<Vec<String>>,
-    more: Condvar,
+    added: Condvar,
 }
 
 /// A running courier; it is killed when dropped.
 pub struct Courier<'a> {
     world: &'a World,
     child: Child,
-    log: Arc<Log>,
+    log: Arc<LogLines>,
     address: SocketAddr,
 }
 
 impl<'a> Courier<'a> {
     fn start(world: &'a World) -> Self {
         let mut child = world.command().stderr(Stdio::piped()).spawn().unwrap();
-        let log = Arc::new(Log::default());
+        let log = Arc::new(LogLines::default());
         let (errors, shared) = (BufReader::new(child.stderr.take().unwrap()), log.clone());
         thread::spawn(move || {
             for line in errors.lines().map_while(Result::ok) {
                 shared.lines.lock().unwrap().push(line);
-                shared.more.notify_all();
+                shared.added.notify_all();
             }
         });
         let mut courier = Courier { world, child, log, address: SocketAddr::from(([127, 0, 0, 1], 0)) };
-        let line = courier.log_until("listening");
+        let line = courier.wait_for_log("listening");
         let address = line.split_once("address=").map(|(_, rest)| rest.split_whitespace().next());
         courier.address = address.flatten().unwrap().parse().unwrap();
         courier
     }
 
     /// Waits for a line of the log that holds some words, and returns it.
-    pub fn log_until(&self, words: &str) -> String {
-        self.log_times(words, 1)
+    pub fn wait_for_log(&self, words: &str) -> String {
+        self.wait_for_nth_log(words, 1)
     }
 
     /// Waits for so many such lines, and returns the last of them.
-    pub fn log_times(&self, words: &str, times: usize) -> String {
-        let end = Instant::now() + PATIENCE;
+    pub fn wait_for_nth_log(&self, words: &str, times: usize) -> String {
+        let end = Instant::now() + TIMEOUT;
         let mut lines = self.log.lines.lock().unwrap();
         loop {
             if let Some(line) = lines.iter().filter(|line| line.contains(words)).nth(times - 1) {
@@ -115,16 +115,16 @@
             }
             let left = end.saturating_duration_since(Instant::now());
             assert!(!left.is_zero(), "the log never says '{words}': {lines:#?}");
-            lines = self.log.more.wait_timeout(lines, left).unwrap().0;
+            lines = self.log.added.wait_timeout(lines, left).unwrap().0;
         }
     }
 
     /// Waits for a line of the log that holds both words, and returns it.
-    pub fn log_until_both(&self, words: &str, more: &str) -> String {
+    pub fn wait_for_log_with_both(&self, words: &str, other_words: &str) -> String {
         let mut times = 1;
         loop {
-            let line = self.log_times(words, times);
-            if line.contains(more) {
+            let line = self.wait_for_nth_log(words, times);
+            if line.contains(other_words) {
                 return line;
             }
             times += 1;
@@ -133,7 +133,7 @@
 
     /// Where its console listens.
     pub fn console(&self) -> SocketAddr {
-        let line = self.log_until("the console is open");
+        let line = self.wait_for_log("the console is open");
         let address = line.split_once("address=").and_then(|(_, rest)| rest.split_whitespace().next());
         address.unwrap().trim_matches('"').parse().unwrap()
     }
@@ -144,10 +144,10 @@
     }
 
     /// Kills the process.
-    pub fn kill(mut self) -> Stopped<'a> {
+    pub fn kill(mut self) -> KilledCourier<'a> {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
-        Stopped { world: self.world }
+        KilledCourier { world: self.world }
     }
 
     /// Kills the process, and starts another one on the same folder.
@@ -158,7 +158,7 @@
     /// Stops the process for as long as something is done. The signal is on its way for a moment, in which the process runs on.
     pub fn while_stopped(&self, act: impl FnOnce()) {
         self.signal("STOP");
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TIMEOUT;
         while !self.is_stopped() {
             assert!(Instant::now() < end, "the process does not stop");
             thread::yield_now();
@@ -177,19 +177,19 @@
     }
 
     /// Names of the threads of the process.
-    pub fn threads(&self) -> Vec<String> {
+    pub fn thread_names(&self) -> Vec<String> {
         let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).unwrap();
         let names = tasks.filter_map(|task| std::fs::read_to_string(task.ok()?.path().join("comm")).ok());
         names.map(|name| name.trim().to_owned()).collect()
     }
 
     /// Descriptors that the process holds.
-    pub fn descriptors(&self) -> usize {
+    pub fn descriptor_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
     /// Processor time of the process so far, in clock ticks.
-    pub fn ticks(&self) -> u64 {
+    pub fn cpu_ticks(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         // Behind the name, which ends in a bracket: the twelfth and thirteenth field.
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
@@ -197,7 +197,7 @@
     }
 
     /// Memory of the process that is in use, in KiB.
-    pub fn memory(&self) -> u64 {
+    pub fn resident_kib(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap();
         line.split_whitespace().next().unwrap().parse().unwrap()
@@ -220,7 +220,7 @@
     }
 
     /// Waits for the process to end by itself.
-    pub fn wait(&mut self, limit: Duration) -> ExitStatus {
+    pub fn wait_for_exit(&mut self, limit: Duration) -> ExitStatus {
         let end = Instant::now() + limit;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
@@ -240,11 +240,11 @@
 }
 
 /// A courier whose process was killed.
-pub struct Stopped<'a> {
+pub struct KilledCourier<'a> {
     world: &'a World,
 }
 
-impl<'a> Stopped<'a> {
+impl<'a> KilledCourier<'a> {
     /// Starts another process on the same folder.
     pub fn restart(self) -> Courier<'a> {
         Courier::start(self.world)
--- a/crates/gullcart-standins/src/world/updates.rs
+++ b/crates/gullcart-standins/src/world/updates.rs
@@ -11,7 +11,7 @@
 impl World {
     /// An endpoint as discovery lists it.
     pub(super) fn target(&self, endpoint: usize, state: &str) -> Value {
-        let destination = if self.apart { endpoint + 1 } else { 1 };
+        let destination = if self.separate_destinations { endpoint + 1 } else { 1 };
         json!({
             "uid": format!("s-{endpoint}"), "endpoint": self.endpoints[endpoint].to_string(), "az": "kingston",
             "model": "banks", "pod_group": destination, "state": state, "capacity_hint": 1000.0, "boot_ms": 0,
@@ -19,23 +19,23 @@
     }
 
     /// A change of the list that tells the state of one endpoint.
-    pub fn change(&self, rev: u32, endpoint: usize, state: &str) -> Value {
+    pub fn state_change(&self, rev: u32, endpoint: usize, state: &str) -> Value {
         json!({"rev": rev, "all": false, "targets": [self.target(endpoint, state)]})
     }
 
     /// Tells the watch that an endpoint drains.
-    pub fn drain(&self, endpoint: usize) {
-        self.tell(2, &[self.target(endpoint, "DRAINING")]);
+    pub fn advertise_draining(&self, endpoint: usize) {
+        self.advertise(2, &[self.target(endpoint, "DRAINING")]);
     }
 
     /// Tells the watch that an endpoint is gone.
-    pub fn remove(&self, endpoint: usize) {
-        self.tell(2, &[self.target(endpoint, "DELETED")]);
+    pub fn advertise_deleted(&self, endpoint: usize) {
+        self.advertise(2, &[self.target(endpoint, "DELETED")]);
     }
 
     /// Tells the watch that other endpoints, at the same address, have come in the place of one: so many, one
     /// after the other, under ids with this number in them.
-    pub fn replace(&self, endpoint: usize, number: u32, times: u32) {
+    pub fn advertise_replacements(&self, endpoint: usize, number: u32, times: u32) {
         let mut targets = Vec::new();
         let entry = |uid: String, state| {
             let mut target = self.target(endpoint, state);
@@ -52,11 +52,11 @@
         if number > 0 {
             targets.push(entry(format!("s-{endpoint}-{}-{}", number - 1, times - 1), "DELETED"));
         }
-        self.tell(10 + number, &targets);
+        self.advertise(10 + number, &targets);
     }
 
     /// So many more endpoints, all at the address of the first one, at destinations from 2 on.
-    fn many(&self, count: usize, state: &str) -> Vec<Value> {
+    fn extra_targets(&self, count: usize, state: &str) -> Vec<Value> {
         let entry = |number: usize| {
             let mut target = self.target(0, state);
             target["uid"] = format!("many-{number}").into();
@@ -67,12 +67,12 @@
     }
 
     /// Tells the watch of so many more endpoints in one change.
-    pub fn tell_many(&self, rev: u32, count: usize, state: &str) {
-        self.tell(rev, &self.many(count, state));
+    pub fn advertise_many(&self, rev: u32, count: usize, state: &str) {
+        self.advertise(rev, &self.extra_targets(count, state));
     }
 
-    pub fn tell(&self, rev: u32, targets: &[Value]) {
-        self.discovery.state.tell(rev, targets);
+    pub fn advertise(&self, rev: u32, targets: &[Value]) {
+        self.discovery.state.advertise(rev, targets);
     }
 
     /// Discovery takes connections and says nothing.
@@ -81,12 +81,12 @@
     }
 
     /// Whether discovery leaves notices unanswered.
-    pub fn hold_notices(&self, hold: bool) {
+    pub fn leave_notices_unanswered(&self, hold: bool) {
         self.discovery.state.hold_notices.store(hold, Ordering::SeqCst);
     }
 
     /// An agent whose every byte the test decides: it is given each connection, with its number from zero on.
-    pub fn raw_agent(&self, each: impl Fn(usize, TcpStream) + Clone + Send + 'static) -> Agent {
+    pub fn agent_with_handler(&self, each: impl Fn(usize, TcpStream) + Clone + Send + 'static) -> Agent {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let count = Arc::new(AtomicU32::new(0));
@@ -96,7 +96,7 @@
 
     /// Another agent, which knows that an endpoint drains.
     pub fn agent_with_drain(&self, endpoint: usize) -> Agent {
-        let agent = Agent::start(&self.send);
+        let agent = Agent::start(&self.action_sender);
         let state = |at| if at == endpoint { "DRAINING" } else { "SERVING" };
         let targets: Vec<Value> = (0..self.endpoints.len()).map(|at| self.target(at, state(at))).collect();
         *agent.state.list.lock().unwrap() = json!({"rev": 5, "all": true, "targets": targets}).to_string();
@@ -105,8 +105,8 @@
 
     /// Another agent, with so many more endpoints in its whole list.
     pub fn agent_with_many(&self, rev: u32, count: usize, state: &str) -> Agent {
-        let agent = Agent::start(&self.send);
-        let targets = [vec![self.target(0, "SERVING")], self.many(count, state)].concat();
+        let agent = Agent::start(&self.action_sender);
+        let targets = [vec![self.target(0, "SERVING")], self.extra_targets(count, state)].concat();
         *agent.state.list.lock().unwrap() = json!({"rev": rev, "all": true, "targets": targets}).to_string();
         agent
     }
--- a/crates/gullcart-standins/tests/standins.rs
+++ b/crates/gullcart-standins/tests/standins.rs
@@ -1,9 +1,9 @@
 //! Stand-ins on loopback sockets, against what the protocol page owes each side.
 
 use gullcart_judge::trace::*;
-use gullcart_standins::client::{Clients, HandIn};
-use gullcart_standins::endpoint::{Counters, Door, Endpoint, Expected, Site};
-use gullcart_standins::partner::{Limit, Partner, Spec, Trouble};
+use gullcart_standins::client::{Clients, EnqueueRequest};
+use gullcart_standins::endpoint::{Counters, Endpoint, EndpointContext, EndpointListener, ExpectedMessage};
+use gullcart_standins::partner::{Limit, Partner, PartnerFault, PartnerSpec};
 use gullcart_standins::register::{Agent, Target};
 use gullcart_standins::{ids, Recorder};
 use std::cell::RefCell;
@@ -15,11 +15,11 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{timeout, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn on_loopback<F: std::future::Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    LocalSet::new().block_on(&runtime, async { timeout(PATIENCE, test).await.expect("the test ends") });
+    LocalSet::new().block_on(&runtime, async { timeout(TIMEOUT, test).await.expect("the test ends") });
 }
 
 type Trace = Rc<RefCell<Vec<Entry>>>;
@@ -36,41 +36,41 @@
     trace.borrow().iter().map(|entry| entry.event).collect()
 }
 
-fn spec() -> Spec {
-    Spec {
+fn spec() -> PartnerSpec {
+    PartnerSpec {
         limit: Limit::Rate(1000.0),
-        spare: 1.2,
-        pace: Duration::from_millis(20),
-        queue: 10,
-        tells_wait: 1.0,
-        wait: Duration::from_millis(300),
-        refused_count: false,
-        cold_from: 0.2,
-        cold: Duration::from_secs(10),
-        fall_multiple: 2.5,
-        fall_window: Duration::from_secs(2),
-        errors: 0.0,
+        capacity_factor: 1.2,
+        mean_service_time: Duration::from_millis(20),
+        queue_capacity: 10,
+        retry_after_share: 1.0,
+        min_retry_after: Duration::from_millis(300),
+        rejected_calls_count: false,
+        cold_capacity_share: 0.2,
+        warm_up: Duration::from_secs(10),
+        collapse_multiple: 2.5,
+        collapse_window: Duration::from_secs(2),
+        error_share: 0.0,
     }
 }
 
 struct Stand {
     partner: Rc<RefCell<Partner>>,
     endpoint: Rc<Endpoint>,
-    door: Door,
+    listener: EndpointListener,
     trace: Trace,
 }
 
 fn stand() -> Stand {
     let (recorder, trace) = recorder();
-    let expect = Rc::new(|message: MessageId| {
-        let expected = Expected { idempotency_key: None, body: ids::body(message.0, 8) };
+    let expected_message = Rc::new(|message: MessageId| {
+        let expected = ExpectedMessage { idempotency_key: None, body: ids::body(message.0, 8) };
         (message.0 < 10).then_some(expected)
     });
-    let site = Site { recorder, expect, counters: Rc::new(Counters::default()) };
+    let context = EndpointContext { recorder, expected_message, counters: Rc::new(Counters::default()) };
     let partner = Rc::new(RefCell::new(Partner::new(spec(), 1, 1)));
     let endpoint = Rc::new(Endpoint::new(EndpointId(1), PartnerId(1), partner.clone(), 0, true));
-    let door = Door::open(&site, CourierId(0), endpoint.clone()).unwrap();
-    Stand { partner, endpoint, door, trace }
+    let listener = EndpointListener::open(&context, CourierId(0), endpoint.clone()).unwrap();
+    Stand { partner, endpoint, listener, trace }
 }
 
 async fn send(stream: &mut TcpStream, message: u64, body: &[u8]) {
@@ -104,7 +104,7 @@
 fn a_call_is_answered_and_written_down() {
     on_loopback(async {
         let stand = stand();
-        let mut stream = TcpStream::connect(stand.door.address()).await.unwrap();
+        let mut stream = TcpStream::connect(stand.listener.address()).await.unwrap();
         send(&mut stream, 3, &ids::body(3, 8)).await;
         let text = answer(&mut stream).await;
         assert!(text.starts_with("HTTP/1.1 200 ") && text.contains("X-Load-Report: x0="), "{text}");
@@ -129,15 +129,15 @@
 fn a_shut_partner_tells_its_wait_and_a_silent_one_nothing() {
     on_loopback(async {
         let stand = stand();
-        stand.partner.borrow_mut().begin(1, Trouble::Shut(true), None, At::ms(3_600_000));
-        let mut stream = TcpStream::connect(stand.door.address()).await.unwrap();
+        stand.partner.borrow_mut().begin_fault(1, PartnerFault::Closed(true), None, At::ms(3_600_000));
+        let mut stream = TcpStream::connect(stand.listener.address()).await.unwrap();
         send(&mut stream, 1, &ids::body(1, 8)).await;
         let text = answer(&mut stream).await;
         let wait =
             text.split("X-Come-Back-Ms: ").nth(1).and_then(|rest| rest.lines().next()?.parse::<u64>().ok());
         assert!(text.starts_with("HTTP/1.1 429 ") && wait.is_some_and(|ms| ms > 3_500_000), "{text}");
-        stand.partner.borrow_mut().end(1);
-        stand.partner.borrow_mut().begin(2, Trouble::Silent, None, At::ms(3_600_000));
+        stand.partner.borrow_mut().end_fault(1);
+        stand.partner.borrow_mut().begin_fault(2, PartnerFault::Silent, None, At::ms(3_600_000));
         send(&mut stream, 2, &ids::body(2, 8)).await;
         assert!(timeout(Duration::from_millis(300), answer(&mut stream)).await.is_err());
         // It is given up by ending the sending side; that is seen.
@@ -152,21 +152,21 @@
 fn a_broken_endpoint_resets_and_a_shut_door_refuses_and_keeps_its_port() {
     on_loopback(async {
         let stand = stand();
-        stand.partner.borrow_mut().begin(1, Trouble::Silent, None, At::ms(3_600_000));
-        let mut stream = TcpStream::connect(stand.door.address()).await.unwrap();
+        stand.partner.borrow_mut().begin_fault(1, PartnerFault::Silent, None, At::ms(3_600_000));
+        let mut stream = TcpStream::connect(stand.listener.address()).await.unwrap();
         send(&mut stream, 1, &ids::body(1, 8)).await;
         while !events(&stand.trace).iter().any(|event| matches!(event, Event::Call { .. })) {
             tokio::task::yield_now().await;
         }
-        stand.endpoint.break_connections();
+        stand.endpoint.reset_connections();
         assert_eq!(answer(&mut stream).await, "");
         let last = events(&stand.trace).pop();
         assert!(matches!(last, Some(Event::CallCut { by: By::Partner, .. })), "{last:?}");
-        stand.door.shut();
+        stand.listener.refuse_connections();
         tokio::task::yield_now().await;
-        assert!(TcpStream::connect(stand.door.address()).await.is_err());
-        stand.door.reopen().unwrap();
-        assert!(TcpStream::connect(stand.door.address()).await.is_ok());
+        assert!(TcpStream::connect(stand.listener.address()).await.is_err());
+        stand.listener.reopen().unwrap();
+        assert!(TcpStream::connect(stand.listener.address()).await.is_ok());
     });
 }
 
@@ -206,15 +206,15 @@
         let agent = Agent::start(&recorder, CourierId(0), vec![target(State::Serving)]).await.unwrap();
         let mut watching = watch(agent.address()).await;
         line(&mut watching, "200 OK").await;
-        agent.silence(true);
-        agent.change(target(State::Draining));
+        agent.set_silent(true);
+        agent.update_target(target(State::Draining));
         let silent = timeout(Duration::from_millis(300), line(&mut watching, "DRAINING")).await;
         assert!(silent.is_err() && events(&trace).is_empty());
-        agent.silence(false);
+        agent.set_silent(false);
         assert!(line(&mut watching, "DRAINING").await.contains("\"rev\":2"));
         assert!(matches!(events(&trace)[..], [Event::Listed { state: State::Draining, .. }]));
         // A watch that begins anew is told what it has missed.
-        let agent = agent.move_on().await.unwrap();
+        let agent = agent.restart_at_new_address().await.unwrap();
         assert!(line(&mut watch(agent.address()).await, "DRAINING").await.contains("s-00000007"));
     });
 }
@@ -265,30 +265,30 @@
 #[test]
 fn clients_go_once_more_where_a_connection_was_closed() {
     on_loopback(async {
-        let request = HandIn {
+        let request = EnqueueRequest {
             id: "a",
-            key: 0,
+            order_key: 0,
             class: "pay",
             partner: 1,
-            left: Duration::from_secs(1),
+            time_left: Duration::from_secs(1),
             idempotency_key: None,
             retry: false,
-            again: false,
+            from_dead_courier: false,
             body: b"x",
         }
-        .request();
+        .encode();
         let clients = Clients::default();
-        assert_eq!(clients.hand_in(&request).await, Told::Unreached);
-        clients.find(Some(courier(vec!["+OK\r\n", "-BUSY 30\r\n"]).await));
-        assert_eq!(clients.hand_in(&request).await, Told::Taken);
-        assert_eq!(clients.hand_in(&request).await, Told::Busy(Some(30)));
+        assert_eq!(clients.enqueue(&request).await, Told::Unreached);
+        clients.set_address(Some(courier(vec!["+OK\r\n", "-BUSY 30\r\n"]).await));
+        assert_eq!(clients.enqueue(&request).await, Told::Taken);
+        assert_eq!(clients.enqueue(&request).await, Told::Busy(Some(30)));
         // A new connection that is closed without an answer: taken on at the second try.
         let clients = Clients::default();
-        clients.find(Some(courier(vec!["", "+OK\r\n"]).await));
-        assert_eq!(clients.hand_in(&request).await, Told::Taken);
+        clients.set_address(Some(courier(vec!["", "+OK\r\n"]).await));
+        assert_eq!(clients.enqueue(&request).await, Told::Taken);
         // Closed without an answer on two connections: the message is lost.
         let clients = Clients::default();
-        clients.find(Some(courier(vec!["", ""]).await));
-        assert_eq!(clients.hand_in(&request).await, Told::Cut);
+        clients.set_address(Some(courier(vec!["", ""]).await));
+        assert_eq!(clients.enqueue(&request).await, Told::Cut);
     });
 }
