--- a/crates/gullcart-standins/src/client.rs
+++ b/crates/gullcart-standins/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients of one courier: connections that are kept, and what is told of each hand-in.
+//! Clients of one courier, with a pool of connections. They report the outcome of each request to enqueue a message.
 
 use gullcart_judge::trace::Told;
 use std::cell::{Cell, RefCell};
@@ -9,37 +9,37 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout_at, Instant};
 
-/// A client waits so long for its answer.
+/// How long a client waits for a reply.
 pub const REPLY_TIMEOUT: Duration = Duration::from_millis(400);
-/// Connections that are kept; others are closed after their request.
+/// Idle connections that are kept; further ones are closed after their request.
 const MAX_IDLE_CONNECTIONS: usize = 64;
-/// A longer answer is none.
+/// A longer reply line is an error.
 const MAX_REPLY_BYTES: usize = 4096;
 
-/// A hand-in.
+/// A request to enqueue a message.
 pub struct EnqueueRequest<'a> {
-    /// Its id.
+    /// The id of the message.
     pub id: &'a str,
-    /// In classes that keep their order; else 0.
+    /// The order key in ordered classes, otherwise 0.
     pub order_key: u64,
-    /// Name of its class.
+    /// The class.
     pub class: &'a str,
-    /// Where it is to go.
+    /// The destination.
     pub partner: u32,
-    /// How long it may still be delivered.
+    /// Time left until the deadline.
     pub time_left: Duration,
-    /// In keyed classes.
+    /// The idempotency key, in classes that use one.
     pub idempotency_key: Option<&'a str>,
-    /// It comes again after a refusal.
+    /// Whether the message is enqueued again after a rejection.
     pub retry: bool,
-    /// It comes again after a courier died or did not answer.
+    /// Whether the message is enqueued again because a courier died or did not reply.
     pub from_dead_courier: bool,
-    /// What it carries.
+    /// The body.
     pub body: &'a [u8],
 }
 
 impl EnqueueRequest<'_> {
-    /// The request in RESP2.
+    /// Encodes the request in RESP2.
     pub fn encode(&self) -> Vec<u8> {
         let mut fields = format!("c={},d={},dest={}", self.class, self.time_left.as_millis(), self.partner);
         if let Some(key) = self.idempotency_key {
@@ -67,14 +67,14 @@
 }
 
 impl Clients {
-    /// Where their courier is from now on; connections to where it was are dropped.
+    /// Sets the address of the courier, or `None` while it has none. Connections to another address are dropped.
     pub fn set_address(&self, address: Option<SocketAddr>) {
         if self.address.replace(address) != address {
             self.idle.borrow_mut().clear();
         }
     }
 
-    /// Whether `PING` is answered.
+    /// Whether the courier replies to `PING` in time.
     pub async fn ping(&self) -> bool {
         let Some(address) = self.address.get() else { return false };
         let exchange = async {
@@ -85,8 +85,8 @@
         matches!(timeout_at(Instant::now() + REPLY_TIMEOUT, exchange).await, Ok(Ok(Some(line))) if line == "+PONG")
     }
 
-    /// Hands a message in. A courier may close a connection between two requests, also before the first: a request
-    /// that crosses that goes once more on a new one.
+    /// Sends an encoded [`EnqueueRequest`]. A courier may close a connection between two requests, or before the first one,
+    /// so a request that fails that way is sent once more on a new connection.
     pub async fn enqueue(&self, request: &[u8]) -> Told {
         let deadline = Instant::now() + REPLY_TIMEOUT;
         let idle = self.idle.borrow_mut().pop();
@@ -107,6 +107,7 @@
         }
     }
 
+    /// Opens a connection to the courier.
     async fn connect(&self, deadline: Instant) -> Result<TcpStream, Told> {
         let address = self.address.get().ok_or(Told::Unreached)?;
         match timeout_at(deadline, TcpStream::connect(address)).await {
@@ -119,7 +120,7 @@
         }
     }
 
-    /// None if the request could not be written.
+    /// Sends a request and reads its reply; `None` if the request could not be written.
     async fn send(&self, mut stream: TcpStream, request: &[u8], deadline: Instant) -> Option<Told> {
         match timeout_at(deadline, stream.write_all(request)).await {
             Ok(Ok(())) => {}
@@ -138,6 +139,7 @@
     }
 }
 
+/// The meaning of a reply line.
 fn read_reply(line: &str) -> Told {
     if line.starts_with(['+', '$']) {
         return Told::Taken;
@@ -149,12 +151,12 @@
     }
 }
 
-/// A line without its end; none where the connection ends before it.
+/// Reads a line without its CRLF; `None` if the connection ends first.
 async fn read_line(stream: &mut TcpStream) -> io::Result<Option<String>> {
     let mut line = Vec::new();
     while !line.ends_with(b"\r\n") {
         if line.len() > MAX_REPLY_BYTES {
-            return Err(io::Error::other("an answer without end"));
+            return Err(io::Error::other("the reply line is too long"));
         }
         if stream.read_buf(&mut line).await? == 0 {
             return Ok(None);
--- a/crates/gullcart-standins/src/client/tests.rs
+++ b/crates/gullcart-standins/src/client/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn answers_mean_what_the_protocol_says() {
+fn replies_mean_what_the_protocol_says() {
     assert_eq!(read_reply("+OK"), Told::Taken);
     assert_eq!(read_reply("$2"), Told::Taken);
     assert_eq!(read_reply("-BUSY"), Told::Busy(None));
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_hand_in_is_five_bulk_strings() {
+fn an_enqueue_request_is_five_bulk_strings() {
     let request = EnqueueRequest {
         id: "ab",
         order_key: 5,
--- a/crates/gullcart-standins/src/endpoint.rs
+++ b/crates/gullcart-standins/src/endpoint.rs
@@ -1,5 +1,5 @@
-//! Endpoints of partners on sockets. Each courier has an address of its own for every endpoint, so that who calls is
-//! known by where the call comes in.
+//! Endpoints of partners, served on loopback sockets. Every endpoint has a separate address for each courier, so that the
+//! address on which a call arrives identifies the calling courier.
 
 use crate::http::{Request, RequestReader};
 use crate::ids;
@@ -19,41 +19,43 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep_until, timeout};
 
-/// A connection that stands idle for so long is closed.
+/// The endpoint closes a connection after it has been idle for this long.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// What a new connection costs the first call on it.
+/// Extra delay of the first answer on a new connection, in place of a real handshake.
 const HANDSHAKE_DELAY: Duration = Duration::from_millis(10);
-/// Connections that wait to be accepted.
+/// Length of the accept queue of a listening socket.
 pub(crate) const ACCEPT_BACKLOG: i32 = 256;
-/// Connections that fill a queue of none, with one to spare.
+/// Connections that fill an accept queue of length 0, which still holds one, with one to spare.
 const QUEUE_FILLERS: usize = 2;
-/// Between failures to accept.
+/// Delay before the next attempt after `accept` has failed.
 pub(crate) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The longest lateness that is told apart, in microseconds.
+/// Bytes that a courier may send before it has its answer; more end the call.
+const MAX_UNEXPECTED_BYTES: usize = 256;
+/// Upper bound of the lateness histogram, in microseconds; larger values are counted as this one.
 const MAX_LATENESS_US: u64 = 60_000_000;
 
-/// What a message should look like on arrival.
+/// What a call for a message must carry.
 pub struct ExpectedMessage {
-    /// Its key, in keyed classes.
+    /// The idempotency key, in classes that use one.
     pub idempotency_key: Option<String>,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
 }
 
-/// What was handed in under a number, if anything was.
+/// Looks up what a call for a message must carry; `None` if no client enqueued the message.
 pub type ExpectedMessageLookup = Rc<dyn Fn(MessageId) -> Option<ExpectedMessage>>;
 
-/// What all stand-ins count together.
+/// Counters shared by all endpoints of a run.
 pub struct Counters {
-    /// Calls out now.
+    /// Calls that are not answered yet.
     pub calls_in_flight: Cell<u32>,
-    /// Calls so far.
+    /// Calls received so far.
     pub calls_received: Cell<u64>,
-    /// Calls turned away so far.
+    /// Calls rejected with backpressure so far.
     pub calls_rejected: Cell<u64>,
     /// Connections accepted so far.
     pub connections_accepted: Cell<u64>,
-    /// How late the stand-ins did what was due, in microseconds.
+    /// How much later than scheduled the endpoints acted, in microseconds.
     pub lateness_us: RefCell<Histogram<u64>>,
 }
 
@@ -73,40 +75,41 @@
 }
 
 impl Counters {
-    /// Something that was due is done now.
+    /// Records how late an action that was scheduled for `due` happened.
     pub fn record_lateness(&self, due: At, now: At) {
         self.lateness_us.borrow_mut().saturating_record(((now - due).as_micros() as u64).max(1));
     }
 }
 
-/// What endpoints share.
+/// What all endpoints of a run share.
 #[derive(Clone)]
 pub struct EndpointContext {
-    /// Where things are written down.
+    /// Receives every event.
     pub recorder: Recorder,
-    /// What was handed in.
+    /// Looks up enqueued messages.
     pub expected_message: ExpectedMessageLookup,
-    /// Counted together.
+    /// Counters of the run.
     pub counters: Rc<Counters>,
 }
 
-/// An endpoint, at whatever addresses.
+/// One endpoint of a partner. [`EndpointListener`]s serve it on their addresses.
 pub struct Endpoint {
-    /// Its own number.
+    /// Identifies it in the trace.
     pub id: EndpointId,
-    /// Whose it is.
+    /// The partner that it belongs to.
     pub partner_id: PartnerId,
-    /// The model behind it.
+    /// The model that decides the outcome of each call.
     pub partner: Rc<RefCell<Partner>>,
-    /// Its index in the model.
+    /// Index of the endpoint in the model.
     pub index: usize,
-    /// Whether its answers report the limit.
+    /// Whether answers carry an `X-Load-Report` header.
     pub reports_limit: bool,
+    /// Incremented to reset all open connections.
     reset_requests: watch::Sender<u32>,
 }
 
 impl Endpoint {
-    /// An endpoint with no address yet.
+    /// An endpoint that no listener serves yet.
     pub fn new(
         id: EndpointId,
         partner_id: PartnerId,
@@ -117,27 +120,28 @@
         Endpoint { id, partner_id, partner, index, reports_limit, reset_requests: watch::Sender::new(0) }
     }
 
-    /// Resets all connections to it.
+    /// Resets all connections to the endpoint.
     pub fn reset_connections(&self) {
         self.reset_requests.send_modify(|times| *times += 1);
     }
 }
 
-/// An address at which one courier finds an endpoint. Another may take its index at the same address.
+/// The address at which one courier reaches an endpoint. The endpoint can be replaced by another one at the same address.
 pub struct EndpointListener {
     address: SocketAddr,
-    /// Bound and not listening: keeps the port while connections are refused.
+    /// Bound but not listening: reserves the port while connections are refused.
     _reserved_port: Socket,
     context: EndpointContext,
     courier: CourierId,
     endpoint: Rc<RefCell<Rc<Endpoint>>>,
-    /// None while connections are refused.
+    /// `None` while connections are refused.
     listener: RefCell<Option<Rc<TcpListener>>>,
     accepting: RefCell<Option<JoinHandle<()>>>,
-    /// Wait in front of it while it is cut off, so that nobody else's connection comes up.
+    /// Connections that fill the accept queue while the address is blocked, so that no other connection is established.
     fillers: RefCell<Vec<Socket>>,
 }
 
+/// A non-blocking socket that is bound to `address`, which further sockets may bind too.
 pub(crate) fn bind_reusable(address: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_port(true)?;
@@ -147,11 +151,11 @@
 }
 
 impl EndpointListener {
-    /// A new address, open.
+    /// Listens on a new port.
     pub fn open(context: &EndpointContext, courier: CourierId, endpoint: Rc<Endpoint>) -> io::Result<Self> {
         let reserved = bind_reusable(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let address = reserved.local_addr()?;
-        let address = address.as_socket().ok_or_else(|| io::Error::other("an address that is not of IP"))?;
+        let address = address.as_socket().ok_or_else(|| io::Error::other("the socket has no IP address"))?;
         let endpoint_listener = EndpointListener {
             address,
             _reserved_port: reserved,
@@ -166,19 +170,20 @@
         Ok(endpoint_listener)
     }
 
-    /// Where it is.
+    /// The address of the listener.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Takes connections again.
+    /// Accepts connections again after they were refused or blocked.
     pub fn reopen(&self) -> io::Result<()> {
         if self.accepting.borrow().is_some() {
             return Ok(());
         }
         let before = self.listener.borrow().clone();
         let listener = match before {
-            // It was cut off: who waited comes up, as the kernel tries again, and the fillers go.
+            // It was blocked: the fillers are accepted and closed. Pending connections are established when the kernel of
+            // their client retransmits the SYN.
             Some(listener) => {
                 let socket = SockRef::from(&*listener);
                 socket.listen(ACCEPT_BACKLOG)?;
@@ -205,7 +210,7 @@
                     let reader = RequestReader::default();
                     let connection =
                         Connection { context, courier, endpoint, stream, reader, last_delivery: None };
-                    // One that reset_requests is written down where a call was out on it.
+                    // The error needs no handling: a call that was in flight has been recorded as cut.
                     let _ = connection.serve().await;
                 });
             }
@@ -213,7 +218,7 @@
         Ok(())
     }
 
-    /// Refuses connections. Those that there are stay.
+    /// Refuses new connections; open ones stay.
     pub fn refuse_connections(&self) {
         if let Some(accepting) = self.accepting.borrow_mut().take() {
             accepting.abort();
@@ -222,8 +227,8 @@
         self.fillers.take();
     }
 
-    /// Lets no connection come up until it is opened again: the queue in front of it is full, so that first words are
-    /// dropped. Those that there are stay.
+    /// Blocks new connections until [`EndpointListener::reopen`]: the accept queue is full, so the kernel drops SYN packets.
+    /// Open connections stay.
     pub fn block_connections(&self) -> io::Result<()> {
         let Some(accepting) = self.accepting.take() else { return Ok(()) };
         accepting.abort();
@@ -232,14 +237,14 @@
         for _ in 0..QUEUE_FILLERS {
             let filler = Socket::new(Domain::IPV4, Type::STREAM, None)?;
             filler.set_nonblocking(true)?;
-            // Comes up or waits, as the others.
+            // The connection is established or waits in the queue; both fill it.
             let _ = filler.connect(&self.address.into());
             self.fillers.borrow_mut().push(filler);
         }
         Ok(())
     }
 
-    /// Another endpoint takes over the address.
+    /// Serves another endpoint on connections that are accepted from now on.
     pub fn replace_endpoint(&self, endpoint: Rc<Endpoint>) {
         *self.endpoint.borrow_mut() = endpoint;
     }
@@ -251,17 +256,19 @@
     }
 }
 
+/// A courier's connection to an endpoint.
 struct Connection {
     context: EndpointContext,
     courier: CourierId,
     endpoint: Rc<Endpoint>,
     stream: TcpStream,
     reader: RequestReader,
-    /// The bytes of its last delivery.
+    /// The bytes of the last answer with 200, for a duplicate of it.
     last_delivery: Option<Vec<u8>>,
 }
 
 impl Connection {
+    /// Serves calls one after the other until the connection ends.
     async fn serve(mut self) -> io::Result<()> {
         self.stream.set_nodelay(true)?;
         let mut reset_requests = self.endpoint.reset_requests.subscribe();
@@ -273,7 +280,7 @@
                 _ = reset_requests.changed() => return self.reset(),
                 request = timeout(IDLE_TIMEOUT, self.reader.next(&mut self.stream, || recorder.now())) => request,
             };
-            // Idle for too long, or at an end between two requests.
+            // Idle for too long, or closed by the courier between two requests.
             let Some(request) = request.unwrap_or(Ok(None))? else { return Ok(()) };
             let counters = self.context.counters.clone();
             counters.calls_received.set(counters.calls_received.get() + 1);
@@ -287,12 +294,12 @@
         }
     }
 
-    /// Ends with a reset.
+    /// Makes the connection end with a reset when it is dropped.
     fn reset(&self) -> io::Result<()> {
         SockRef::from(&self.stream).set_linger(Some(Duration::ZERO))
     }
 
-    /// Serves one call; false when the connection is of no further use.
+    /// Serves one call; returns whether the connection can serve another one.
     async fn serve_call(
         &mut self,
         request: &Request,
@@ -351,7 +358,7 @@
             CallOutcome::Error(_) => self.answer(call, Answer::Error, "500 Oops", "").await?,
             CallOutcome::Rejected(wait) => {
                 context.counters.calls_rejected.set(context.counters.calls_rejected.get() + 1);
-                // Never 0, which would be no wait, and never less than what is meant.
+                // Rounded up, and at least 1: 0 would mean no wait.
                 match wait.map(|wait| wait.as_micros().div_ceil(1000).max(1) as u64) {
                     Some(ms) => {
                         let header = format!("X-Come-Back-Ms: {ms}\r\n");
@@ -371,12 +378,12 @@
         Ok(true)
     }
 
-    /// The second duplicate of its last delivery that the call gets now, if it gets one.
+    /// Asks the model whether to send the last answer once more during the current call.
     fn duplicate_answer(&self) -> Option<DuplicateAnswer> {
         self.endpoint.partner.borrow_mut().duplicate_answer(self.endpoint.index)
     }
 
-    /// A call ends with its connection.
+    /// Records that a call ended without an answer. The connection is reset if the partner ended the call.
     fn close_unanswered(&self, call: CallId, by: By) -> io::Result<bool> {
         self.context.recorder.record(Event::CallCut { call, by });
         if by == By::Partner {
@@ -385,7 +392,7 @@
         Ok(false)
     }
 
-    /// Waits until an answer is due, and longer while the partner stands still.
+    /// Waits until an answer is due, and further while the endpoint is stalled. Returns early if the call is cut.
     async fn wait(&mut self, due: Option<At>, reset_requests: &mut watch::Receiver<u32>) -> Result<(), By> {
         let recorder = self.context.recorder.clone();
         let mut due = due;
@@ -396,8 +403,8 @@
                 biased;
                 _ = reset_requests.changed() => return Err(By::Partner),
                 read = self.stream.read_buf(&mut unexpected) => match read {
-                    // A courier has nothing to say before its answer: it is soon given up.
-                    Ok(count) if count > 0 && unexpected.len() < ACCEPT_BACKLOG as usize => {}
+                    // A courier sends nothing before the answer, so only a few bytes are tolerated.
+                    Ok(count) if count > 0 && unexpected.len() < MAX_UNEXPECTED_BYTES => {}
                     _ => return Err(By::Courier),
                 },
                 () = sleep_until(recorder.instant(due.unwrap_or(far_future))) => {
@@ -415,6 +422,7 @@
         }
     }
 
+    /// Writes an answer and records it.
     async fn answer(&mut self, call: CallId, answer: Answer, status: &str, header: &str) -> io::Result<()> {
         let report = if self.endpoint.reports_limit {
             let (left, limit) = self.endpoint.partner.borrow_mut().limit_report(self.context.recorder.now());
@@ -437,15 +445,15 @@
     }
 }
 
-/// Damaged answers, in turn: what they mean, and their bytes. Behind each the connection ends.
+/// One of five malformed responses, by turns: how a courier must read it, and its bytes. The connection ends after it.
 fn malformed_response(call: CallId) -> (Answer, &'static [u8]) {
     match call.0 % 5 {
         0 => (Answer::Spoilt, b"\x00\xff\x07 no answer at all\r\n\r\n"),
-        // Turned away, it seems, but not whole: it is not to be believed.
+        // A truncated rejection does not count as a rejection.
         1 => (Answer::Spoilt, b"HTTP/1.1 503 Full\r\nContent-Length: 90\r\n\r\nand then"),
         2 => (Answer::Spoilt, b"HTTP/1.1 429 Later\r\nX-Come-Back-Ms: 50"),
         3 => (Answer::Spoilt, b"HTTP/9"),
-        // A first line with 200 delivers, whatever is wrong behind it.
+        // A status line with 200 means delivered, whatever is malformed after it.
         _ => (Answer::Ok, b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 7\r\n\r\nok"),
     }
 }
--- a/crates/gullcart-standins/src/folder.rs
+++ b/crates/gullcart-standins/src/folder.rs
@@ -1,10 +1,10 @@
-//! What happens to a process's folder while the process is away: it is lost, or an older copy comes back in its place.
+//! Faults of a process's state folder: its contents are lost, or replaced by an older copy.
 
 use std::fs;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// A copy of a folder of plain files.
+/// A copy of the plain files of a folder, in memory.
 #[derive(Debug)]
 pub struct FolderCopy {
     folder: PathBuf,
@@ -12,7 +12,7 @@
 }
 
 impl FolderCopy {
-    /// Copies what is there now; the process may be running, as when a backup is made.
+    /// Copies the current files. The process may be running, as it is during a backup.
     pub fn take(folder: &Path) -> io::Result<Self> {
         let mut files = Vec::new();
         for entry in fs::read_dir(folder)? {
@@ -20,7 +20,7 @@
             if entry.metadata()?.is_file() {
                 match fs::read(entry.path()) {
                     Ok(bytes) => files.push((entry.file_name(), bytes)),
-                    // It was removed meanwhile.
+                    // The file was removed after the folder was read.
                     Err(error) if error.kind() == io::ErrorKind::NotFound => {}
                     Err(error) => return Err(error),
                 }
@@ -29,14 +29,14 @@
         Ok(FolderCopy { folder: folder.to_owned(), files })
     }
 
-    /// Puts it in the place of what is there: the files are new ones with the old contents.
+    /// Replaces the contents of the folder with the copy. The files are new ones, not the original inodes.
     pub fn restore(&self) -> io::Result<()> {
         clear_folder(&self.folder)?;
         self.files.iter().try_for_each(|(name, bytes)| fs::write(self.folder.join(name), bytes))
     }
 }
 
-/// Loses all that is in a folder; the folder is there again, empty.
+/// Replaces a folder with an empty one.
 pub fn clear_folder(folder: &Path) -> io::Result<()> {
     fs::remove_dir_all(folder)?;
     fs::create_dir_all(folder)
--- a/crates/gullcart-standins/src/http.rs
+++ b/crates/gullcart-standins/src/http.rs
@@ -1,25 +1,27 @@
-//! As much of HTTP/1.1 as partners and the register need: requests in, with the time of their first byte.
+//! A parser of HTTP/1.1 requests that records the time of their first byte; only what partners and the register need.
 
 use gullcart_judge::trace::At;
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// A request's head and body hold at most this.
+/// Maximum size of the buffered bytes of a request, and of its body.
 const MAX_REQUEST_BYTES: usize = 80 << 10;
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 32;
 
-/// A request, with what is asked of it.
+/// A parsed request.
 #[derive(Debug)]
 pub struct Request {
     pub method: String,
     pub path: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// When its first byte came.
+    /// When its first byte arrived.
     pub first_byte: At,
 }
 
 impl Request {
+    /// The value of a header, whose name is compared without case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -28,7 +30,7 @@
     }
 }
 
-/// Reads requests from a connection, one after the other.
+/// Reads consecutive requests from a connection.
 #[derive(Default)]
 pub struct RequestReader {
     buffer: Vec<u8>,
@@ -40,7 +42,7 @@
 }
 
 impl RequestReader {
-    /// The next request; none at a clean end. `now` tells the time.
+    /// The next request; `None` if the connection ends between two requests. `now` is the clock.
     pub async fn next(
         &mut self,
         input: &mut (impl AsyncRead + Unpin),
@@ -59,12 +61,17 @@
             self.buffer.reserve(4096);
             let count = input.read_buf(&mut self.buffer).await?;
             if count == 0 {
-                return if before == 0 { Ok(None) } else { Err(invalid_data("half a request")) };
+                return if before == 0 {
+                    Ok(None)
+                } else {
+                    Err(invalid_data("the connection ended within a request"))
+                };
             }
             self.first_byte.get_or_insert_with(&now);
         }
     }
 
+    /// The request at the start of the buffer and its length; `None` if it is not complete yet.
     fn parse(&self, first_byte: At) -> io::Result<Option<(Request, usize)>> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut headers);
@@ -81,7 +88,9 @@
             first_byte,
         };
         let length = match request.header("content-length") {
-            Some(length) => length.trim().parse().map_err(|_| invalid_data("the length cannot be read"))?,
+            Some(length) => {
+                length.trim().parse().map_err(|_| invalid_data("the content length is not a number"))?
+            }
             None => 0,
         };
         if length > MAX_REQUEST_BYTES {
--- a/crates/gullcart-standins/src/lib.rs
+++ b/crates/gullcart-standins/src/lib.rs
@@ -1,8 +1,10 @@
-//! What stands around a courier on loopback: partners, the register and clients.
+//! Test doubles on loopback for everything that a courier talks to: partners' endpoints, the partner register and clients.
 //!
-//! [`world`] is for tests that decide every answer themselves. The rest is for rehearsals, where stand-ins act by
-//! themselves: [`partner`] is the model of a partner, without I/O; [`endpoint`], [`register`] and [`client`] are its
-//! sockets, and [`process`] runs the daemon. What happens goes to a [`Recorder`]. All of it runs on one thread.
+//! [`world`] is the harness of tests that script every answer themselves. The other modules are for rehearsals, in which
+//! the stand-ins act on their own: [`partner`] models a partner without I/O, [`endpoint`] serves that model on sockets,
+//! [`register`] stands in for service discovery, [`client`] enqueues messages, and [`process`] runs the daemon. They run on
+//! one thread and write every event to a [`Recorder`]. [`link`] proxies connections between processes and injects
+//! network faults.
 #![forbid(unsafe_code)]
 
 pub mod client;
--- a/crates/gullcart-standins/src/partner.rs
+++ b/crates/gullcart-standins/src/partner.rs
@@ -1,27 +1,26 @@
-//! The model of a partner: what it takes, how long it works, what faults do to it, and how it returns from an outage.
-//! It knows no socket and no clock.
+//! The model of a partner: its limit, its service times, its faults and its slow start after an outage. No I/O, no clock.
 
 use gullcart_judge::cold::Cold;
 use gullcart_judge::trace::At;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How many calls a partner takes from all couriers together.
+/// How many calls a partner accepts from all couriers together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Limit {
-    /// So many calls a second, evenly; a fifth of a second's calls may come at once.
+    /// Calls a second, as a token bucket that holds the calls of a fifth of a second.
     Rate(f64),
-    /// So many calls in each span, which begin at the same time for all.
+    /// A number of calls in each window; windows begin at multiples of their length.
     PerWindow {
-        /// Calls.
+        /// Calls allowed in a window.
         calls: u32,
-        /// Length of a span.
+        /// Length of a window.
         window: Duration,
     },
 }
 
 impl Limit {
-    /// In calls a second.
+    /// The limit in calls a second.
     pub fn per_second(self) -> f64 {
         match self {
             Limit::Rate(rate) => rate,
@@ -30,128 +29,133 @@
     }
 }
 
-/// What a partner is like.
+/// Parameters of a partner.
 #[derive(Clone, Debug)]
 pub struct PartnerSpec {
-    /// What it allows.
+    /// The calls that it accepts.
     pub limit: Limit,
-    /// What it can do over what it allows, 1 or more.
+    /// Capacity as a multiple of the limit, at least 1.
     pub capacity_factor: f64,
-    /// Mean time for a call.
+    /// Mean service time of a call.
     pub mean_service_time: Duration,
-    /// Calls that wait at an endpoint whose servers are all busy; more are turned away.
+    /// Calls that may wait at an endpoint whose servers are all busy; further ones are rejected.
     pub queue_capacity: usize,
-    /// Share of refusals that tell a wait.
+    /// Share of rejections that carry a retry-after.
     pub retry_after_share: f64,
-    /// The wait that a refusal above a plain rate tells, at least.
+    /// Minimum retry-after of rejections above a [`Limit::Rate`].
     pub min_retry_after: Duration,
-    /// Whether refused calls use up the limit too.
+    /// Whether rejected calls use up the limit too.
     pub rejected_calls_count: bool,
-    /// Share of its capacity after an outage.
+    /// Share of the capacity that is available right after an outage.
     pub cold_capacity_share: f64,
-    /// Until it has all of it.
+    /// Time after an outage until the full capacity is available.
     pub warm_up: Duration,
-    /// Pushed over by this multiple of what it can do, ...
+    /// During slow start, the partner collapses under this multiple of its current capacity, sustained for
+    /// `collapse_window`.
     pub collapse_multiple: f64,
-    /// ... for so long.
+    /// How long the overload must last to make the partner collapse.
     pub collapse_window: Duration,
-    /// Share of calls that end as errors.
+    /// Share of calls that end with an error.
     pub error_share: f64,
 }
 
-/// Something that is wrong with some or all endpoints of a partner, while it lasts.
+/// A fault of one or all endpoints of a partner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PartnerFault {
-    /// Takes calls and answers none.
+    /// Accepts calls and answers none.
     Silent,
-    /// Stands still: what is due is answered at its end.
+    /// The process is stalled: answers that are due are sent when the fault ends.
     Stall,
-    /// Everything takes so many times as long.
+    /// Service times are multiplied by this factor.
     Slow(f64),
-    /// Refuses this share of the calls; with or without a told wait.
+    /// Rejects this share of the calls, with a retry-after if the flag is set.
     Reject(f64, bool),
-    /// Refuses all until it opens; with or without telling when.
+    /// Rejects all calls until the fault ends, with the remaining time as retry-after if the flag is set.
     Closed(bool),
-    /// Resets this share of the connections once a call was read.
+    /// Resets the connection of this share of the calls while they are served.
     Reset(f64),
-    /// Spoils this share of the answers.
+    /// Sends malformed responses to this share of the calls.
     Malformed(f64),
-    /// Writes the last delivery of a connection once more behind this share of the calls that come on it after that.
+    /// Repeats the last successful answer of a connection during this share of the calls that follow on it.
     DuplicateAnswers(f64),
-    /// Refuses connections, and breaks those that there are.
+    /// Refuses new connections and resets open ones.
     Down,
-    /// Cut off: what is open says nothing, and new connections come up only when it is over.
+    /// Open connections carry no answers, and new ones are established only once the fault is over.
     Unreachable,
 }
 
-/// A trouble in force.
+/// A fault in force.
 #[derive(Clone, Copy, Debug)]
 struct ActiveFault {
     id: u32,
     fault: PartnerFault,
-    /// One endpoint, or all.
+    /// The affected endpoint; `None` for all.
     endpoint: Option<usize>,
     until: At,
 }
 
-/// A second copy of an earlier answer, written while a call is out.
+/// A duplicate of an earlier answer, sent while a later call on the connection is in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DuplicateAnswer {
-    /// How long behind the call.
+    /// Delay after the arrival of the call.
     pub delay: Duration,
-    /// Whether the call is turned away, and how long behind it; else it goes on as any other.
+    /// Delay after which the call itself is rejected; `None` if it is served as any other.
     pub rejected_after: Option<Duration>,
 }
 
-/// What becomes of a call.
+/// The outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CallOutcome {
-    /// It is answered with 200 when it is done.
+    /// It is answered with 200 at this time.
     Success(At),
-    /// It runs and ends in an error.
+    /// It runs and is answered with an error at this time.
     Error(At),
-    /// It is turned away at once.
+    /// It is rejected at once, with a retry-after if there is one.
     Rejected(Option<Duration>),
     /// It is never answered.
     NoAnswer,
-    /// Its connection is reset at that time.
+    /// Its connection is reset at this time.
     Reset(At),
-    /// Its answer is damaged.
+    /// It is answered with a malformed response at this time.
     Malformed(At),
 }
 
+/// The servers and the queue of an endpoint.
 struct Endpoint {
-    /// When each server is free.
+    /// When each server becomes free.
     servers: Vec<At>,
-    /// When the calls that wait begin.
+    /// When the calls in the queue begin to be served.
     waiting: VecDeque<At>,
 }
 
-/// A partner with its endpoints.
+/// The state of a partner and its endpoints.
 pub struct Partner {
     spec: PartnerSpec,
     endpoints: Vec<Endpoint>,
     servers_per_endpoint: usize,
     rng: fastrand::Rng,
+    /// Tokens of [`Limit::Rate`] at `refilled_at`.
     tokens: f64,
     refilled_at: At,
+    /// Current window of [`Limit::PerWindow`], and the calls in it.
     window_index: u64,
     used_in_window: u32,
     faults: Vec<ActiveFault>,
+    /// The slow start after an outage, while it lasts.
     cold: Option<Cold>,
     collapsed: bool,
 }
 
-/// A second copy comes at once or so long behind the call, ...
+/// Upper bound of the random delay between a call and the duplicate answer, in milliseconds.
 const MAX_DUPLICATE_DELAY_MS: u64 = 40;
-/// ... and the call is turned away so long behind the copy, where it is.
+/// Delay between a duplicate answer and the rejection of the call, if it is rejected.
 const REJECTION_DELAY: Duration = Duration::from_millis(80);
 
-/// The part of a second's calls that a plain rate takes at once.
+/// Size of the token bucket of [`Limit::Rate`], in seconds of the rate.
 const BURST_SECONDS: f64 = 0.2;
 
 impl Partner {
-    /// A warm partner with some endpoints.
+    /// A partner at full capacity, with this number of endpoints.
     pub fn new(spec: PartnerSpec, endpoints: usize, seed: u64) -> Self {
         let needed = spec.limit.per_second() * spec.capacity_factor * spec.mean_service_time.as_secs_f64()
             / endpoints.max(1) as f64;
@@ -175,24 +179,24 @@
         partner
     }
 
-    /// One more endpoint, as strong as the others; its place.
+    /// Adds an endpoint with as many servers as the others, and returns its index.
     pub fn add_endpoint(&mut self) -> usize {
         self.endpoints
             .push(Endpoint { servers: vec![At(0); self.servers_per_endpoint], waiting: VecDeque::new() });
         self.endpoints.len() - 1
     }
 
-    /// What all endpoints that serve can do when warm, in calls a second.
+    /// Full capacity of all endpoints together, in calls a second.
     pub fn capacity(&self) -> f64 {
         self.spec.limit.per_second() * self.spec.capacity_factor
     }
 
-    /// Its figures.
+    /// The parameters.
     pub fn spec(&self) -> &PartnerSpec {
         &self.spec
     }
 
-    /// Whether it was pushed over.
+    /// Whether it has collapsed under overload. It stays so for the rest of the run.
     pub fn has_collapsed(&self) -> bool {
         self.collapsed
     }
@@ -202,7 +206,7 @@
         self.active(endpoint).any(|active| active.fault == PartnerFault::Down)
     }
 
-    /// Until when an endpoint is cut off; none if it is not.
+    /// When the endpoint becomes reachable again; `None` if it is reachable.
     pub fn unreachable_until(&self, endpoint: usize) -> Option<At> {
         self.active(endpoint)
             .filter(|active| active.fault == PartnerFault::Unreachable)
@@ -210,17 +214,17 @@
             .max()
     }
 
-    /// A trouble begins; `until` is when it is meant to end.
+    /// Begins a fault; `until` is its planned end.
     pub fn begin_fault(&mut self, id: u32, fault: PartnerFault, endpoint: Option<usize>, until: At) {
         self.faults.push(ActiveFault { id, fault, endpoint, until });
     }
 
-    /// All faults of that id end.
+    /// Ends all faults with this id.
     pub fn end_fault(&mut self, id: u32) {
         self.faults.retain(|active| active.id != id);
     }
 
-    /// It comes back from an outage, cold.
+    /// Begins the slow start after an outage, with empty queues.
     pub fn begin_slow_start(&mut self, now: At) {
         let PartnerSpec { cold_capacity_share, warm_up, collapse_multiple, collapse_window, .. } = self.spec;
         self.cold = Some(Cold::new(
@@ -237,7 +241,7 @@
         }
     }
 
-    /// Share of the capacity that is there now.
+    /// Share of the capacity that is available now.
     pub fn capacity_share(&self, now: At) -> f64 {
         self.cold.as_ref().map_or(1.0, |cold| cold.share(now))
     }
@@ -246,7 +250,7 @@
         self.faults.iter().filter(move |active| active.endpoint.is_none_or(|at| at == endpoint))
     }
 
-    /// Until when an endpoint stands still; none if it does not.
+    /// Planned end of an endpoint's stall; `None` if it is not stalled.
     pub fn stalled_until(&self, endpoint: usize) -> Option<At> {
         self.active(endpoint)
             .filter(|active| active.fault == PartnerFault::Stall)
@@ -254,7 +258,7 @@
             .max()
     }
 
-    /// The second copy of an earlier answer that a call gets on a connection that has brought a delivery, if it gets one.
+    /// Draws whether a call that follows a successful one on its connection gets a duplicate of the earlier answer.
     pub fn duplicate_answer(&mut self, endpoint: usize) -> Option<DuplicateAnswer> {
         let share = self.active(endpoint).find_map(|active| match active.fault {
             PartnerFault::DuplicateAnswers(share) => Some(share),
@@ -270,7 +274,7 @@
         Some(DuplicateAnswer { delay, rejected_after })
     }
 
-    /// A call's last byte has come. Troubles come first, then the limit, then the queue.
+    /// Decides the outcome of a call whose last byte has arrived: by faults first, then by the limit, then by the queue.
     pub fn handle_call(&mut self, endpoint: usize, now: At) -> CallOutcome {
         let collapsed_now = self.cold.as_mut().and_then(|cold| cold.call(now, false)).is_some();
         if self.cold.as_ref().is_some_and(|cold| cold.is_warm(now)) {
@@ -304,7 +308,7 @@
         }
         let Some(done) = self.schedule(endpoint, now, slowdown) else { return CallOutcome::Rejected(None) };
         if reset {
-            // In the midst of the work: it may have run.
+            // Halfway through the service time: the outcome is ambiguous.
             return CallOutcome::Reset(now + (done - now) / 2);
         }
         if malformed {
@@ -316,7 +320,7 @@
         CallOutcome::Success(done)
     }
 
-    /// The wait until there is room again, if the call is above the limit.
+    /// The retry-after of a call above the limit; `None` if the limit allows the call, which is then counted.
     fn above_limit(&mut self, now: At) -> Option<Duration> {
         match self.spec.limit {
             Limit::Rate(rate) => {
@@ -348,9 +352,9 @@
         }
     }
 
-    /// When a call is done that begins as soon as a server is free; none where the queue is full.
+    /// Assigns a call to the server that is free first, and returns when it is done; `None` if the queue is full.
     fn schedule(&mut self, index: usize, now: At, slowdown: f64) -> Option<At> {
-        // Between half and twice the mean, most near it.
+        // Between half of and twice the mean, mostly near the mean.
         let spread = 0.5 + self.rng.f64() * 0.5 + self.rng.f64() * self.rng.f64() * 1.0;
         let service_time =
             self.spec.mean_service_time.mul_f64(spread * slowdown / self.capacity_share(now).max(0.01));
@@ -371,7 +375,7 @@
         Some(*server)
     }
 
-    /// What an answer reports: the share of the limit that is left, and the limit in calls a second.
+    /// The contents of a load report: the remaining share of the limit, and the limit in calls a second.
     pub fn limit_report(&mut self, now: At) -> (f64, f64) {
         let limit = self.spec.limit.per_second();
         let left = match self.spec.limit {
--- a/crates/gullcart-standins/src/process.rs
+++ b/crates/gullcart-standins/src/process.rs
@@ -17,39 +17,40 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// A process that does not listen by then never will.
+/// How long a process may take until it listens.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
-/// Lines of its log that are kept.
+/// Most recent lines of the log that are kept.
 const MAX_LOG_LINES: usize = 200;
 
 /// How couriers are started.
 #[derive(Clone, Debug)]
 pub struct LaunchOptions {
-    /// The daemon.
+    /// The executable of the daemon.
     pub program: PathBuf,
-    /// A command that is put before it, so that it dies with the kit even if that is killed.
+    /// A command line that runs the program given after it, so that the courier dies with its parent even if that is
+    /// killed; see [`exec_tied_to_parent`]. Empty for none.
     pub wrapper: Vec<OsString>,
-    /// Further variables.
+    /// Additional environment variables.
     pub environment: Vec<(String, String)>,
 }
 
-/// Why a courier is not running.
+/// Why a courier could not be started.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// It could not be started at all.
+    /// The process could not be spawned.
     #[error("cannot start {program}: {error}")]
     Spawn {
-        /// The daemon.
+        /// The executable of the daemon.
         program: PathBuf,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
     /// It exited, or never listened.
-    #[error("{program} did not listen; it said: {log}")]
+    #[error("{program} did not listen; end of its log: {log}")]
     NotListening {
-        /// The daemon.
+        /// The executable of the daemon.
         program: PathBuf,
-        /// Its last lines.
+        /// The last lines of its log.
         log: String,
     },
 }
@@ -66,7 +67,7 @@
 }
 
 impl Courier {
-    /// Starts a courier on a folder and a configuration, and waits until it listens.
+    /// Starts a courier with a state folder and a configuration file, and waits until it listens.
     pub async fn start(options: &LaunchOptions, config: &Path, state: &Path) -> Result<Self, StartError> {
         let program = options.program.clone();
         let mut command_line = options.wrapper.iter().cloned().chain([program.clone().into_os_string()]);
@@ -84,7 +85,7 @@
             .spawn()
             .map_err(failed)?;
         let pid = child.id().and_then(|id| Pid::from_raw(id as i32));
-        let pid = pid.ok_or_else(|| failed(io::Error::other("it has no process id")))?;
+        let pid = pid.ok_or_else(|| failed(io::Error::other("the process has ended already")))?;
         let log = Log::default();
         let (address_sender, address) = oneshot::channel();
         read_log(&mut child, log.clone(), address_sender);
@@ -102,12 +103,12 @@
         }
     }
 
-    /// Where clients connect.
+    /// The address for clients.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Its last lines.
+    /// The last lines of its log.
     pub fn log(&self) -> Log {
         self.log.clone()
     }
@@ -122,7 +123,7 @@
         *self.exited.borrow()
     }
 
-    /// Sends a signal, if it is there.
+    /// Sends a signal, unless the process has ended.
     pub fn signal(&self, signal: Signal) {
         if !self.has_exited() {
             let _ = kill_process(self.pid, signal);
@@ -132,12 +133,12 @@
     /// Waits until it has exited, for so long at most; whether it has.
     pub async fn wait_for_exit(&self, limit: Duration) -> bool {
         let mut exited = self.exited.clone();
-        // The sender tells before it goes.
+        // The sender sets the value before it is dropped, so an error cannot hide the exit.
         let exited = timeout(limit, exited.wait_for(|exited| *exited)).await;
         exited.is_ok()
     }
 
-    /// Lets no file grow past a size, as a full disk would; none lifts the limit.
+    /// Limits the size of the files that the process writes, to simulate a full disk; `None` removes the limit.
     pub fn limit_file_size(&self, size: Option<u64>) -> io::Result<()> {
         let maximum = None;
         prlimit(Some(self.pid), Resource::Fsize, Rlimit { current: size, maximum })?;
@@ -161,6 +162,7 @@
     }
 }
 
+/// Collects the log from stderr, and sends the address once the log names it.
 fn read_log(child: &mut Child, log: Log, address_sender: oneshot::Sender<SocketAddr>) {
     let Some(errors) = child.stderr.take() else { return };
     spawn_local(async move {
@@ -181,19 +183,19 @@
     });
 }
 
-/// The address in the line that says where the daemon listens.
+/// The address in the log line with which the daemon reports that it listens.
 fn listening_address(line: &str) -> Option<SocketAddr> {
     let rest = line.contains("listening").then(|| line.split_once("address="))??.1;
     rest.split_whitespace().next()?.parse().ok()
 }
 
-/// Waits for the end of a process; it is killed if nobody waits any more.
+/// Watches for the end of a process. The process is killed when the runtime drops this task.
 fn watch_exit(mut child: Child) -> watch::Receiver<bool> {
     let (sender, exited) = watch::channel(false);
     spawn_local(async move {
         let _ = child.wait().await;
         sender.send_replace(true);
-        // Kept until all who ask are gone.
+        // Keeps the sender while there are receivers.
         sender.closed().await;
     });
     exited
@@ -210,7 +212,7 @@
     if let Err(error) = rustix::process::set_parent_process_death_signal(Some(Signal::KILL)) {
         return error.into();
     }
-    // It may have died before it could be watched.
+    // The parent may have died before the death signal was set.
     if rustix::process::getppid() != parent {
         return io::Error::other("the parent process has ended");
     }
--- a/crates/gullcart-standins/src/recorder.rs
+++ b/crates/gullcart-standins/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Where stand-ins write down what happens.
+//! The clock of a rehearsal, and the record of its events.
 
 use gullcart_judge::trace::{At, Entry, Event};
 use std::cell::{Cell, RefCell};
@@ -6,9 +6,10 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// Receives the entries of the trace.
 type EntrySink = dyn FnMut(Entry);
 
-/// The clock of a rehearsal, and who hears what happens. Copies share both.
+/// Stamps events with the time of the rehearsal and passes them on. Clones share the clock and the sink.
 #[derive(Clone)]
 pub struct Recorder {
     started_at: Rc<Cell<Option<Instant>>>,
@@ -16,37 +17,38 @@
 }
 
 impl Recorder {
-    /// A clock that stands at 0 until [`Recorder::begin`]. `sink` gets every entry in the order of time; it must not record itself.
+    /// The clock stays at 0 until [`Recorder::begin`]. `sink` receives every entry in the order of recording; it must not
+    /// record events itself.
     pub fn new(sink: impl FnMut(Entry) + 'static) -> Self {
         Recorder { started_at: Rc::default(), sink: Rc::new(RefCell::new(sink)) }
     }
 
-    /// Time since the beginning.
+    /// Time since the beginning of the rehearsal.
     pub fn now(&self) -> At {
         let started_at = self.started_at.get();
         At(started_at
             .map_or(0, |started_at| Instant::now().saturating_duration_since(started_at).as_micros() as u64))
     }
 
-    /// Starts the clock at some moment, which may be still to come.
+    /// Starts the clock at this moment, which may be in the future.
     pub fn begin(&self, at: Instant) {
         self.started_at.set(Some(at));
     }
 
-    /// The moment of a time.
+    /// Converts a time of the rehearsal to a moment of the runtime.
     pub fn instant(&self, at: At) -> Instant {
         self.started_at.get().unwrap_or_else(Instant::now) + Duration::from_micros(at.0)
     }
 
-    /// Writes down what happens now.
+    /// Records an event that happens now, and returns the time.
     pub fn record(&self, event: Event) -> At {
         let at = self.now();
         self.record_at(at, event);
         at
     }
 
-    /// Writes down what happened a moment ago: what an answer tells holds from when it was written, not from when the
-    /// kit came round to note it.
+    /// Records an event that happened at `at`, a moment ago: an answer counts from when it was written, not from when the
+    /// stand-in gets to record it.
     pub fn record_at(&self, at: At, event: Event) {
         (self.sink.borrow_mut())(Entry { at, event });
     }
--- a/crates/gullcart-standins/src/register.rs
+++ b/crates/gullcart-standins/src/register.rs
@@ -1,4 +1,5 @@
-//! The partner register: an agent for each courier, which tells the list and its changes, and takes notices.
+//! The stand-in for the partner register (service discovery): one agent for each courier, which serves the list of
+//! endpoints, advertises its changes on watches and receives notices.
 
 use crate::http::{Request, RequestReader};
 use crate::{ids, Recorder};
@@ -16,7 +17,7 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// While nothing changes, an empty line comes this often.
+/// Interval of the empty lines that keep a watch alive while nothing changes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 /// What the register has to tell counts as advertised so much later at the latest, unless the register is silent.
 const MAX_ADVERTISE_DELAY: Duration = Duration::from_secs(6);
@@ -24,19 +25,19 @@
 /// An entry of the list, as one courier sees it.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Which endpoint.
+    /// The endpoint.
     pub endpoint: EndpointId,
-    /// Whose.
+    /// The partner that it belongs to.
     pub partner: PartnerId,
-    /// Where this courier finds it.
+    /// Its address for this courier.
     pub address: SocketAddr,
-    /// Name of the partner's kind.
+    /// The partner's kind.
     pub kind: String,
-    /// Name of the location.
+    /// The zone.
     pub zone: String,
-    /// What the partner takes from all couriers together, in calls a second.
+    /// Capacity hint of the list, in calls a second.
     pub weight: f64,
-    /// What it is now.
+    /// The current state.
     pub state: State,
 }
 
@@ -55,23 +56,26 @@
     }
 }
 
+/// A change of the list, and whether the trace has it as advertised.
 struct Change {
     rev: u64,
     target: Target,
     advertised: Cell<bool>,
 }
 
+/// What an agent shares with its connections.
 struct AgentState {
     courier: CourierId,
     recorder: Recorder,
     targets: RefCell<BTreeMap<EndpointId, Target>>,
-    /// All changes of the run, in their order; a rehearsal has some hundreds at most.
+    /// All changes of the run in order, never trimmed: a rehearsal has a few hundred at most.
     changes: RefCell<Vec<Change>>,
     rev: watch::Sender<u64>,
     silent: watch::Sender<bool>,
 }
 
 impl AgentState {
+    /// The whole list as JSON.
     fn list(&self) -> String {
         let targets = self.targets.borrow();
         let listed: Vec<Value> =
@@ -79,6 +83,7 @@
         json!({"rev": *self.rev.borrow(), "all": true, "targets": listed}).to_string()
     }
 
+    /// Records that the courier was sent the state of an endpoint.
     fn record_listed(&self, endpoint: EndpointId, state: State) {
         self.recorder.record(Event::Listed { courier: self.courier, endpoint, state });
     }
@@ -97,7 +102,7 @@
     }
 }
 
-/// The register's agent on one courier's machine.
+/// The register's agent for one courier.
 pub struct Agent {
     state: Rc<AgentState>,
     address: SocketAddr,
@@ -105,7 +110,7 @@
 }
 
 impl Agent {
-    /// An agent that knows a list, at a new address.
+    /// Starts an agent with these list entries on a new port.
     pub async fn start(recorder: &Recorder, courier: CourierId, targets: Vec<Target>) -> io::Result<Self> {
         let state = Rc::new(AgentState {
             courier,
@@ -118,25 +123,26 @@
         Self::listen(state).await
     }
 
-    /// The same register at another address; this one breaks all its connections.
+    /// Closes all connections, and serves the same list on a new port.
     pub async fn restart_at_new_address(self) -> io::Result<Self> {
         self.serving.abort();
         Self::listen(self.state.clone()).await
     }
 
+    /// Serves the agent on a new port.
     async fn listen(state: Rc<AgentState>) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let agent = state.clone();
         let serving = spawn_local(async move {
-            // Dropped with this task, so that an agent that moves on ends its connections.
+            // Dropped with this task, so that connections end when the agent changes its address.
             let mut connections = tokio::task::JoinSet::new();
             loop {
                 tokio::select! {
                     accepted = listener.accept() => match accepted {
                         Ok((stream, _)) => {
                             let agent = agent.clone();
-                            // A courier that goes away breaks its connections.
+                            // Errors are ignored: they occur when a courier ends with open connections.
                             connections.spawn_local(async move { drop(serve(&agent, stream).await) });
                         }
                         Err(_) => sleep(Duration::from_millis(20)).await,
@@ -148,17 +154,17 @@
         Ok(Agent { state, address, serving })
     }
 
-    /// Where it is.
+    /// The address of the agent.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The list as it is now, in the form of the configuration's `known`.
+    /// The current list, as JSON for the configuration's `known`.
     pub fn known_list(&self) -> String {
         self.state.list()
     }
 
-    /// An entry is new or has changed.
+    /// Adds or replaces a list entry, and advertises it.
     pub fn update_target(&self, target: Target) {
         let rev = *self.state.rev.borrow() + 1;
         self.state.targets.borrow_mut().insert(target.endpoint, target.clone());
@@ -196,6 +202,7 @@
     }
 }
 
+/// Serves the requests of one connection.
 async fn serve(agent: &AgentState, mut stream: TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut reader = RequestReader::default();
@@ -211,7 +218,7 @@
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
             stream.write_all(format!("{head}{list}").as_bytes()).await?;
         } else if let Some(after) = request.path.strip_prefix("/v1/endpoints?watch=1&after=") {
-            let after = after.parse().map_err(|_| io::Error::other("a version that cannot be read"))?;
+            let after = after.parse().map_err(|_| io::Error::other("the revision is not a number"))?;
             return watch_from(agent, stream, after).await;
         } else {
             stream.write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").await?;
@@ -220,12 +227,14 @@
     Ok(())
 }
 
+/// Waits while the agent is silent.
 async fn wait_until_not_silent(agent: &AgentState) {
     let mut silent = agent.silent.subscribe();
-    // The sender lives as long as the agent.
+    // This cannot fail: the agent holds the sender.
     let _ = silent.wait_for(|silent| !silent).await;
 }
 
+/// Sends the changes after revision `after` on a watch until the courier closes it.
 async fn watch_from(agent: &AgentState, mut stream: TcpStream, mut after: u64) -> io::Result<()> {
     let chunk = |line: &str| format!("{:x}\r\n{line}\r\n", line.len());
     wait_until_not_silent(agent).await;
@@ -258,6 +267,7 @@
     }
 }
 
+/// Records a request with notices and answers it. Notices before one that cannot be parsed are recorded too.
 async fn receive_notices(agent: &AgentState, stream: &mut TcpStream, request: &Request) -> io::Result<()> {
     let mut received = Vec::new();
     for line in request.body.split(|byte| *byte == b'\n').filter(|line| !line.trim_ascii().is_empty()) {
@@ -275,6 +285,7 @@
     Ok(())
 }
 
+/// Parses a notice into the message id and the verdict.
 fn read_notice(line: &[u8]) -> Option<(String, Ended)> {
     let value: Value = serde_json::from_slice(line).ok()?;
     let ended = match value.get("state")?.as_str()? {
