--- a/crates/gullcart-standins/src/link/faults.rs
+++ b/crates/gullcart-standins/src/link/faults.rs
@@ -1,72 +1,76 @@
-//! What a link between two processes does at a moment: which troubles it has, and what they add up to. No I/O, no clock.
+//! The faults of a link between two processes and their combined effect at a moment. No I/O, no clock.
 //!
-//! A link is directed by who connects: the connections that one process opens to another go through it, with what is said
-//! on them in both ways. The link of the other direction is another one, with troubles of its own.
+//! A link carries the connections that one process opens to another, with the bytes of both directions. Connections that the
+//! second process opens to the first go through another link, with separate faults.
 
 use gullcart_judge::trace::At;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Bytes that are held back on a link and way until they may go on: who writes more waits, as on a full line.
+/// Bytes buffered for each connection and direction while they are delayed or cut. When the buffer is full, the sender is
+/// blocked by backpressure.
 pub const MAX_HELD_BYTES: usize = 256 * 1024;
 
-/// A way along the connections of a link.
+/// A direction of the bytes on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Direction {
-    /// From who connected to who was connected to.
+    /// From the process that opened the connection to the one that accepted it.
     Forward,
-    /// And back.
+    /// From the process that accepted the connection to the one that opened it.
     Backward,
 }
 
 impl Direction {
-    /// Both.
+    /// Both directions.
     pub const ALL: [Direction; 2] = [Direction::Forward, Direction::Backward];
 }
 
-/// What is wrong with a link. Several may be in force at once.
+/// A fault of a link. Several may be in force at once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LinkFault {
-    /// What is sent this way does not arrive until the trouble ends, or the connection does. The other way still works. A
-    /// loopback link cannot lose the first packets of a connection: it comes up, and is as dead as the rest.
+    /// Bytes in this direction are held back until the fault ends or the connection does. The other direction still works.
+    /// A loopback proxy cannot drop a SYN packet, so new connections are established, with this direction cut.
     Cut(Direction),
-    /// Connections come up, and nothing ever arrives on those that came up meanwhile, in either way, also not later.
+    /// Connections that are accepted during the fault never carry anything, not even after it. Open ones are cut in both
+    /// directions until it ends.
     Silent,
-    /// Connections are refused, and those that there are end.
+    /// New connections are refused, and open ones reset.
     Refused,
-    /// So many bytes a second in each way, for each connection.
+    /// Limits each direction of a connection to this many bytes a second.
     Slow(u32),
-    /// What is sent arrives later, each piece by a draw from this range; order is kept.
+    /// Delays each chunk by a random time between these two; the order is kept.
     Delayed(Duration, Duration),
-    /// Connections are reset once they have carried so many bytes in both ways together: in the middle of a frame, mostly.
+    /// Resets a connection once it has carried this many bytes in both directions together, which is mostly in the middle
+    /// of a frame.
     ResetAfter(u64),
-    /// Cut in both ways for the second of these times, after each of the first.
+    /// Alternates between sound for the first time and cut in both directions for the second.
     Flapping(Duration, Duration),
 }
 
-/// A link's active.
+/// The faults in force on a link.
 #[derive(Clone, Debug, Default)]
 pub struct LinkFaults {
+    /// Faults by id, with the time at which they began.
     active: BTreeMap<u32, (LinkFault, At)>,
 }
 
 impl LinkFaults {
-    /// A trouble begins; a number in use is given to the new one.
+    /// Begins a fault. It replaces one with the same id.
     pub fn begin_fault(&mut self, id: u32, fault: LinkFault, now: At) {
         self.active.insert(id, (fault, now));
     }
 
-    /// A trouble ends.
+    /// Ends the fault with this id.
     pub fn end_fault(&mut self, id: u32) {
         self.active.remove(&id);
     }
 
-    /// All of them end.
+    /// Ends all faults.
     pub fn end_all_faults(&mut self) {
         self.active.clear();
     }
 
-    /// Whether anything is wrong.
+    /// Whether no fault is in force.
     pub fn is_healthy(&self) -> bool {
         self.active.is_empty()
     }
@@ -80,12 +84,12 @@
         self.all().any(|(fault, _)| fault == LinkFault::Refused)
     }
 
-    /// Whether a connection that comes up now will never carry anything.
+    /// Whether a connection that is accepted now will never carry anything.
     pub fn is_silent(&self) -> bool {
         self.all().any(|(fault, _)| fault == LinkFault::Silent)
     }
 
-    /// Whether nothing arrives this way now.
+    /// Whether bytes in this direction are held back now.
     pub fn is_cut(&self, direction: Direction, now: At) -> bool {
         self.all().any(|(fault, began)| match fault {
             LinkFault::Cut(cut) => cut == direction,
@@ -98,7 +102,7 @@
         })
     }
 
-    /// When [`LinkFaults::is_cut`] may change next by itself.
+    /// When the result of [`LinkFaults::is_cut`] may change next without a fault beginning or ending.
     pub fn changes_at(&self, now: At) -> Option<At> {
         let next_change = |(fault, began): (LinkFault, At)| {
             let LinkFault::Flapping(up, down) = fault else { return None };
@@ -110,7 +114,7 @@
         self.all().filter_map(next_change).min()
     }
 
-    /// How much later a piece arrives; `chance` lies between 0 and 1.
+    /// The delay of a chunk; `chance`, between 0 and 1, is its position in the range of each [`LinkFault::Delayed`].
     pub fn delay(&self, chance: f64) -> Duration {
         let delay = |(fault, _)| match fault {
             LinkFault::Delayed(from, to) => from + to.saturating_sub(from).mul_f64(chance.clamp(0.0, 1.0)),
@@ -119,7 +123,7 @@
         self.all().map(delay).sum()
     }
 
-    /// Bytes a second, where that is bounded.
+    /// The lowest limit of the throughput; `None` if there is no limit.
     pub fn bytes_per_second(&self) -> Option<u32> {
         self.all().filter_map(|(fault, _)| matches!(fault, LinkFault::Slow(_)).then_some(fault)).fold(
             None,
@@ -130,7 +134,7 @@
         )
     }
 
-    /// How many more bytes a connection may carry that has carried so many, where that is bounded.
+    /// How many bytes a connection that has `carried` so far may still carry before it is reset; `None` if there is no limit.
     pub fn bytes_until_reset(&self, carried: u64) -> Option<u64> {
         let remaining = |(fault, _)| match fault {
             LinkFault::ResetAfter(bytes) => Some(bytes.saturating_sub(carried)),
@@ -140,7 +144,7 @@
     }
 }
 
-/// Pairs of places that cannot reach each other, for partitions of several processes.
+/// All directed pairs of processes from different sets, for a partition of several processes.
 pub fn separated_pairs(sets: &[&[usize]]) -> Vec<(usize, usize)> {
     let mut pairs = Vec::new();
     for (index, set) in sets.iter().enumerate() {
--- a/crates/gullcart-standins/src/link/mesh.rs
+++ b/crates/gullcart-standins/src/link/mesh.rs
@@ -1,67 +1,69 @@
-//! All links among some processes, and what cuts them off from each other.
+//! The links between each two processes of a group, with partitions and other faults.
 
 use super::faults::{separated_pairs, Direction, LinkFault};
 use super::Link;
 use std::io;
 use std::net::SocketAddr;
 
-/// Links in both directions between each two of some places.
+/// A link for each ordered pair of processes, which are numbered from 0.
 pub struct Mesh {
     size: usize,
-    /// By beginning, then by end; none from a place to itself.
+    /// By source, then by target; `None` from a process to itself.
     links: Vec<Option<Link>>,
     next_id: u32,
 }
 
-/// A trouble on some links, by which it is ended.
+/// Identifies a fault on one or several links, to end it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FaultId(u32);
 
 impl Mesh {
-    /// Sound links among so many places.
+    /// Links without faults among `size` processes.
     pub fn open(size: usize, seed: u64) -> io::Result<Self> {
-        let link = |at: usize| match at / size == at % size {
+        let link = |index: usize| match index / size == index % size {
             true => Ok(None),
-            false => Link::open(seed.wrapping_mul(31).wrapping_add(at as u64)).map(Some),
+            false => Link::open(seed.wrapping_mul(31).wrapping_add(index as u64)).map(Some),
         };
         let links = (0..size * size).map(link).collect::<io::Result<_>>()?;
         Ok(Mesh { size, links, next_id: 1 })
     }
 
-    /// How many places there are.
+    /// The number of processes.
     pub fn size(&self) -> usize {
         self.size
     }
 
-    /// The link on which one place connects to another; none to itself.
+    /// The link through which one process connects to another; `None` to itself.
     pub fn link(&self, from: usize, to: usize) -> Option<&Link> {
         self.links.get(from * self.size + to).and_then(Option::as_ref)
     }
 
-    /// The process of a place listens there, or nowhere.
-    pub fn set_process_address(&self, place: usize, address: Option<SocketAddr>) {
+    /// Sets the address on which a process listens; `None` while it does not listen.
+    pub fn set_process_address(&self, process: usize, address: Option<SocketAddr>) {
         for from in 0..self.size {
-            if let Some(link) = self.link(from, place) {
+            if let Some(link) = self.link(from, process) {
                 link.set_target(address);
             }
         }
     }
 
+    /// The next unused id.
     fn new_id(&mut self) -> FaultId {
         self.next_id += 1;
         FaultId(self.next_id - 1)
     }
 
-    /// What one place sends does not arrive at another, on whosever connections; what that one sends does.
+    /// Holds back all that one process sends to another, whichever of them opened the connection. The opposite direction
+    /// still works.
     pub fn cut_direction(&mut self, from: usize, to: usize) -> io::Result<FaultId> {
         self.cut_pairs(&[(from, to)])
     }
 
-    /// The same for several pairs.
+    /// Does the same as [`Mesh::cut_direction`] for several pairs, as one fault.
     pub fn cut_pairs(&mut self, pairs: &[(usize, usize)]) -> io::Result<FaultId> {
         let id = self.new_id();
         for (from, to) in pairs {
-            // Numbers are of one trouble on each link; the ways of one link are numbered apart.
+            // A link may be cut in both directions by one fault, so each direction has a separate id on the link.
             if let Some(link) = self.link(*from, *to) {
                 link.begin_fault(id.0 * 2, LinkFault::Cut(Direction::Forward))?;
             }
@@ -72,12 +74,12 @@
         Ok(id)
     }
 
-    /// Sets of places that do not reach each other. What is in no set reaches all.
+    /// Cuts sets of processes off from each other. A process in no set still reaches all.
     pub fn partition(&mut self, sets: &[&[usize]]) -> io::Result<FaultId> {
         self.cut_pairs(&separated_pairs(sets))
     }
 
-    /// A trouble on the connections that one place opens to another.
+    /// Begins a fault of the connections that one process opens to another.
     pub fn begin_fault(&mut self, from: usize, to: usize, fault: LinkFault) -> io::Result<FaultId> {
         let id = self.new_id();
         if let Some(link) = self.link(from, to) {
@@ -86,7 +88,7 @@
         Ok(id)
     }
 
-    /// Ends one trouble wherever it is.
+    /// Ends a fault on all links.
     pub fn end_fault(&self, id: FaultId) -> io::Result<()> {
         for link in self.links.iter().flatten() {
             link.end_fault(id.0 * 2)?;
@@ -95,7 +97,7 @@
         Ok(())
     }
 
-    /// Ends all of them.
+    /// Ends all faults.
     pub fn end_all_faults(&self) -> io::Result<()> {
         self.links.iter().flatten().try_for_each(Link::end_all_faults)
     }
--- a/crates/gullcart-standins/src/link/mod.rs
+++ b/crates/gullcart-standins/src/link/mod.rs
@@ -1,5 +1,5 @@
-//! Links between processes that talk to each other: each process reaches each other one through a proxy on loopback, one
-//! for each directed pair. [`faults`] says what a link does at a moment; here bytes move.
+//! Links between processes: loopback proxies through which the processes connect to each other, one for each directed
+//! pair. [`faults`] holds the faults of a link and their combined effect; this module moves the bytes.
 
 pub mod faults;
 pub mod mesh;
@@ -18,29 +18,32 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Bytes that are read at once.
+/// Maximum bytes of one read.
 const CHUNK_BYTES: usize = 4096;
-/// Pieces that are held back in each direction of a connection.
+/// Chunks that are buffered in each direction of a connection.
 const MAX_HELD_CHUNKS: usize = MAX_HELD_BYTES / CHUNK_BYTES;
 
-/// What the connections of a link share.
+/// What a link shares with its connections.
 struct Shared {
     opened_at: Instant,
     faults: RefCell<LinkFaults>,
-    /// Tells connections that the plan has changed.
+    /// Notifies connections that the faults have changed.
     changes: watch::Sender<()>,
+    /// Where connections are forwarded to; `None` while nothing listens there.
     target: Cell<Option<SocketAddr>>,
     rng: RefCell<fastrand::Rng>,
+    /// Bytes delivered in each [`Direction`].
     bytes_carried: [Cell<u64>; 2],
     connections_accepted: Cell<u64>,
 }
 
 impl Shared {
+    /// Time since the link was opened.
     fn now(&self) -> At {
         At(self.opened_at.elapsed().as_micros() as u64)
     }
 
-    /// Waits while this direction is cut.
+    /// Waits while a fault cuts this direction.
     async fn wait_while_cut(&self, direction: Direction) {
         let mut changes = self.changes.subscribe();
         loop {
@@ -61,21 +64,21 @@
     }
 }
 
-/// A directed link: one process connects here, and gets through to the other as far as the troubles allow.
+/// A directed link: connections to its address are forwarded to its target as far as its faults allow.
 pub struct Link {
     address: SocketAddr,
-    /// Keeps the address while connections are refused.
+    /// Reserves the port while connections are refused.
     _reserved_port: Socket,
     shared: Rc<Shared>,
     accepting: RefCell<Option<JoinHandle<()>>>,
 }
 
 impl Link {
-    /// A sound link that leads nowhere yet.
+    /// A link without faults and without a target. `seed` is that of random delays.
     pub fn open(seed: u64) -> io::Result<Self> {
         let reserved = bind_reusable(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let address = reserved.local_addr()?;
-        let address = address.as_socket().ok_or_else(|| io::Error::other("an address that is not of IP"))?;
+        let address = address.as_socket().ok_or_else(|| io::Error::other("the socket has no IP address"))?;
         let shared = Rc::new(Shared {
             opened_at: Instant::now(),
             faults: RefCell::default(),
@@ -90,45 +93,45 @@
         Ok(link)
     }
 
-    /// Where the process at its beginning connects, for as long as the link is there.
+    /// The address that the source process connects to. It does not change.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where the process at its end listens; none while it does not.
+    /// Sets the address on which the target process listens; `None` while it does not listen. Applies to new connections.
     pub fn set_target(&self, target: Option<SocketAddr>) {
         self.shared.target.set(target);
     }
 
-    /// A trouble begins, under a number by which it ends.
-    pub fn begin_fault(&self, number: u32, fault: LinkFault) -> io::Result<()> {
-        self.shared.faults.borrow_mut().begin_fault(number, fault, self.shared.now());
+    /// Begins a fault; `id` identifies it for [`Link::end_fault`].
+    pub fn begin_fault(&self, id: u32, fault: LinkFault) -> io::Result<()> {
+        self.shared.faults.borrow_mut().begin_fault(id, fault, self.shared.now());
         self.apply_faults()
     }
 
-    /// A trouble ends.
-    pub fn end_fault(&self, number: u32) -> io::Result<()> {
-        self.shared.faults.borrow_mut().end_fault(number);
+    /// Ends a fault.
+    pub fn end_fault(&self, id: u32) -> io::Result<()> {
+        self.shared.faults.borrow_mut().end_fault(id);
         self.apply_faults()
     }
 
-    /// All of them end.
+    /// Ends all faults.
     pub fn end_all_faults(&self) -> io::Result<()> {
         self.shared.faults.borrow_mut().end_all_faults();
         self.apply_faults()
     }
 
-    /// Bytes that have arrived one direction.
+    /// Bytes delivered in this direction on all connections.
     pub fn bytes_carried(&self, direction: Direction) -> u64 {
         self.shared.bytes_carried[direction as usize].get()
     }
 
-    /// Connections that came up.
+    /// Connections accepted so far.
     pub fn connections_accepted(&self) -> u64 {
         self.shared.connections_accepted.get()
     }
 
-    /// Opens or shuts the address, and tells connections.
+    /// Starts or stops accepting connections as the faults demand, and notifies open ones.
     fn apply_faults(&self) -> io::Result<()> {
         let refused = self.shared.faults.borrow().is_refused();
         let mut accepting = self.accepting.borrow_mut();
@@ -152,12 +155,13 @@
         if let Some(accepting) = self.accepting.borrow_mut().take() {
             accepting.abort();
         }
-        // Connections end with it.
+        // Resets the open connections.
         self.shared.faults.borrow_mut().begin_fault(u32::MAX, LinkFault::Refused, At(0));
         self.shared.changes.send_replace(());
     }
 }
 
+/// Accepts connections and proxies each in a task.
 async fn accept(listener: TcpListener, shared: Rc<Shared>) {
     loop {
         let Ok((from, _)) = listener.accept().await else {
@@ -169,6 +173,7 @@
     }
 }
 
+/// Proxies one connection until it ends or a fault refuses connections.
 async fn proxy(from: TcpStream, shared: Rc<Shared>) {
     let mut changes = shared.changes.subscribe();
     let refused = async {
@@ -180,7 +185,7 @@
     };
     let proxied = async {
         if shared.faults.borrow().is_silent() {
-            // Nothing of it arrives, and it does not end by itself.
+            // Whatever is sent is discarded, and only the source ends the connection.
             let mut discarded = [0; CHUNK_BYTES];
             loop {
                 match read_some(&from, &mut discarded).await {
@@ -206,7 +211,7 @@
     }
 }
 
-/// Both ways end by themselves; a reset in one ends the other.
+/// Waits for both directions to end; an error in one ends the other at once.
 async fn ended_by_either(
     forward_result: impl std::future::Future<Output = io::Result<()>>,
     backward_result: impl std::future::Future<Output = io::Result<()>>,
@@ -224,11 +229,12 @@
     }
 }
 
-/// The connection ends with a reset when it is dropped.
+/// Makes the connection end with a reset when it is dropped.
 fn reset(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
+/// Reads what is available, waiting for the first byte. 0 at the end of the stream.
 async fn read_some(stream: &TcpStream, bytes: &mut [u8]) -> io::Result<usize> {
     loop {
         stream.readable().await?;
@@ -239,6 +245,7 @@
     }
 }
 
+/// Writes all bytes through a shared reference, so that both directions can use the stream.
 async fn write_all(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         stream.writable().await?;
@@ -251,7 +258,8 @@
     Ok(())
 }
 
-/// Moves what comes one direction, in its order. An error is the reset of the connection, which arrives in its turn, too.
+/// Forwards the bytes of one direction in order. A read error is delayed like data, then returned so that the caller resets
+/// the connection.
 async fn forward(
     shared: &Shared,
     direction: Direction,
--- a/crates/gullcart-standins/src/process.rs
+++ b/crates/gullcart-standins/src/process.rs
@@ -1,4 +1,4 @@
-//! Real `gullcart` processes: started, signalled, and exited with the kit whatever happens to it.
+//! Runs real `gullcart` processes. They are killed when the process that started them ends, however it ends.
 
 use rustix::process::{kill_process, prlimit, Pid, Resource, Rlimit, Signal};
 use std::cell::RefCell;
@@ -45,7 +45,7 @@
         /// The cause.
         error: io::Error,
     },
-    /// It exited, or never listened.
+    /// The process ended, or did not listen in time.
     #[error("{program} did not listen; end of its log: {log}")]
     NotListening {
         /// The executable of the daemon.
@@ -113,12 +113,12 @@
         self.log.clone()
     }
 
-    /// Turns true when the process has exited.
+    /// A channel whose value becomes true when the process has ended.
     pub fn exit_watch(&self) -> watch::Receiver<bool> {
         self.exited.clone()
     }
 
-    /// Whether it has exited.
+    /// Whether the process has ended.
     pub fn has_exited(&self) -> bool {
         *self.exited.borrow()
     }
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Waits until it has exited, for so long at most; whether it has.
+    /// Waits until the process has ended, for `limit` at most, and returns whether it has.
     pub async fn wait_for_exit(&self, limit: Duration) -> bool {
         let mut exited = self.exited.clone();
         // The sender sets the value before it is dropped, so an error cannot hide the exit.
@@ -145,7 +145,7 @@
         Ok(())
     }
 
-    /// Memory in use, in KiB; none once it has exited.
+    /// Resident memory in KiB; `None` once the process has ended.
     pub fn resident_kib(&self) -> Option<u64> {
         if self.has_exited() {
             return None;
@@ -201,11 +201,11 @@
     exited
 }
 
-/// Ties the calling process to the one that started it, and becomes the given program: if the parent dies, so does
-/// it. Returns only on failure.
+/// Replaces the calling process with the given program, which is killed when the parent process dies. Returns only on
+/// failure.
 ///
-/// A file that may not grow ends a process by a signal unless that is ignored, which only a shell can pass on
-/// without unsafe code.
+/// The program runs with `SIGXFSZ` ignored, because that signal would end a process that exceeds
+/// [`Courier::limit_file_size`]. It is started through a shell, since setting the disposition of a signal takes unsafe code.
 pub fn exec_tied_to_parent(program: &OsString, arguments: &[OsString]) -> io::Error {
     use std::os::unix::process::CommandExt;
     let parent = rustix::process::getppid();
--- a/crates/gullcart-standins/src/register.rs
+++ b/crates/gullcart-standins/src/register.rs
@@ -19,7 +19,8 @@
 
 /// Interval of the empty lines that keep a watch alive while nothing changes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// What the register has to tell counts as advertised so much later at the latest, unless the register is silent.
+/// A change counts as advertised after this time at the latest, unless the register is silent: a courier without a watch
+/// is expected to have opened one by then.
 const MAX_ADVERTISE_DELAY: Duration = Duration::from_secs(6);
 
 /// An entry of the list, as one courier sees it.
@@ -88,7 +89,7 @@
         self.recorder.record(Event::Listed { courier: self.courier, endpoint, state });
     }
 
-    /// What has changed after a version, as a line of the watch; it counts as advertised.
+    /// The changes after revision `after` as a line of the watch, with its revision. They are recorded as advertised.
     fn line_after(&self, after: u64) -> Option<(u64, String)> {
         let changes = self.changes.borrow();
         let new: Vec<&Change> = changes.iter().filter(|change| change.rev > after).collect();
@@ -190,7 +191,8 @@
         });
     }
 
-    /// Takes connections and says nothing, but that it goes on taking notices; or wait_until_not_silent again.
+    /// Makes the agent silent, or ends its silence. A silent agent accepts connections and notices, but sends no list and no
+    /// changes.
     pub fn set_silent(&self, silent: bool) {
         self.state.silent.send_replace(silent);
     }
