--- a/crates/gullcart-standins/src/bin/gullcart-echo.rs
+++ b/crates/gullcart-standins/src/bin/gullcart-echo.rs
@@ -1,8 +1,8 @@
-//! An ordinary process that talks to others of its kind, to prove links and faults between processes with: it says numbers to
-//! each of its peers, a line each, and says back whatever it hears. Its log tells all of it.
+//! A process for tests of links and faults between processes. It sends increasing numbers to each of its peers, one a line,
+//! and echoes every line that it receives. It logs what it receives, the echoes and its reconnects.
 //!
-//! `ECHO_NAME` is its name, `ECHO_PEERS` are the addresses of its peers, with commas. It reconnects where a connection ends or
-//! gives nothing back for a while.
+//! `ECHO_NAME` is its name, `ECHO_PEERS` the comma-separated addresses of its peers. It reconnects when a connection ends or
+//! returns no echo for [`ECHO_TIMEOUT`].
 #![forbid(unsafe_code)]
 
 use std::io::{self, BufRead, BufReader, Write};
@@ -12,17 +12,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Between two numbers.
+/// Interval between two numbers, and before reconnecting.
 const SEND_INTERVAL: Duration = Duration::from_millis(5);
-/// How long a connection may give nothing back.
+/// How long a connection may return no echo.
 const ECHO_TIMEOUT: Duration = Duration::from_millis(400);
 
+/// Writes a line to the log.
 fn log(line: &str) {
-    // A log that is read no more is nobody's loss.
+    // Fails only if the reader of the log is gone.
     let _ = writeln!(io::stderr(), "{line}");
 }
 
-/// Says numbers to one peer until the connection fails; they go on behind those that were said before.
+/// Sends numbers to one peer until the connection fails or its echoes stop. Numbers continue from those of earlier
+/// connections.
 fn send_numbers(peer: usize, address: &str, name: &str, next_number: &AtomicU64) -> io::Result<()> {
     let stream = TcpStream::connect(address)?;
     stream.set_nodelay(true)?;
@@ -52,12 +54,13 @@
     result
 }
 
+/// Echoes the lines of one connection.
 fn echo_lines(stream: TcpStream) -> io::Result<()> {
     let mut out = stream.try_clone()?;
     stream.set_nodelay(true)?;
     let mut input = BufReader::new(stream);
     let mut line = String::new();
-    // A line that was cut in the middle was not heard.
+    // A last line without its end was cut off, and does not count as received.
     while input.read_line(&mut line)? > 0 && line.ends_with('\n') {
         log(&format!("heard {}", line.trim_end()));
         out.write_all(line.as_bytes())?;
--- a/crates/gullcart-standins/src/folder/tests.rs
+++ b/crates/gullcart-standins/src/folder/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn an_older_copy_takes_the_place_of_what_came_since() {
+fn restoring_a_copy_replaces_later_contents() {
     let folder = std::env::temp_dir().join(format!("gullcart-copy-{}", std::process::id()));
     fs::create_dir_all(&folder).unwrap();
     fs::write(folder.join("a"), "old").unwrap();
--- a/crates/gullcart-standins/src/ids/tests.rs
+++ b/crates/gullcart-standins/src/ids/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn ids_can_be_read_back_and_foreign_ones_are_not_taken() {
+fn ids_can_be_parsed_and_foreign_ones_are_rejected() {
     for number in [0, 1, 2, 999_999, 1 << 39] {
         let id = wire_id(MessageId(number));
         assert_eq!(parse_wire_id(&id), Some(MessageId(number)), "{id}");
--- a/crates/gullcart-standins/src/link/faults/tests.rs
+++ b/crates/gullcart-standins/src/link/faults/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn faults_overlap_and_each_ends_by_itself() {
+fn faults_overlap_and_end_independently() {
     let mut faults = LinkFaults::default();
     faults.begin_fault(1, LinkFault::Cut(Direction::Forward), At::ms(0));
     faults.begin_fault(2, LinkFault::Cut(Direction::Forward), At::ms(0));
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_flapping_link_says_when_it_changes() {
+fn a_flapping_link_reports_its_next_change() {
     let mut faults = LinkFaults::default();
     faults.begin_fault(1, LinkFault::Flapping(ms(30), ms(10)), At::ms(100));
     for (at, cut, next) in [(100, false, 130), (129, false, 130), (130, true, 140), (139, true, 140)] {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn sets_are_apart_in_both_directions_and_whole_within() {
+fn sets_are_separated_in_both_directions_and_connected_within() {
     let mut pairs = separated_pairs(&[&[0, 1], &[2], &[3]]);
     pairs.sort_unstable();
     let expected = [(0, 2), (0, 3), (1, 2), (1, 3), (2, 0), (2, 1), (2, 3), (3, 0), (3, 1), (3, 2)];
--- a/crates/gullcart-standins/src/partner/tests.rs
+++ b/crates/gullcart-standins/src/partner/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_plain_rate_takes_no_more_in_the_long_run() {
+fn a_rate_limit_holds_over_time() {
     let mut partner = Partner::new(spec(Limit::Rate(20.0)), 2, 1);
     let accepted = (0..10_000).filter(|ms| {
         let at = At::ms(*ms);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_count_is_full_until_its_span_ends_and_tells_so() {
+fn a_window_limit_rejects_until_the_window_ends() {
     let window = Duration::from_secs(1);
     let mut partner = Partner::new(spec(Limit::PerWindow { calls: 3, window }), 3, 1);
     for call in 0..3 {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn refused_calls_use_up_the_limit_where_they_count() {
+fn rejected_calls_use_up_the_limit_where_they_count() {
     let first_free_ms = |rejected_calls_count| {
         let mut partner = Partner::new(PartnerSpec { rejected_calls_count, ..spec(Limit::Rate(10.0)) }, 1, 1);
         for _ in 0..5 {
@@ -48,13 +48,13 @@
         }
         (1..2000).find(|ms| partner.above_limit(At::ms(*ms)).is_none())
     };
-    // Asking each millisecond keeps it empty for ever where that counts.
+    // If rejected calls count, a call each millisecond keeps the token bucket empty.
     assert!(first_free_ms(false).is_some());
     assert_eq!(first_free_ms(true), None);
 }
 
 #[test]
-fn a_full_queue_turns_calls_away() {
+fn a_full_queue_rejects_calls() {
     let mut partner =
         Partner::new(spec(Limit::PerWindow { calls: 100, window: Duration::from_secs(60) }), 1, 1);
     // 100 calls in 60 s need one server.
@@ -67,26 +67,26 @@
 }
 
 #[test]
-fn a_cold_partner_that_is_pushed_falls_and_stays_down() {
+fn an_overloaded_partner_collapses_during_slow_start() {
     let mut partner = Partner::new(spec(Limit::Rate(100.0)), 1, 1);
     partner.begin_slow_start(At::ms(1000));
-    // 2.5 x 20 % x 150/s x 2 s = 150 calls, and a little for chance.
+    // 2.5 x 20 % x 150/s x 2 s = 150 calls, and a margin.
     let last = (0..400).find(|call| {
         let _ = partner.handle_call(0, At::ms(1000 + call));
         partner.has_collapsed()
     });
     assert!(last.is_some_and(|call| (150..185).contains(&call)), "{last:?}");
     assert_eq!(partner.handle_call(0, At::ms(60_000)), CallOutcome::NoAnswer);
-    let mut spared = Partner::new(spec(Limit::Rate(100.0)), 1, 1);
-    spared.begin_slow_start(At::ms(1000));
+    let mut slowly_called = Partner::new(spec(Limit::Rate(100.0)), 1, 1);
+    slowly_called.begin_slow_start(At::ms(1000));
     for call in 0..400 {
-        let _ = spared.handle_call(0, At::ms(1000 + call * 20));
+        let _ = slowly_called.handle_call(0, At::ms(1000 + call * 20));
     }
-    assert!(!spared.has_collapsed());
+    assert!(!slowly_called.has_collapsed());
 }
 
 #[test]
-fn faults_overlap_and_end_apart() {
+fn faults_overlap_and_end_independently() {
     let mut partner = Partner::new(spec(Limit::Rate(1000.0)), 2, 1);
     partner.begin_fault(1, PartnerFault::Stall, Some(0), At::ms(900));
     partner.begin_fault(2, PartnerFault::Silent, None, At::ms(500));
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_shut_partner_tells_when_it_opens() {
+fn a_closed_partner_tells_when_it_opens() {
     let mut partner = Partner::new(spec(Limit::Rate(100.0)), 1, 1);
     partner.begin_fault(1, PartnerFault::Closed(true), None, At::ms(3000));
     assert_eq!(partner.handle_call(0, At::ms(1000)), CallOutcome::Rejected(Some(Duration::from_secs(2))));
--- a/crates/gullcart-standins/src/world.rs
+++ b/crates/gullcart-standins/src/world.rs
@@ -1,5 +1,5 @@
-//! What stands around a courier under test, on loopback sockets: endpoints whose every answer the test decides,
-//! discovery, and clients. All ports are chosen by the system, and tests wait on what arrives.
+//! The harness of the daemon's tests: endpoints whose every answer the test scripts, discovery, and clients, on loopback
+//! sockets. The system chooses all ports, and tests wait for events rather than for times.
 
 mod agent;
 mod call;
@@ -21,7 +21,7 @@
 
 use std::time::Duration;
 
-/// Far longer than anything here takes; only a failing test waits for so long.
+/// Upper bound of every wait. It is far longer than any step takes, so only a failing test reaches it.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// How long nothing may happen where nothing should.
+/// How long a test watches to conclude that something does not happen.
 const QUIET_PERIOD: Duration = Duration::from_millis(300);
--- a/crates/gullcart-standins/src/world/agent.rs
+++ b/crates/gullcart-standins/src/world/agent.rs
@@ -1,4 +1,5 @@
-//! AgentState: an agent that lists endpoints, tells changes on watches and takes notices.
+//! The stand-in for discovery: an agent that serves the list of endpoints, advertises changes on watches and receives
+//! notices.
 
 use super::call::CourierAction;
 use super::http::{read_request, serve, Request};
@@ -9,14 +10,14 @@
 use std::sync::mpsc::Sender;
 use std::sync::{Arc, Mutex};
 
-/// An agent of discovery, and where it is.
+/// A discovery agent and its address.
 pub struct Agent {
     pub(super) state: Arc<AgentState>,
     pub(super) address: SocketAddr,
 }
 
 impl Agent {
-    /// An agent whose whole list is empty until the test sets one.
+    /// Starts an agent whose list is an empty text until the test sets it.
     pub(super) fn start(actions: &Sender<CourierAction>) -> Self {
         let state = Arc::new(AgentState::default());
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -27,31 +28,32 @@
     }
 }
 
-/// What an agent says and hears.
+/// What an agent shares with its connections.
 #[derive(Default)]
 pub(super) struct AgentState {
-    /// What it answers when asked for the whole list.
+    /// The whole list as JSON.
     pub list: Mutex<String>,
-    /// It takes watches and says nothing on them.
+    /// Whether requests for watches are left unanswered.
     pub silent: AtomicBool,
-    /// It leaves notices unanswered.
+    /// Whether notices are left unanswered.
     pub hold_notices: AtomicBool,
-    /// Requests with notices so far.
+    /// Number of requests with notices so far.
     pub notices: AtomicU32,
     watches: Mutex<Watches>,
 }
 
-/// Open watches, and what was told so far: one that opens later is told it first.
+/// Open watches, and all changes so far, which a new watch is sent first.
 #[derive(Default)]
 struct Watches {
     open: Vec<TcpStream>,
+    /// All changes so far, as chunks of the response.
     history: String,
-    /// Version of the last change; none is older than the one before.
+    /// Revision of the last change. It never decreases.
     rev: u32,
 }
 
 impl AgentState {
-    /// Tells a change on every watch, open or yet to open.
+    /// Advertises a change on all watches, open ones and later ones.
     pub fn advertise(&self, rev: u32, targets: &[Value]) {
         let mut watches = self.watches.lock().unwrap();
         watches.rev = watches.rev.max(rev);
@@ -64,6 +66,7 @@
         }
     }
 
+    /// Passes each notice of a request to the test, and answers the request.
     fn receive_notices(&self, request: &Request, actions: &Sender<CourierAction>, out: &mut TcpStream) {
         self.notices.fetch_add(1, Ordering::SeqCst);
         for line in String::from_utf8_lossy(&request.body).lines() {
@@ -74,12 +77,14 @@
         }
     }
 
+    /// Answers a request for the whole list.
     fn send_list(&self, out: &mut TcpStream) {
         let list = self.list.lock().unwrap();
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
         let _ = out.write_all(format!("{head}{list}").as_bytes());
     }
 
+    /// Answers a request for a watch, with an empty line and all changes so far.
     fn open_watch(&self, out: &mut TcpStream) {
         let mut watches = self.watches.lock().unwrap();
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
--- a/crates/gullcart-standins/src/world/call.rs
+++ b/crates/gullcart-standins/src/world/call.rs
@@ -1,22 +1,25 @@
-//! Endpoints: each call that reaches one is handed to the test, which answers it.
+//! The stand-in for endpoints: each call is passed to the test, which answers it.
 
 use super::http::{read_request, Request};
 use std::io::{BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::mpsc::{channel, Sender};
 
-/// What the world has seen the courier do.
+/// Something that the courier did.
 pub enum CourierAction {
-    /// A call reached an endpoint.
+    /// It called an endpoint.
     Call(Call),
-    /// A line of a request with notices reached discovery.
+    /// It sent a notice to discovery: one line of the request.
     Notice(String),
 }
 
-/// A call out at an endpoint. One that is dropped unanswered hangs.
+/// A call in flight at an endpoint. If it is dropped without an answer, the connection stays open and silent.
 pub struct Call {
+    /// Index of the endpoint.
     pub endpoint: usize,
+    /// Value of the header `x-call-id`, or empty.
     pub id: String,
+    /// Body of the request.
     pub body: Vec<u8>,
     headers: Vec<(String, String)>,
     answer: Sender<Option<Vec<u8>>>,
@@ -29,34 +32,34 @@
         self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
     }
 
-    /// Answers with a status and further headers; the body names the call.
+    /// Answers with a status and additional headers; the body is the id of the call.
     pub fn answer(self, status: &str, headers: &str) {
         let text = self.response_bytes(status, headers);
         self.answer_raw(&text);
     }
 
-    /// The bytes of such an answer.
+    /// The bytes that [`Call::answer`] writes.
     pub fn response_bytes(&self, status: &str, headers: &str) -> Vec<u8> {
         let length = self.id.len();
         format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {length}\r\n\r\n{}", self.id).into_bytes()
     }
 
-    /// Answers with these bytes, whatever they say.
+    /// Answers with these raw bytes.
     pub fn answer_raw(self, bytes: &[u8]) {
         let _ = self.answer.send(Some(bytes.to_vec()));
     }
 
-    /// The endpoint's side of the connection, for what comes on it beside the answer.
+    /// The endpoint's side of the connection, for writing to it apart from the answer.
     pub fn stream(&self) -> TcpStream {
         self.connection.try_clone().unwrap()
     }
 
-    /// The courier's side of the connection that this call came on.
+    /// The courier's address on the connection that carried this call.
     pub fn courier_address(&self) -> SocketAddr {
         self.connection.peer_addr().unwrap()
     }
 
-    /// Whether the courier has ended its sending on this call's connection.
+    /// Whether the courier has closed its sending side of this call's connection.
     pub fn is_closed(&self) -> bool {
         let mut connection = &self.connection;
         connection.set_nonblocking(true).unwrap();
@@ -69,7 +72,7 @@
     }
 }
 
-/// Hands the calls of one connection to the test, and writes what it answers.
+/// Passes the calls of one connection to the test, and writes its answers.
 pub(super) fn serve_calls(endpoint: usize, stream: TcpStream, actions: &Sender<CourierAction>) {
     let Ok(mut out) = stream.try_clone() else { return };
     let mut input = BufReader::new(stream);
@@ -84,7 +87,7 @@
         match answered.recv() {
             Ok(Some(bytes)) => drop(out.write_all(&bytes)),
             Ok(None) => drop(out.shutdown(Shutdown::Both)),
-            // Hangs: until the courier closes.
+            // The test dropped the call: waits until the courier closes the connection.
             Err(_) => drop(input.read(&mut [0])),
         }
     }
--- a/crates/gullcart-standins/src/world/client.rs
+++ b/crates/gullcart-standins/src/world/client.rs
@@ -1,59 +1,59 @@
-//! A client of a courier.
+//! A client of a courier, which sends RESP commands.
 
 use super::TIMEOUT;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// A client's connection.
+/// A client with one connection.
 pub struct Client {
     stream: BufReader<TcpStream>,
 }
 
 impl Client {
-    /// A client that has connected to an address.
+    /// Connects to an address.
     pub(super) fn connect(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Client { stream: BufReader::new(stream) }
     }
 
-    /// Sends bytes as they are.
+    /// Sends raw bytes, and ignores errors.
     pub fn send(&mut self, bytes: &[u8]) {
-        // A courier that has had enough of bad input may close before all of it is written.
+        // A courier may close the connection after bad input before all of it is written.
         let _ = self.try_send(bytes);
     }
 
-    /// Sends bytes as they are; an error where the courier has closed.
+    /// Sends raw bytes; an error if the courier has closed the connection.
     pub fn try_send(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         self.stream.get_mut().write_all(bytes)
     }
 
-    /// Ends the sending side.
+    /// Closes the sending side.
     pub fn shutdown_write(&mut self) {
         self.stream.get_mut().shutdown(Shutdown::Write).unwrap();
     }
 
-    /// Limits how long a read may take.
+    /// Sets the timeout of reads.
     pub fn with_read_timeout(self, limit: Duration) -> Self {
         self.stream.get_ref().set_read_timeout(Some(limit)).unwrap();
         self
     }
 
-    /// The next line of the answers.
+    /// Reads the next reply line.
     pub fn read_reply(&mut self) -> String {
         let mut line = String::new();
         self.stream.read_line(&mut line).unwrap();
         line.trim_end().to_owned()
     }
 
-    /// Sends a request, and waits for its answer.
+    /// Sends a command and reads its reply line.
     pub fn request<W: AsRef<[u8]>>(&mut self, arguments: &[W]) -> String {
         self.send_command(arguments);
         self.read_reply()
     }
 
-    /// Sends a request of some arguments.
+    /// Sends a command as an array of bulk strings.
     fn send_command<W: AsRef<[u8]>>(&mut self, arguments: &[W]) {
         let mut bytes = format!("*{}\r\n", arguments.len()).into_bytes();
         for argument in arguments.iter().map(AsRef::as_ref) {
@@ -64,26 +64,26 @@
         self.send(&bytes);
     }
 
-    /// Hands a message in; `class` may carry further fields.
+    /// Enqueues a message and reads the reply. `class` may be followed by further fields.
     pub fn enqueue(&mut self, id: &str, key: &str, class: &str, destination: u32, body: &[u8]) -> String {
         self.send_enqueue(id, key, class, destination, body);
         self.read_reply()
     }
 
-    /// Sends a hand-in without waiting for its answer.
+    /// Sends the command that enqueues a message, without reading the reply.
     pub fn send_enqueue(&mut self, id: &str, key: &str, class: &str, destination: u32, body: &[u8]) {
         let fields = format!("d=20000,c={class},dest={destination}");
         self.send_command(&[b"ENQUEUE", key.as_bytes(), id.as_bytes(), fields.as_bytes(), body]);
     }
 
-    /// Waits until the courier has ended its sending: the bytes that came before that.
+    /// Reads until the courier closes the connection, and returns all that it sent.
     pub fn read_to_end(&mut self) -> std::io::Result<String> {
         let mut rest = String::new();
         self.stream.read_to_string(&mut rest)?;
         Ok(rest)
     }
 
-    /// Whether the courier closes the connection without a argument.
+    /// Waits for the connection to end, and returns whether it did so before any further byte.
     pub fn is_closed(&mut self) -> bool {
         match self.stream.read(&mut [0]) {
             Ok(count) => count == 0,
--- a/crates/gullcart-standins/src/world/config.rs
+++ b/crates/gullcart-standins/src/world/config.rs
@@ -1,26 +1,28 @@
-//! The configuration of couriers, and the files in their folder.
+//! The configuration files of couriers under test.
 
 use super::agent::Agent;
 use super::harness::World;
 use serde_json::{json, Value};
 
-/// A class of the settings: its name, effect, window in milliseconds, and whether it keeps its order.
-fn class(aim: u64, name: &str, effect: &str, window: u64, order: bool) -> Value {
+/// A class of the settings. `aim_s` is its aim in seconds, `repeat_window_ms` its repeat window, and `ordered` whether it
+/// keeps its messages in order.
+fn class(aim_s: u64, name: &str, effect: &str, repeat_window_ms: u64, ordered: bool) -> Value {
     json!({
-        "Name": name, "Effect": effect, "Group": "all", "RepeatWindow": window * 1_000_000,
-        "OneAtATime": order, "Worth": 1.0, "LateShare": 0.5,
-        "Aim": aim * 1_000_000_000, "Deadline": aim * 8 * 1_000_000_000,
+        "Name": name, "Effect": effect, "Group": "all", "RepeatWindow": repeat_window_ms * 1_000_000,
+        "OneAtATime": ordered, "Worth": 1.0, "LateShare": 0.5,
+        "Aim": aim_s * 1_000_000_000, "Deadline": aim_s * 8 * 1_000_000_000,
     })
 }
 
 impl World {
-    /// Writes the configuration, with discovery at some agent.
+    /// Writes the configuration, with discovery at this agent.
     pub fn configure(&self, agent: &Agent) {
-        let targets: Vec<Value> = (0..self.endpoints.len()).map(|at| self.target(at, "SERVING")).collect();
+        let targets: Vec<Value> =
+            (0..self.endpoints.len()).map(|index| self.target(index, "SERVING")).collect();
         let classes = [
-            class(self.aim, "notice", "idempotency_key", 10_000, true),
-            class(self.aim, "brief", "idempotency_key", 400, true),
-            class(self.aim, "salary", "non_idempotent", 0, false),
+            class(self.aim_s, "notice", "idempotency_key", 10_000, true),
+            class(self.aim_s, "brief", "idempotency_key", 400, true),
+            class(self.aim_s, "salary", "non_idempotent", 0, false),
         ];
         let config = json!({
             "name": "n0", "listen": "127.0.0.1:0", "discovery": agent.address.to_string(), "seed": "7",
@@ -38,7 +40,7 @@
         std::fs::rename(new, self.folder.join("config.json")).unwrap();
     }
 
-    /// Puts other words in the place of the configuration.
+    /// Replaces the configuration with text that is not valid JSON.
     pub fn write_invalid_configuration(&self) {
         std::fs::write(self.folder.join("config.json"), "{\"name\":").unwrap();
     }
--- a/crates/gullcart-standins/src/world/connections.rs
+++ b/crates/gullcart-standins/src/world/connections.rs
@@ -1,4 +1,4 @@
-//! Endpoints whose connections are refused, or do not come up.
+//! Endpoints whose connections are refused or not established.
 
 use super::call::serve_calls;
 use super::harness::World;
@@ -7,7 +7,7 @@
 use socket2::{Domain, Socket, Type};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// A socket that is bound, and its address.
+/// A socket that is bound to a loopback port but does not listen, and its address.
 fn bind_loopback() -> (Socket, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -15,7 +15,7 @@
     (socket, address)
 }
 
-/// A listener whose queue is full.
+/// A listener whose accept queue is full, so that no further connection is established.
 pub struct StalledListener {
     listener: TcpListener,
     endpoint: usize,
@@ -23,15 +23,15 @@
 }
 
 impl World {
-    /// Puts an address that refuses connections in an endpoint's place.
+    /// Replaces the address of an endpoint with one that refuses connections.
     pub fn refuse_connections(&mut self, endpoint: usize) {
         let (socket, address) = bind_loopback();
         self.endpoints[endpoint] = address;
         self.refusing.push(socket);
     }
 
-    /// Puts an address in an endpoint's place where connections do not come up: the queue of those that wait to
-    /// be accepted is full. They do once the returned listener is served.
+    /// Replaces the address of an endpoint with one whose accept queue is full, so that connections are not established
+    /// until the returned listener is passed to [`World::serve_stalled`].
     pub fn stall_connections(&mut self, endpoint: usize) -> StalledListener {
         let (socket, address) = bind_loopback();
         socket.listen(0).unwrap();
@@ -43,7 +43,7 @@
         StalledListener { listener: socket.into(), endpoint, _fillers: fillers }
     }
 
-    /// Lets the connections come up that hang.
+    /// Accepts and serves the connections of a stalled listener.
     pub fn serve_stalled(&self, stalled: StalledListener) {
         let (action_sender, endpoint) = (self.action_sender.clone(), stalled.endpoint);
         serve(stalled.listener, move |stream| serve_calls(endpoint, stream, &action_sender));
--- a/crates/gullcart-standins/src/world/courier.rs
+++ b/crates/gullcart-standins/src/world/courier.rs
@@ -1,4 +1,4 @@
-//! A courier under test: its process, its log and the signals that it is sent.
+//! The courier under test: its process, its log and the signals that tests send.
 
 use super::agent::Agent;
 use super::client::Client;
@@ -18,26 +18,26 @@
         Courier::start(self)
     }
 
-    /// Starts a courier whose discovery is at some agent.
+    /// Starts a courier with discovery at this agent, and waits until it listens.
     pub fn start_with_agent(&self, agent: &Agent) -> Courier<'_> {
         self.configure(agent);
         Courier::start(self)
     }
 
-    /// What a courier says that does not start, and its exit status.
+    /// Writes the configuration, runs a courier that is expected to exit, and returns its log and exit status.
     pub fn run_to_exit(&self) -> (String, ExitStatus) {
         self.configure(&self.discovery);
         let output = self.command().output().unwrap();
         (String::from_utf8_lossy(&output.stderr).into_owned(), output.status)
     }
 
-    /// What a courier says that does not start with the configuration as it lies there, and its exit status.
+    /// Runs a courier with the existing configuration file until it exits, and returns its log and exit status.
     pub fn run_to_exit_as_configured(&self) -> (String, ExitStatus) {
         let output = self.command().output().unwrap();
         (String::from_utf8_lossy(&output.stderr).into_owned(), output.status)
     }
 
-    /// Starts a courier that ends at once; what it says of that.
+    /// Runs a courier until it exits, checks that it failed, and returns its log.
     pub fn expect_failed_start(&self) -> String {
         self.configure(&self.discovery);
         let output = self.command().output().unwrap();
@@ -45,7 +45,7 @@
         String::from_utf8_lossy(&output.stderr).into_owned()
     }
 
-    /// What starts a courier.
+    /// The command that starts a courier.
     fn command(&self) -> Command {
         let mut command = match self.descriptor_limit {
             None => Command::new(&self.program),
@@ -59,15 +59,16 @@
     }
 }
 
-/// A program that the system holds to so many descriptors. The shell is not asked to run a script of ours: a process that
-/// another test forks meanwhile may hold such a file open for writing, and then it cannot be executed.
-fn with_descriptor_limit(program: &str, descriptors: u32) -> Command {
+/// A command that runs a program with a limit of open descriptors. The shell gets its commands as an argument rather than as
+/// a script file: a process that another test forks at that moment may hold the new file open for writing, and executing it
+/// would then fail.
+fn with_descriptor_limit(program: &str, descriptor_limit: u32) -> Command {
     let mut command = Command::new("/bin/sh");
-    command.arg("-c").arg(format!("ulimit -n {descriptors} && exec \"$0\"")).arg(program);
+    command.arg("-c").arg(format!("ulimit -n {descriptor_limit} && exec \"$0\"")).arg(program);
     command
 }
 
-/// The lines that a courier has written to its log.
+/// The lines that a courier has logged so far.
 #[derive(Default)]
 struct LogLines {
     lines: Mutex<Vec<String>>,
@@ -83,6 +84,7 @@
 }
 
 impl<'a> Courier<'a> {
+    /// Starts the process and waits until its log names its address.
     fn start(world: &'a World) -> Self {
         let mut child = world.command().stderr(Stdio::piped()).spawn().unwrap();
         let log = Arc::new(LogLines::default());
@@ -100,62 +102,63 @@
         courier
     }
 
-    /// Waits for a line of the log that holds some words, and returns it.
-    pub fn wait_for_log(&self, words: &str) -> String {
-        self.wait_for_nth_log(words, 1)
+    /// Waits for a log line that contains this text, and returns it.
+    pub fn wait_for_log(&self, text: &str) -> String {
+        self.wait_for_nth_log(text, 1)
     }
 
-    /// Waits for so many such lines, and returns the last of them.
-    pub fn wait_for_nth_log(&self, words: &str, times: usize) -> String {
+    /// Waits for `count` lines that contain this text, and returns the last of them.
+    pub fn wait_for_nth_log(&self, text: &str, count: usize) -> String {
         let end = Instant::now() + TIMEOUT;
         let mut lines = self.log.lines.lock().unwrap();
         loop {
-            if let Some(line) = lines.iter().filter(|line| line.contains(words)).nth(times - 1) {
+            if let Some(line) = lines.iter().filter(|line| line.contains(text)).nth(count - 1) {
                 return line.clone();
             }
             let left = end.saturating_duration_since(Instant::now());
-            assert!(!left.is_zero(), "the log never says '{words}': {lines:#?}");
+            assert!(!left.is_zero(), "no line of the log contains '{text}': {lines:#?}");
             lines = self.log.added.wait_timeout(lines, left).unwrap().0;
         }
     }
 
-    /// Waits for a line of the log that holds both words, and returns it.
-    pub fn wait_for_log_with_both(&self, words: &str, other_words: &str) -> String {
-        let mut times = 1;
+    /// Waits for a log line that contains both texts, and returns it.
+    pub fn wait_for_log_with_both(&self, text: &str, other_text: &str) -> String {
+        let mut count = 1;
         loop {
-            let line = self.wait_for_nth_log(words, times);
-            if line.contains(other_words) {
+            let line = self.wait_for_nth_log(text, count);
+            if line.contains(other_text) {
                 return line;
             }
-            times += 1;
+            count += 1;
         }
     }
 
-    /// Where its console listens.
+    /// The address of the console.
     pub fn console(&self) -> SocketAddr {
         let line = self.wait_for_log("the console is open");
         let address = line.split_once("address=").and_then(|(_, rest)| rest.split_whitespace().next());
         address.unwrap().trim_matches('"').parse().unwrap()
     }
 
-    /// A connection to the courier.
+    /// Connects a client to the courier.
     pub fn client(&self) -> Client {
         Client::connect(self.address)
     }
 
-    /// Kills the process.
+    /// Kills the process with SIGKILL.
     pub fn kill(mut self) -> KilledCourier<'a> {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
         KilledCourier { world: self.world }
     }
 
-    /// Kills the process, and starts another one on the same folder.
+    /// Kills the process and starts another one with the same folder.
     pub fn kill_and_restart(self) -> Courier<'a> {
         self.kill().restart()
     }
 
-    /// Stops the process for as long as something is done. The signal is on its way for a moment, in which the process runs on.
+    /// Calls `act` while the process is stopped by SIGSTOP. The signal takes a moment to stop all threads, so this waits
+    /// until it has done so.
     pub fn while_stopped(&self, act: impl FnOnce()) {
         self.signal("STOP");
         let end = Instant::now() + TIMEOUT;
@@ -167,11 +170,11 @@
         self.signal("CONT");
     }
 
-    /// Whether all threads of the process stand still by a signal.
+    /// Whether all threads of the process are stopped by a signal.
     fn is_stopped(&self) -> bool {
         let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).unwrap();
         tasks.map(|task| std::fs::read_to_string(task.unwrap().path().join("stat")).unwrap()).all(|stat| {
-            // The state stands behind the name, which ends in a bracket.
+            // The state follows the name, which is in parentheses.
             stat.rsplit(')').next().is_some_and(|rest| rest.trim_start().starts_with('T'))
         })
     }
@@ -183,7 +186,7 @@
         names.map(|name| name.trim().to_owned()).collect()
     }
 
-    /// Descriptors that the process holds.
+    /// Number of open descriptors of the process.
     pub fn descriptor_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
@@ -191,12 +194,12 @@
     /// Processor time of the process so far, in clock ticks.
     pub fn cpu_ticks(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
-        // Behind the name, which ends in a bracket: the twelfth and thirteenth field.
+        // User and system time are the 12th and 13th fields after the name, which is in parentheses.
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
         fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
     }
 
-    /// Memory of the process that is in use, in KiB.
+    /// Resident memory of the process, in KiB.
     pub fn resident_kib(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap();
@@ -213,13 +216,13 @@
         self.signal("HUP");
     }
 
-    /// Sends a signal to the process.
+    /// Sends a signal, given by its name without SIG.
     pub fn signal(&self, name: &str) {
         let signal = format!("kill -{name} {}", self.child.id());
         assert!(Command::new("/bin/sh").args(["-c", &signal]).status().unwrap().success());
     }
 
-    /// Waits for the process to end by itself.
+    /// Waits for the process to exit by itself, for `limit` at most.
     pub fn wait_for_exit(&mut self, limit: Duration) -> ExitStatus {
         let end = Instant::now() + limit;
         loop {
@@ -245,7 +248,7 @@
 }
 
 impl<'a> KilledCourier<'a> {
-    /// Starts another process on the same folder.
+    /// Starts another process with the same folder and configuration.
     pub fn restart(self) -> Courier<'a> {
         Courier::start(self.world)
     }
--- a/crates/gullcart-standins/src/world/expectations.rs
+++ b/crates/gullcart-standins/src/world/expectations.rs
@@ -1,4 +1,4 @@
-//! What the courier does, as a test waits for it.
+//! Waits for what the courier does, and checks that it does nothing.
 
 use super::agent::Agent;
 use super::call::{Call, CourierAction};
@@ -8,20 +8,20 @@
 use std::time::Instant;
 
 impl World {
-    /// The next thing that the courier does.
+    /// Waits for the next call or notice.
     pub fn next_action(&self) -> CourierAction {
-        self.actions.recv_timeout(TIMEOUT).expect("the courier does something")
+        self.actions.recv_timeout(TIMEOUT).expect("no call or notice arrived in time")
     }
 
-    /// The next thing that the courier does, which must be a call.
+    /// Waits for the next action, which must be a call.
     pub fn next_call(&self) -> Call {
         match self.next_action() {
             CourierAction::Call(call) => call,
-            CourierAction::Notice(line) => panic!("a call was due, not the notice {line}"),
+            CourierAction::Notice(line) => panic!("expected a call, received the notice {line}"),
         }
     }
 
-    /// The next call before a moment, if one comes.
+    /// Waits for a call until `end`, and skips notices.
     pub fn next_call_before(&self, end: Instant) -> Option<Call> {
         loop {
             match self.actions.recv_timeout(end.saturating_duration_since(Instant::now())).ok()? {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The next call; notices may be repeated meanwhile.
+    /// Waits for the next call, and skips notices, which couriers repeat.
     pub fn next_call_skipping_notices(&self) -> Call {
         loop {
             if let CourierAction::Call(call) = self.next_action() {
@@ -40,34 +40,34 @@
         }
     }
 
-    /// The next thing that the courier does, which must be a notice.
+    /// Waits for the next action, which must be a notice.
     pub fn next_notice(&self) -> String {
         match self.next_action() {
             CourierAction::Notice(line) => line,
-            CourierAction::Call(call) => panic!("a notice was due, not a call for {}", call.id),
+            CourierAction::Call(call) => panic!("expected a notice, received a call for {}", call.id),
         }
     }
 
-    /// No call for a while; notices may be repeated.
+    /// Checks that no call arrives for a while. Notices are skipped.
     pub fn expect_no_call(&self) {
         let end = Instant::now() + QUIET_PERIOD;
         while let Ok(action) = self.actions.recv_timeout(end.saturating_duration_since(Instant::now())) {
             if let CourierAction::Call(call) = action {
-                panic!("nothing was to be sent, but {} was", call.id);
+                panic!("expected no call, received one for {}", call.id);
             }
         }
     }
 
-    /// The courier does nothing for a while.
+    /// Checks that neither a call nor a notice arrives for a while.
     pub fn expect_nothing(&self) {
         match self.actions.recv_timeout(QUIET_PERIOD) {
-            Ok(CourierAction::Call(call)) => panic!("nothing was to be sent, but {} was", call.id),
-            Ok(CourierAction::Notice(line)) => panic!("nothing was to be told, but {line} was"),
+            Ok(CourierAction::Call(call)) => panic!("expected no call, received one for {}", call.id),
+            Ok(CourierAction::Notice(line)) => panic!("expected no notice, received {line}"),
             Err(_) => {}
         }
     }
 
-    /// How many requests with notices an agent has had.
+    /// Number of requests with notices that an agent has received.
     pub fn notice_requests_at(&self, agent: &Agent) -> u32 {
         agent.state.notices.load(Ordering::SeqCst)
     }
--- a/crates/gullcart-standins/src/world/harness.rs
+++ b/crates/gullcart-standins/src/world/harness.rs
@@ -1,4 +1,4 @@
-//! The world itself: the endpoints and the discovery that a courier under test is given, and its folder.
+//! The harness itself: endpoints, discovery and the folder of a courier under test.
 
 use super::agent::Agent;
 use super::call::{serve_calls, CourierAction};
@@ -9,37 +9,39 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::mpsc::{channel, Receiver, Sender};
 
-/// What stands around a courier under test.
+/// The environment of couriers under test. The public fields are parameters of couriers that are started later.
 pub struct World {
     pub(super) program: String,
     pub(super) folder: PathBuf,
     pub(super) endpoints: Vec<SocketAddr>,
-    /// Sockets that are bound and do not listen: connecting to one is refused, and nobody else gets its port.
+    /// Sockets that are bound but do not listen: they refuse connections and reserve their ports.
     pub(super) refusing: Vec<Socket>,
     pub(super) discovery: Agent,
+    /// What couriers do, in order.
     pub(super) actions: Receiver<CourierAction>,
     pub(super) action_sender: Sender<CourierAction>,
-    /// When messages are wanted, in seconds.
-    pub(super) aim: u64,
-    /// Messages held at once, at most.
+    /// Aim of all classes, in seconds. Deadlines are eight times as long.
+    pub(super) aim_s: u64,
+    /// Maximum number of messages that a courier holds.
     pub max_held: u32,
-    /// Calls out at once, at most.
+    /// Maximum number of calls in flight.
     pub slots: u32,
-    /// Descriptors of a courier.
+    /// Descriptors that the configuration allows a courier.
     pub sockets: u32,
-    /// Descriptors that a courier may open, where the system is to hold it to fewer than usual.
+    /// Limit of open descriptors that the system enforces, if it is to be lower than usual.
     pub descriptor_limit: Option<u32>,
-    /// Each endpoint has a destination of its own, from 1 on.
+    /// Whether each endpoint has a separate destination, numbered from 1. Otherwise all belong to destination 1.
     pub separate_destinations: bool,
-    /// Couriers that share the endpoints, as they are told.
+    /// Number of couriers that share the endpoints, as stated in the settings.
     pub couriers: u32,
-    /// Further variables that couriers are given.
+    /// Additional environment variables of couriers.
     pub environment: Vec<(String, String)>,
+    /// Disk space that the configuration allows a courier, in MB.
     pub(super) disk_mb: f64,
     _cleanup: Cleanup,
 }
 
-/// Removes the folder of a world at its end.
+/// Removes the folder when the harness is dropped.
 struct Cleanup(PathBuf);
 
 impl Drop for Cleanup {
@@ -49,11 +51,12 @@
 }
 
 impl World {
-    /// Endpoints of destination 1, all serving, and a disk of some size.
+    /// A harness with this number of serving endpoints, all of destination 1, and this disk space for couriers.
     pub fn new(program: &str, endpoints: usize, disk_mb: f64) -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
-        let own = format!("gullcart-test-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
-        let folder = std::env::temp_dir().join(own);
+        let folder_name =
+            format!("gullcart-test-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
+        let folder = std::env::temp_dir().join(folder_name);
         std::fs::create_dir_all(folder.join("state")).unwrap();
         let (action_sender, actions) = channel();
         let bind = || TcpListener::bind("127.0.0.1:0").unwrap();
@@ -74,7 +77,7 @@
             discovery,
             actions,
             action_sender,
-            aim: 3,
+            aim_s: 3,
             max_held: 400,
             slots: 16,
             sockets: 1024,
@@ -86,45 +89,45 @@
         }
     }
 
-    /// A world whose couriers have a console each, at a port of the system's choice.
+    /// A harness whose couriers open a console, on a port that the system chooses.
     pub fn with_console(program: &str, endpoints: usize) -> Self {
         let mut world = World::new(program, endpoints, 3.0);
         world.environment.push(("BALANCER_CONSOLE".to_owned(), "127.0.0.1:0".to_owned()));
         world
     }
 
-    /// A world in which the module waits long before it gives anything up.
+    /// A harness with long aims and deadlines, for tests in which no message may expire.
     pub fn with_long_deadlines(program: &str, endpoints: usize, disk_mb: f64) -> Self {
-        World { aim: 100, ..World::new(program, endpoints, disk_mb) }
+        World { aim_s: 100, ..World::new(program, endpoints, disk_mb) }
     }
 
-    /// Calls go where those of another world go, which is asked about them.
+    /// Uses the endpoints of another harness, which then receives the calls.
     pub fn share_endpoints_of(&mut self, other: &World) {
         self.endpoints = other.endpoints.clone();
     }
 
-    /// The folder that outlasts the courier.
+    /// The state folder, which is kept when a courier restarts.
     pub fn state_folder(&self) -> PathBuf {
         self.folder.join("state")
     }
 
-    /// Where the configuration lies, and other files may.
+    /// The folder of the configuration, for other files too.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// Bytes of the disk that the state folder takes up.
+    /// Bytes that the files of the state folder take up, rounded up to 512 for each file.
     pub fn disk_used_bytes(&self) -> u64 {
         let files = std::fs::read_dir(self.folder.join("state")).unwrap();
         files.map(|file| file.unwrap().metadata().map_or(0, |data| data.len().div_ceil(512) * 512)).sum()
     }
 
-    /// Writes behind the last record of the journal.
+    /// Appends bytes after the last record of the newest journal segment.
     pub fn append_to_journal(&self, bytes: &[u8]) {
         let files = std::fs::read_dir(self.state_folder()).unwrap().map(|file| file.unwrap().path());
         let last = files.filter(|path| path.extension().is_some_and(|end| end == "seg")).max().unwrap();
         let mut all = std::fs::read(&last).unwrap();
-        // A record may end in a few zeros.
+        // The rest of the segment is zeros, but the last record may end in a few zeros itself.
         all.truncate(all.iter().rposition(|byte| *byte != 0).map_or(0, |at| at + 8));
         all.extend_from_slice(bytes);
         std::fs::write(last, all).unwrap();
--- a/crates/gullcart-standins/src/world/http.rs
+++ b/crates/gullcart-standins/src/world/http.rs
@@ -1,19 +1,19 @@
-//! HTTP requests as couriers write them, and listeners that serve each connection on a thread.
+//! A reader of the HTTP requests that couriers write, and listeners that serve each connection on a separate thread.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::{TcpListener, TcpStream};
 use std::thread;
 
-/// One request.
+/// A request.
 pub(super) struct Request {
-    /// Its first line.
+    /// The request line.
     pub line: String,
-    /// Names in lower case, and values.
+    /// Names in lower case, with their values.
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
-/// The next request of a connection; none once it has ended.
+/// Reads the next request of a connection; `None` once it has ended.
 pub(super) fn read_request(stream: &mut BufReader<TcpStream>) -> Option<Request> {
     let mut line = String::new();
     stream.read_line(&mut line).ok().filter(|count| *count > 0)?;
@@ -30,7 +30,7 @@
     Some(Request { line, headers, body })
 }
 
-/// Serves each connection on a thread of its own.
+/// Calls `each` for every connection, on a separate thread.
 pub(super) fn serve(listener: TcpListener, each: impl Fn(TcpStream) + Clone + Send + 'static) {
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
--- a/crates/gullcart-standins/src/world/updates.rs
+++ b/crates/gullcart-standins/src/world/updates.rs
@@ -1,4 +1,4 @@
-//! What discovery says of the endpoints, and other agents beside the first.
+//! What discovery advertises of the endpoints, and further discovery agents.
 
 use super::agent::Agent;
 use super::harness::World;
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 impl World {
-    /// An endpoint as discovery lists it.
+    /// The list entry of an endpoint.
     pub(super) fn target(&self, endpoint: usize, state: &str) -> Value {
         let destination = if self.separate_destinations { endpoint + 1 } else { 1 };
         json!({
@@ -18,24 +18,25 @@
         })
     }
 
-    /// A change of the list that tells the state of one endpoint.
+    /// An update of the list with the state of one endpoint.
     pub fn state_change(&self, rev: u32, endpoint: usize, state: &str) -> Value {
         json!({"rev": rev, "all": false, "targets": [self.target(endpoint, state)]})
     }
 
-    /// Tells the watch that an endpoint drains.
+    /// Advertises that an endpoint is draining.
     pub fn advertise_draining(&self, endpoint: usize) {
         self.advertise(2, &[self.target(endpoint, "DRAINING")]);
     }
 
-    /// Tells the watch that an endpoint is gone.
+    /// Advertises that an endpoint is deleted.
     pub fn advertise_deleted(&self, endpoint: usize) {
         self.advertise(2, &[self.target(endpoint, "DELETED")]);
     }
 
-    /// Tells the watch that other endpoints, at the same address, have come in the place of one: so many, one
-    /// after the other, under ids with this number in them.
-    pub fn advertise_replacements(&self, endpoint: usize, number: u32, times: u32) {
+    /// Advertises in one update that an endpoint was replaced `times` times in a row by another one at the same address. The
+    /// new ids contain `round`, which counts the calls of this method from 0; the last replacement of the previous round is
+    /// deleted too.
+    pub fn advertise_replacements(&self, endpoint: usize, round: u32, times: u32) {
         let mut targets = Vec::new();
         let entry = |uid: String, state| {
             let mut target = self.target(endpoint, state);
@@ -44,18 +45,18 @@
         };
         targets.push(self.target(endpoint, "DELETED"));
         for time in 0..times {
-            targets.push(entry(format!("s-{endpoint}-{number}-{time}"), "SERVING"));
+            targets.push(entry(format!("s-{endpoint}-{round}-{time}"), "SERVING"));
             if time + 1 < times {
-                targets.push(entry(format!("s-{endpoint}-{number}-{time}"), "DELETED"));
+                targets.push(entry(format!("s-{endpoint}-{round}-{time}"), "DELETED"));
             }
         }
-        if number > 0 {
-            targets.push(entry(format!("s-{endpoint}-{}-{}", number - 1, times - 1), "DELETED"));
+        if round > 0 {
+            targets.push(entry(format!("s-{endpoint}-{}-{}", round - 1, times - 1), "DELETED"));
         }
-        self.advertise(10 + number, &targets);
+        self.advertise(10 + round, &targets);
     }
 
-    /// So many more endpoints, all at the address of the first one, at destinations from 2 on.
+    /// List entries of `count` additional endpoints, all at the address of the first one, two for each destination from 2 on.
     fn extra_targets(&self, count: usize, state: &str) -> Vec<Value> {
         let entry = |number: usize| {
             let mut target = self.target(0, state);
@@ -66,26 +67,27 @@
         (0..count).map(entry).collect()
     }
 
-    /// Tells the watch of so many more endpoints in one change.
+    /// Advertises `count` additional endpoints in one update.
     pub fn advertise_many(&self, rev: u32, count: usize, state: &str) {
         self.advertise(rev, &self.extra_targets(count, state));
     }
 
+    /// Advertises list entries on the watches.
     pub fn advertise(&self, rev: u32, targets: &[Value]) {
         self.discovery.state.advertise(rev, targets);
     }
 
-    /// Discovery takes connections and says nothing.
+    /// Sets whether discovery leaves requests for watches unanswered.
     pub fn silence_discovery(&self, silent: bool) {
         self.discovery.state.silent.store(silent, Ordering::SeqCst);
     }
 
-    /// Whether discovery leaves notices unanswered.
+    /// Sets whether discovery leaves notices unanswered.
     pub fn leave_notices_unanswered(&self, hold: bool) {
         self.discovery.state.hold_notices.store(hold, Ordering::SeqCst);
     }
 
-    /// An agent whose every byte the test decides: it is given each connection, with its number from zero on.
+    /// An agent whose connections the test serves itself: `each` gets every connection with its number, from 0 on.
     pub fn agent_with_handler(&self, each: impl Fn(usize, TcpStream) + Clone + Send + 'static) -> Agent {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -94,16 +96,17 @@
         Agent { state: Arc::default(), address }
     }
 
-    /// Another agent, which knows that an endpoint drains.
+    /// Another agent, whose list has one endpoint as draining.
     pub fn agent_with_drain(&self, endpoint: usize) -> Agent {
         let agent = Agent::start(&self.action_sender);
-        let state = |at| if at == endpoint { "DRAINING" } else { "SERVING" };
-        let targets: Vec<Value> = (0..self.endpoints.len()).map(|at| self.target(at, state(at))).collect();
+        let state = |index| if index == endpoint { "DRAINING" } else { "SERVING" };
+        let targets: Vec<Value> =
+            (0..self.endpoints.len()).map(|index| self.target(index, state(index))).collect();
         *agent.state.list.lock().unwrap() = json!({"rev": 5, "all": true, "targets": targets}).to_string();
         agent
     }
 
-    /// Another agent, with so many more endpoints in its whole list.
+    /// Another agent, whose list has `count` additional endpoints.
     pub fn agent_with_many(&self, rev: u32, count: usize, state: &str) -> Agent {
         let agent = Agent::start(&self.action_sender);
         let targets = [vec![self.target(0, "SERVING")], self.extra_targets(count, state)].concat();
--- a/crates/gullcart-standins/tests/links.rs
+++ b/crates/gullcart-standins/tests/links.rs
@@ -1,4 +1,4 @@
-//! Faults between real processes: each one is caused on links between ordinary ones, and seen in what they hear.
+//! Faults on the links between real processes (`gullcart-echo`), observed in what the processes receive.
 
 use gullcart_standins::link::faults::{Direction, LinkFault};
 use gullcart_standins::link::mesh::Mesh;
@@ -15,30 +15,33 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, timeout, Instant};
 
-/// Far longer than anything here takes; only a failing test waits for so long.
+/// Upper bound of every wait. It is far longer than any step takes, so only a failing test reaches it.
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// For how long nothing must arrive where nothing can.
+/// How long nothing must arrive to conclude that a link is cut.
 const QUIET_PERIOD: Duration = Duration::from_millis(300);
 
-/// What a process said it received.
+/// What a process has logged so far.
 #[derive(Default)]
 struct ReceivedNumbers {
-    /// From each other one, in the order in which it came.
+    /// Numbers received from each other process, by its name, in order of arrival.
     from: HashMap<String, Vec<u64>>,
-    /// Said back by each peer, by its place among the peers.
+    /// Numbers echoed by each peer, by its index among the peers.
     echoed: HashMap<usize, Vec<u64>>,
-    /// How often a connection to a peer was made reconnects.
+    /// Number of reconnects to each peer, by its index among the peers.
     reconnects: HashMap<usize, u64>,
 }
 
+/// A `gullcart-echo` process and its log.
 struct Echo {
     child: Child,
     address: SocketAddr,
     received: Rc<RefCell<ReceivedNumbers>>,
+    /// Number of log lines so far, to wait for more.
     lines: watch::Receiver<u64>,
 }
 
 impl Echo {
+    /// Starts a process and follows its log.
     async fn start(name: &str, peers: &[SocketAddr]) -> Echo {
         let peers: Vec<String> = peers.iter().map(ToString::to_string).collect();
         let mut child = Command::new(env!("CARGO_BIN_EXE_gullcart-echo"))
@@ -81,19 +84,22 @@
         kill_process(pid, signal).unwrap();
     }
 
+    /// How many numbers it has received from another process.
     fn received_count(&self, from: &str) -> usize {
         self.received.borrow().from.get(from).map_or(0, Vec::len)
     }
 
+    /// How many numbers a peer has echoed.
     fn echoed_count(&self, peer: usize) -> usize {
         self.received.borrow().echoed.get(&peer).map_or(0, Vec::len)
     }
 
+    /// How often it has reconnected to a peer.
     fn reconnects(&self, peer: usize) -> u64 {
         self.received.borrow().reconnects.get(&peer).copied().unwrap_or(0)
     }
 
-    /// Waits until something that is heard has come true.
+    /// Waits until a condition on the log holds.
     async fn wait_until(&self, what: &str, is_true: impl Fn(&Echo) -> bool) {
         let mut lines = self.lines.clone();
         let waited = timeout(TIMEOUT, async {
@@ -101,16 +107,19 @@
                 lines.changed().await.unwrap();
             }
         });
-        assert!(waited.await.is_ok(), "never: {what}");
+        assert!(waited.await.is_ok(), "timed out waiting until: {what}");
     }
 
-    /// Waits until it hears some more.
+    /// Waits until it has received more than three further numbers.
     async fn expect_receives(&self, from: &str) {
         let before = self.received_count(from);
-        self.wait_until(&format!("hears {from}"), |echo| echo.received_count(from) > before + 3).await;
+        self.wait_until(&format!("it receives numbers from {from}"), |echo| {
+            echo.received_count(from) > before + 3
+        })
+        .await;
     }
 
-    /// Falls silent: hears nothing more, once what was under way has come.
+    /// Waits until it receives nothing more, after what was in transit has arrived.
     async fn expect_silence(&self, from: &str) {
         let silent = timeout(TIMEOUT, async {
             loop {
@@ -121,25 +130,26 @@
                 }
             }
         });
-        assert!(silent.await.is_ok(), "goes on hearing {from}");
+        assert!(silent.await.is_ok(), "still receives numbers from {from}");
     }
 }
 
+/// Names of the three processes.
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
-/// Three processes that all reach each other. The peers of each are the other two, in their order.
+/// Starts three processes and waits until all reach each other. The peers of each are the other two, in order.
 async fn start_three(mesh: &Mesh) -> Vec<Echo> {
     let mut all = Vec::new();
-    for (place, name) in NAMES.iter().enumerate() {
-        let others = (0..3).filter(|other| *other != place);
-        let peers: Vec<SocketAddr> = others.map(|other| mesh.link(place, other).unwrap().address()).collect();
+    for (index, name) in NAMES.iter().enumerate() {
+        let others = (0..3).filter(|other| *other != index);
+        let peers: Vec<SocketAddr> = others.map(|other| mesh.link(index, other).unwrap().address()).collect();
         let echo = Echo::start(name, &peers).await;
-        mesh.set_process_address(place, Some(echo.address));
+        mesh.set_process_address(index, Some(echo.address));
         all.push(echo);
     }
-    for (place, echo) in all.iter().enumerate() {
+    for (index, echo) in all.iter().enumerate() {
         for (other, name) in NAMES.iter().enumerate() {
-            if other != place {
+            if other != index {
                 echo.expect_receives(name).await;
             }
         }
@@ -147,6 +157,7 @@
     all
 }
 
+/// Runs a test on a single-threaded runtime.
 fn run(test: impl std::future::Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, test);
@@ -157,21 +168,21 @@
 }
 
 #[test]
-fn a_muted_direction_carries_nothing_and_the_other_one_does() {
+fn a_cut_direction_carries_nothing_and_the_other_one_does() {
     run(async {
         let mut mesh = Mesh::open(3, 1).unwrap();
         let all = start_three(&mesh).await;
-        let muted = mesh.cut_direction(0, 1).unwrap();
+        let cut = mesh.cut_direction(0, 1).unwrap();
         all[1].expect_silence("a").await;
-        // What b says still comes to a, though a cannot say it back: b's first peer is a.
+        // Numbers from b still reach a, but a's echoes do not return: a is the first peer of b.
         all[0].expect_receives("b").await;
-        let (back, reconnects) = (all[1].echoed_count(0), all[1].reconnects(0));
-        all[1].wait_until("b gives a up", |echo| echo.reconnects(0) > reconnects).await;
-        assert_eq!(all[1].echoed_count(0), back);
+        let (echoed, reconnects) = (all[1].echoed_count(0), all[1].reconnects(0));
+        all[1].wait_until("b reconnects to a", |echo| echo.reconnects(0) > reconnects).await;
+        assert_eq!(all[1].echoed_count(0), echoed);
         all[2].expect_receives("a").await;
-        mesh.end_fault(muted).unwrap();
+        mesh.end_fault(cut).unwrap();
         all[1].expect_receives("a").await;
-        all[1].wait_until("said back again", |echo| echo.echoed_count(0) > back).await;
+        all[1].wait_until("a echoes again", |echo| echo.echoed_count(0) > echoed).await;
     });
 }
 
@@ -181,7 +192,7 @@
         let mut mesh = Mesh::open(3, 2).unwrap();
         let all = start_three(&mesh).await;
         let cut = mesh.cut_pairs(&[(0, 1), (1, 0)]).unwrap();
-        // Shorter than the patience of who waits to hear something back.
+        // Shorter than the timeout after which a process without echoes reconnects.
         sleep(Duration::from_millis(60)).await;
         mesh.end_fault(cut).unwrap();
         all[1].expect_receives("a").await;
@@ -194,20 +205,20 @@
 }
 
 #[test]
-fn partitions_may_be_whole_or_partial_and_overlap() {
+fn partitions_may_be_complete_or_partial_and_overlap() {
     run(async {
         let mut mesh = Mesh::open(3, 3).unwrap();
         let all = start_three(&mesh).await;
         let partial = mesh.partition(&[&[0], &[2]]).unwrap();
         all[2].expect_silence("a").await;
         all[0].expect_silence("c").await;
-        for (place, from) in [(1, "a"), (0, "b"), (1, "c"), (2, "b")] {
-            all[place].expect_receives(from).await;
+        for (index, from) in [(1, "a"), (0, "b"), (1, "c"), (2, "b")] {
+            all[index].expect_receives(from).await;
         }
-        let whole = mesh.partition(&[&[0, 1], &[2]]).unwrap();
+        let complete = mesh.partition(&[&[0, 1], &[2]]).unwrap();
         all[2].expect_silence("b").await;
         all[0].expect_receives("b").await;
-        mesh.end_fault(whole).unwrap();
+        mesh.end_fault(complete).unwrap();
         all[2].expect_receives("b").await;
         all[2].expect_silence("a").await;
         mesh.end_fault(partial).unwrap();
@@ -216,21 +227,21 @@
 }
 
 #[test]
-fn refused_connections_end_and_silent_ones_stay_dead() {
+fn refused_connections_end_and_silent_ones_stay_silent() {
     run(async {
         let mut mesh = Mesh::open(3, 4).unwrap();
         let all = start_three(&mesh).await;
         let accepted = mesh.link(0, 1).unwrap().connections_accepted();
         let refused = mesh.begin_fault(0, 1, LinkFault::Refused).unwrap();
         let reconnects = all[0].reconnects(0);
-        all[0].wait_until("refused over and over", |echo| echo.reconnects(0) > reconnects + 5).await;
+        all[0].wait_until("a is refused several times", |echo| echo.reconnects(0) > reconnects + 5).await;
         all[1].expect_silence("a").await;
         assert_eq!(mesh.link(0, 1).unwrap().connections_accepted(), accepted);
         let silent = mesh.begin_fault(0, 1, LinkFault::Silent).unwrap();
         mesh.end_fault(refused).unwrap();
-        // It comes up, and is given up as nothing comes back.
+        // Connections are established, and dropped because no echo returns.
         let reconnects = all[0].reconnects(0);
-        all[0].wait_until("given up", |echo| echo.reconnects(0) > reconnects + 1).await;
+        all[0].wait_until("a reconnects to b", |echo| echo.reconnects(0) > reconnects + 1).await;
         all[1].expect_silence("a").await;
         mesh.end_fault(silent).unwrap();
         all[1].expect_receives("a").await;
@@ -239,51 +250,57 @@
 }
 
 #[test]
-fn resets_come_in_the_middle_of_a_line_and_nothing_is_heard_twice() {
+fn resets_come_in_the_middle_of_a_line_and_no_number_arrives_twice() {
     run(async {
         let mut mesh = Mesh::open(3, 5).unwrap();
         let all = start_three(&mesh).await;
-        let sound = all[0].reconnects(1);
-        // A number of bytes that no whole number of lines has.
+        let other_reconnects = all[0].reconnects(1);
+        // Not a multiple of the length of a line, so that the reset comes in the middle of one.
         mesh.begin_fault(0, 1, LinkFault::ResetAfter(301)).unwrap();
-        all[0].wait_until("reset over and over", |echo| echo.reconnects(0) > 4).await;
+        all[0].wait_until("a is reset several times", |echo| echo.reconnects(0) > 4).await;
         all[1].expect_receives("a").await;
         assert!(is_increasing(&all[1].received.borrow().from["a"]));
-        // Sound links stay up: who is made anew all the time would show here, too.
-        assert_eq!(all[0].reconnects(1), sound);
+        // Links without a fault stay connected.
+        assert_eq!(all[0].reconnects(1), other_reconnects);
     });
 }
 
 #[test]
-fn late_links_keep_the_order_and_slow_ones_their_pace() {
+fn delayed_links_keep_the_order_and_slow_ones_their_rate() {
     run(async {
         let mut mesh = Mesh::open(3, 6).unwrap();
         let all = start_three(&mesh).await;
         let (from, to) = (Duration::from_millis(40), Duration::from_millis(90));
-        let late = mesh.begin_fault(0, 1, LinkFault::Delayed(from, to)).unwrap();
-        // Both ways are late: what a said just now is not back sooner than in twice the least.
-        let asked = Instant::now();
-        let said = *all[0].received.borrow().echoed[&0].last().unwrap();
+        let delayed = mesh.begin_fault(0, 1, LinkFault::Delayed(from, to)).unwrap();
+        // Numbers and echoes are delayed, so an echo of a number that is sent now takes at least twice the lower bound. The
+        // check asks for one lower bound.
+        let started = Instant::now();
+        let last_echoed = *all[0].received.borrow().echoed[&0].last().unwrap();
         all[0]
-            .wait_until("back", |echo| *echo.received.borrow().echoed[&0].last().unwrap() > said + 20)
+            .wait_until("later numbers are echoed", |echo| {
+                *echo.received.borrow().echoed[&0].last().unwrap() > last_echoed + 20
+            })
             .await;
-        assert!(asked.elapsed() >= from, "{:?}", asked.elapsed());
+        assert!(started.elapsed() >= from, "{:?}", started.elapsed());
         assert!(is_increasing(&all[1].received.borrow().from["a"]));
-        mesh.end_fault(late).unwrap();
-        let pace = 200;
-        mesh.begin_fault(0, 1, LinkFault::Slow(pace)).unwrap();
+        mesh.end_fault(delayed).unwrap();
+        let bytes_per_second = 200;
+        mesh.begin_fault(0, 1, LinkFault::Slow(bytes_per_second)).unwrap();
         let link = mesh.link(0, 1).unwrap();
         let (began, before) = (Instant::now(), link.bytes_carried(Direction::Forward));
         sleep(Duration::from_secs(1)).await;
         let (took, carried) =
             (began.elapsed().as_secs_f64(), link.bytes_carried(Direction::Forward) - before);
-        // What was under way before the pace held is one piece at most.
-        assert!((carried as f64) < f64::from(pace) * (took + 0.1) + 4096.0, "{carried} bytes in {took} s");
+        // One chunk at most was in transit before the limit applied.
+        assert!(
+            (carried as f64) < f64::from(bytes_per_second) * (took + 0.1) + 4096.0,
+            "{carried} bytes in {took} s"
+        );
     });
 }
 
 #[test]
-fn flapping_links_carry_a_part_and_overlap_with_others() {
+fn flapping_links_carry_data_and_overlap_with_other_faults() {
     run(async {
         let mut mesh = Mesh::open(3, 7).unwrap();
         let all = start_three(&mesh).await;
@@ -298,9 +315,9 @@
     });
 }
 
-/// A stopped process holds its connections open and says nothing; it goes on where it was.
+/// A stopped process keeps its connections open and sends nothing; it continues where it was.
 #[test]
-fn a_stopped_process_goes_on_and_a_killed_one_comes_back_elsewhere() {
+fn a_stopped_process_continues_and_a_killed_one_returns_at_another_address() {
     run(async {
         let mesh = Mesh::open(3, 8).unwrap();
         let mut all = start_three(&mesh).await;
--- a/crates/gullcart-standins/tests/standins.rs
+++ b/crates/gullcart-standins/tests/standins.rs
@@ -1,4 +1,4 @@
-//! Stand-ins on loopback sockets, against what the protocol page owes each side.
+//! The stand-ins on loopback sockets, checked against the protocol with couriers.
 
 use gullcart_judge::trace::*;
 use gullcart_standins::client::{Clients, EnqueueRequest};
@@ -15,19 +15,23 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{timeout, Instant};
 
+/// Upper bound of each test.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
+/// Runs a test on a single-threaded runtime, within [`TIMEOUT`].
 fn on_loopback<F: std::future::Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    LocalSet::new().block_on(&runtime, async { timeout(TIMEOUT, test).await.expect("the test ends") });
+    LocalSet::new().block_on(&runtime, async { timeout(TIMEOUT, test).await.expect("the test timed out") });
 }
 
+/// The recorded events.
 type Trace = Rc<RefCell<Vec<Entry>>>;
 
+/// A recorder whose clock runs, and its trace.
 fn recorder() -> (Recorder, Trace) {
     let trace = Trace::default();
-    let heard = trace.clone();
-    let recorder = Recorder::new(move |entry| heard.borrow_mut().push(entry));
+    let entries = trace.clone();
+    let recorder = Recorder::new(move |entry| entries.borrow_mut().push(entry));
     recorder.begin(Instant::now());
     (recorder, trace)
 }
@@ -53,14 +57,16 @@
     }
 }
 
-struct Stand {
+/// An endpoint that serves a partner, and the trace.
+struct EndpointFixture {
     partner: Rc<RefCell<Partner>>,
     endpoint: Rc<Endpoint>,
     listener: EndpointListener,
     trace: Trace,
 }
 
-fn stand() -> Stand {
+/// An endpoint that expects messages 0 to 9, with bodies of 8 bytes or more.
+fn endpoint_fixture() -> EndpointFixture {
     let (recorder, trace) = recorder();
     let expected_message = Rc::new(|message: MessageId| {
         let expected = ExpectedMessage { idempotency_key: None, body: ids::body(message.0, 8) };
@@ -70,9 +76,10 @@
     let partner = Rc::new(RefCell::new(Partner::new(spec(), 1, 1)));
     let endpoint = Rc::new(Endpoint::new(EndpointId(1), PartnerId(1), partner.clone(), 0, true));
     let listener = EndpointListener::open(&context, CourierId(0), endpoint.clone()).unwrap();
-    Stand { partner, endpoint, listener, trace }
+    EndpointFixture { partner, endpoint, listener, trace }
 }
 
+/// Sends a call for a message.
 async fn send(stream: &mut TcpStream, message: u64, body: &[u8]) {
     let head = format!(
         "POST /hook HTTP/1.1\r\nX-Call-Id: {}\r\nContent-Length: {}\r\n\r\n",
@@ -83,8 +90,8 @@
     stream.write_all(body).await.unwrap();
 }
 
-/// The head of an answer; empty where the connection ended.
-async fn answer(stream: &mut TcpStream) -> String {
+/// Reads an answer, head and body; empty if the connection ended.
+async fn read_answer(stream: &mut TcpStream) -> String {
     let mut text = Vec::new();
     let mut byte = [0];
     while !text.ends_with(b"\r\n\r\n") {
@@ -101,20 +108,20 @@
 }
 
 #[test]
-fn a_call_is_answered_and_written_down() {
+fn a_call_is_answered_and_recorded() {
     on_loopback(async {
-        let stand = stand();
-        let mut stream = TcpStream::connect(stand.listener.address()).await.unwrap();
+        let fixture = endpoint_fixture();
+        let mut stream = TcpStream::connect(fixture.listener.address()).await.unwrap();
         send(&mut stream, 3, &ids::body(3, 8)).await;
-        let text = answer(&mut stream).await;
+        let text = read_answer(&mut stream).await;
         assert!(text.starts_with("HTTP/1.1 200 ") && text.contains("X-Load-Report: x0="), "{text}");
-        assert!(text.ends_with("\r\n\r\n0000000000000001"), "its body names the call: {text}");
-        // The same connection serves the next one; a body that was changed is seen, and so is a foreign id.
+        assert!(text.ends_with("\r\n\r\n0000000000000001"), "the body is not the call id: {text}");
+        // The same connection serves further calls. A changed body and an unknown id are recorded as such.
         send(&mut stream, 4, b"changed!").await;
-        assert!(answer(&mut stream).await.starts_with("HTTP/1.1 200 "));
+        assert!(read_answer(&mut stream).await.starts_with("HTTP/1.1 200 "));
         send(&mut stream, 99, b"").await;
-        assert!(answer(&mut stream).await.starts_with("HTTP/1.1 400 "));
-        let calls: Vec<(Option<MessageId>, bool)> = events(&stand.trace)
+        assert!(read_answer(&mut stream).await.starts_with("HTTP/1.1 400 "));
+        let calls: Vec<(Option<MessageId>, bool)> = events(&fixture.trace)
             .into_iter()
             .filter_map(|event| match event {
                 Event::Call { message, intact, .. } => Some((message, intact)),
@@ -126,50 +133,54 @@
 }
 
 #[test]
-fn a_shut_partner_tells_its_wait_and_a_silent_one_nothing() {
+fn a_closed_partner_sends_retry_after_and_a_silent_one_nothing() {
     on_loopback(async {
-        let stand = stand();
-        stand.partner.borrow_mut().begin_fault(1, PartnerFault::Closed(true), None, At::ms(3_600_000));
-        let mut stream = TcpStream::connect(stand.listener.address()).await.unwrap();
+        let fixture = endpoint_fixture();
+        fixture.partner.borrow_mut().begin_fault(1, PartnerFault::Closed(true), None, At::ms(3_600_000));
+        let mut stream = TcpStream::connect(fixture.listener.address()).await.unwrap();
         send(&mut stream, 1, &ids::body(1, 8)).await;
-        let text = answer(&mut stream).await;
-        let wait =
+        let text = read_answer(&mut stream).await;
+        let retry_after_ms =
             text.split("X-Come-Back-Ms: ").nth(1).and_then(|rest| rest.lines().next()?.parse::<u64>().ok());
-        assert!(text.starts_with("HTTP/1.1 429 ") && wait.is_some_and(|ms| ms > 3_500_000), "{text}");
-        stand.partner.borrow_mut().end_fault(1);
-        stand.partner.borrow_mut().begin_fault(2, PartnerFault::Silent, None, At::ms(3_600_000));
+        assert!(
+            text.starts_with("HTTP/1.1 429 ") && retry_after_ms.is_some_and(|ms| ms > 3_500_000),
+            "{text}"
+        );
+        fixture.partner.borrow_mut().end_fault(1);
+        fixture.partner.borrow_mut().begin_fault(2, PartnerFault::Silent, None, At::ms(3_600_000));
         send(&mut stream, 2, &ids::body(2, 8)).await;
-        assert!(timeout(Duration::from_millis(300), answer(&mut stream)).await.is_err());
-        // It is given up by ending the sending side; that is seen.
+        assert!(timeout(Duration::from_millis(300), read_answer(&mut stream)).await.is_err());
+        // The courier gives up the call by closing its sending side, which is recorded.
         stream.shutdown().await.unwrap();
-        assert_eq!(answer(&mut stream).await, "");
-        let last = events(&stand.trace).pop();
+        assert_eq!(read_answer(&mut stream).await, "");
+        let last = events(&fixture.trace).pop();
         assert!(matches!(last, Some(Event::CallCut { by: By::Courier, .. })), "{last:?}");
     });
 }
 
 #[test]
-fn a_broken_endpoint_resets_and_a_shut_door_refuses_and_keeps_its_port() {
+fn connections_are_reset_or_refused_and_the_port_is_kept() {
     on_loopback(async {
-        let stand = stand();
-        stand.partner.borrow_mut().begin_fault(1, PartnerFault::Silent, None, At::ms(3_600_000));
-        let mut stream = TcpStream::connect(stand.listener.address()).await.unwrap();
+        let fixture = endpoint_fixture();
+        fixture.partner.borrow_mut().begin_fault(1, PartnerFault::Silent, None, At::ms(3_600_000));
+        let mut stream = TcpStream::connect(fixture.listener.address()).await.unwrap();
         send(&mut stream, 1, &ids::body(1, 8)).await;
-        while !events(&stand.trace).iter().any(|event| matches!(event, Event::Call { .. })) {
+        while !events(&fixture.trace).iter().any(|event| matches!(event, Event::Call { .. })) {
             tokio::task::yield_now().await;
         }
-        stand.endpoint.reset_connections();
-        assert_eq!(answer(&mut stream).await, "");
-        let last = events(&stand.trace).pop();
+        fixture.endpoint.reset_connections();
+        assert_eq!(read_answer(&mut stream).await, "");
+        let last = events(&fixture.trace).pop();
         assert!(matches!(last, Some(Event::CallCut { by: By::Partner, .. })), "{last:?}");
-        stand.listener.refuse_connections();
+        fixture.listener.refuse_connections();
         tokio::task::yield_now().await;
-        assert!(TcpStream::connect(stand.listener.address()).await.is_err());
-        stand.listener.reopen().unwrap();
-        assert!(TcpStream::connect(stand.listener.address()).await.is_ok());
+        assert!(TcpStream::connect(fixture.listener.address()).await.is_err());
+        fixture.listener.reopen().unwrap();
+        assert!(TcpStream::connect(fixture.listener.address()).await.is_ok());
     });
 }
 
+/// A list entry in this state.
 fn target(state: State) -> Target {
     Target {
         endpoint: EndpointId(7),
@@ -182,25 +193,26 @@
     }
 }
 
+/// Opens a watch of the changes after revision 1.
 async fn watch(address: SocketAddr) -> BufReader<TcpStream> {
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(b"GET /v1/endpoints?watch=1&after=1 HTTP/1.1\r\n\r\n").await.unwrap();
     BufReader::new(stream)
 }
 
-/// The next line that holds some words.
-async fn line(watch: &mut BufReader<TcpStream>, words: &str) -> String {
+/// Reads up to the next line that contains this text.
+async fn line(watch: &mut BufReader<TcpStream>, text: &str) -> String {
     loop {
         let mut line = String::new();
         assert!(watch.read_line(&mut line).await.unwrap() > 0, "the watch ended");
-        if line.contains(words) {
+        if line.contains(text) {
             return line;
         }
     }
 }
 
 #[test]
-fn a_change_is_told_when_it_is_written_and_a_silent_register_writes_nothing() {
+fn a_change_is_recorded_when_it_is_sent_and_a_silent_register_sends_nothing() {
     on_loopback(async {
         let (recorder, trace) = recorder();
         let agent = Agent::start(&recorder, CourierId(0), vec![target(State::Serving)]).await.unwrap();
@@ -213,14 +225,14 @@
         agent.set_silent(false);
         assert!(line(&mut watching, "DRAINING").await.contains("\"rev\":2"));
         assert!(matches!(events(&trace)[..], [Event::Listed { state: State::Draining, .. }]));
-        // A watch that begins anew is told what it has missed.
+        // A new watch is sent the changes since its revision.
         let agent = agent.restart_at_new_address().await.unwrap();
         assert!(line(&mut watch(agent.address()).await, "DRAINING").await.contains("s-00000007"));
     });
 }
 
 #[test]
-fn notices_are_taken_and_bad_ones_are_refused() {
+fn notices_are_recorded_and_malformed_ones_rejected() {
     on_loopback(async {
         let (recorder, trace) = recorder();
         let agent = Agent::start(&recorder, CourierId(0), Vec::new()).await.unwrap();
@@ -233,16 +245,17 @@
         ] {
             let head = format!("POST /v1/notices HTTP/1.1\r\nContent-Length: {}\r\n\r\n", body.len());
             stream.write_all(format!("{head}{body}").as_bytes()).await.unwrap();
-            assert!(answer(&mut stream).await.starts_with(&format!("HTTP/1.1 {status} ")));
+            assert!(read_answer(&mut stream).await.starts_with(&format!("HTTP/1.1 {status} ")));
         }
         let message = MessageId(5);
         let ended = Ended::Returned(Some(40));
-        let told = Event::Notice { message: Some(message), courier: CourierId(0), ended };
-        assert_eq!(events(&trace), [told, Event::NoticeAnswered { message }]);
+        let notice = Event::Notice { message: Some(message), courier: CourierId(0), ended };
+        assert_eq!(events(&trace), [notice, Event::NoticeAnswered { message }]);
     });
 }
 
-/// A courier that answers each request of a connection in a set way, then closes it.
+/// A courier that accepts one connection for each of these replies, writes the reply to the first request and closes the
+/// connection. An empty reply closes it without one.
 async fn courier(answers: Vec<&'static str>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -255,7 +268,7 @@
             if answer.is_empty() {
                 continue;
             }
-            // Closed before the next request on it: that crosses the closing.
+            // Closed without notice: the next request on this connection fails.
             drop(stream);
         }
     });
@@ -263,7 +276,7 @@
 }
 
 #[test]
-fn clients_go_once_more_where_a_connection_was_closed() {
+fn clients_send_once_more_when_a_connection_was_closed() {
     on_loopback(async {
         let request = EnqueueRequest {
             id: "a",
@@ -282,11 +295,11 @@
         clients.set_address(Some(courier(vec!["+OK\r\n", "-BUSY 30\r\n"]).await));
         assert_eq!(clients.enqueue(&request).await, Told::Taken);
         assert_eq!(clients.enqueue(&request).await, Told::Busy(Some(30)));
-        // A new connection that is closed without an answer: taken on at the second try.
+        // A new connection is closed without a reply: accepted at the second attempt.
         let clients = Clients::default();
         clients.set_address(Some(courier(vec!["", "+OK\r\n"]).await));
         assert_eq!(clients.enqueue(&request).await, Told::Taken);
-        // Closed without an answer on two connections: the message is lost.
+        // Two connections are closed without a reply: the client cannot know the outcome.
         let clients = Clients::default();
         clients.set_address(Some(courier(vec!["", ""]).await));
         assert_eq!(clients.enqueue(&request).await, Told::Cut);
