--- a/crates/gullcart-standins/src/client/tests.rs
+++ b/crates/gullcart-standins/src/client/tests.rs
@@ -25,6 +25,6 @@
     };
     let text = String::from_utf8(request.encode()).unwrap();
     let expected = "*5\r\n$7\r\nENQUEUE\r\n$16\r\n0000000000000005\r\n$2\r\nab\r\n\
-                    $33\r\nc=notice,d=2000,dest=7,k=k1,r=1\r\n$3\r\nx\r\n\r\n";
-    assert_eq!(text, expected.replace("$33", "$31"));
+                    $31\r\nc=notice,d=2000,dest=7,k=k1,r=1\r\n$3\r\nx\r\n\r\n";
+    assert_eq!(text, expected);
 }
--- a/crates/gullcart-standins/src/endpoint.rs
+++ b/crates/gullcart-standins/src/endpoint.rs
@@ -122,7 +122,7 @@
 
     /// Resets all connections to the endpoint.
     pub fn reset_connections(&self) {
-        self.reset_requests.send_modify(|times| *times += 1);
+        self.reset_requests.send_modify(|count| *count += 1);
     }
 }
 
@@ -180,8 +180,8 @@
         if self.accepting.borrow().is_some() {
             return Ok(());
         }
-        let before = self.listener.borrow().clone();
-        let listener = match before {
+        let current = self.listener.borrow().clone();
+        let listener = match current {
             // It was blocked: the fillers are accepted and closed. Pending connections are established when the kernel of
             // their client retransmits the SYN.
             Some(listener) => {
@@ -210,7 +210,7 @@
                     let reader = RequestReader::default();
                     let connection =
                         Connection { context, courier, endpoint, stream, reader, last_delivery: None };
-                    // The error needs no handling: a call that was in flight has been recorded as cut.
+                    // An error only ends the connection; a call that it cuts is recorded where it is served.
                     let _ = connection.serve().await;
                 });
             }
@@ -356,10 +356,10 @@
         match outcome {
             CallOutcome::Success(_) => self.answer(call, Answer::Ok, "200 OK", "").await?,
             CallOutcome::Error(_) => self.answer(call, Answer::Error, "500 Oops", "").await?,
-            CallOutcome::Rejected(wait) => {
+            CallOutcome::Rejected(retry_after) => {
                 context.counters.calls_rejected.set(context.counters.calls_rejected.get() + 1);
                 // Rounded up, and at least 1: 0 would mean no wait.
-                match wait.map(|wait| wait.as_micros().div_ceil(1000).max(1) as u64) {
+                match retry_after.map(|wait| wait.as_micros().div_ceil(1000).max(1) as u64) {
                     Some(ms) => {
                         let header = format!("X-Come-Back-Ms: {ms}\r\n");
                         self.answer(call, Answer::Full(Some(ms)), "429 Too Many", &header).await?;
@@ -393,9 +393,12 @@
     }
 
     /// Waits until an answer is due, and further while the endpoint is stalled. Returns early if the call is cut.
-    async fn wait(&mut self, due: Option<At>, reset_requests: &mut watch::Receiver<u32>) -> Result<(), By> {
+    async fn wait(
+        &mut self,
+        mut due: Option<At>,
+        reset_requests: &mut watch::Receiver<u32>,
+    ) -> Result<(), By> {
         let recorder = self.context.recorder.clone();
-        let mut due = due;
         let mut unexpected = Vec::new();
         loop {
             let far_future = recorder.now() + Duration::from_secs(3600);
@@ -425,8 +428,9 @@
     /// Writes an answer and records it.
     async fn answer(&mut self, call: CallId, answer: Answer, status: &str, header: &str) -> io::Result<()> {
         let report = if self.endpoint.reports_limit {
-            let (left, limit) = self.endpoint.partner.borrow_mut().limit_report(self.context.recorder.now());
-            format!("X-Load-Report: x0={left:.2},x1={limit:.1}\r\n")
+            let (remaining_share, limit) =
+                self.endpoint.partner.borrow_mut().limit_report(self.context.recorder.now());
+            format!("X-Load-Report: x0={remaining_share:.2},x1={limit:.1}\r\n")
         } else {
             String::new()
         };
--- a/crates/gullcart-standins/src/register.rs
+++ b/crates/gullcart-standins/src/register.rs
@@ -19,8 +19,8 @@
 
 /// Interval of the empty lines that keep a watch alive while nothing changes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// A change counts as advertised after this time at the latest, unless the register is silent: a courier without a watch
-/// is expected to have opened one by then.
+/// A change counts as advertised after this time at the latest, even if the courier has no watch open, unless the register is
+/// silent.
 const MAX_ADVERTISE_DELAY: Duration = Duration::from_secs(6);
 
 /// An entry of the list, as one courier sees it.
--- a/crates/gullcart-standins/src/world/harness.rs
+++ b/crates/gullcart-standins/src/world/harness.rs
@@ -61,11 +61,11 @@
         let (action_sender, actions) = channel();
         let bind = || TcpListener::bind("127.0.0.1:0").unwrap();
         let mut addresses = Vec::new();
-        for number in 0..endpoints {
+        for index in 0..endpoints {
             let listener = bind();
             addresses.push(listener.local_addr().unwrap());
             let action_sender = action_sender.clone();
-            serve(listener, move |stream| serve_calls(number, stream, &action_sender));
+            serve(listener, move |stream| serve_calls(index, stream, &action_sender));
         }
         let discovery = Agent::start(&action_sender);
         World {
--- a/crates/gullcart-standins/src/world/updates.rs
+++ b/crates/gullcart-standins/src/world/updates.rs
@@ -34,7 +34,7 @@
     }
 
     /// Advertises in one update that an endpoint was replaced `times` times in a row by another one at the same address. The
-    /// new ids contain `round`, which counts the calls of this method from 0; the last replacement of the previous round is
+    /// new ids contain `round`, which callers count from 0; the last replacement of the previous round is
     /// deleted too.
     pub fn advertise_replacements(&self, endpoint: usize, round: u32, times: u32) {
         let mut targets = Vec::new();
