--- a/crates/gullcart-standins/src/client.rs
+++ b/crates/gullcart-standins/src/client.rs
@@ -24,15 +24,16 @@
     pub order_key: u64,
     /// The class.
     pub class: &'a str,
-    /// The destination.
+    /// The partner that is the destination of the message.
     pub partner: u32,
     /// Time left until the deadline.
     pub time_left: Duration,
     /// The idempotency key, in classes that use one.
     pub idempotency_key: Option<&'a str>,
-    /// Whether the message is enqueued again after a rejection.
+    /// Whether the message is enqueued again after the courier rejected it.
     pub retry: bool,
-    /// Whether the message is enqueued again because a courier died or did not reply.
+    /// Whether the message is enqueued again because its first courier died or did not reply, so that it may have been accepted
+    /// there.
     pub from_dead_courier: bool,
     /// The body.
     pub body: &'a [u8],
--- a/crates/gullcart-standins/src/endpoint.rs
+++ b/crates/gullcart-standins/src/endpoint.rs
@@ -21,15 +21,17 @@
 
 /// The endpoint closes a connection after it has been idle for this long.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Extra delay of the first answer on a new connection, in place of a real handshake.
+/// Extra delay of the first answer on a new connection. It stands for the cost of connecting, which loopback does not have.
 const HANDSHAKE_DELAY: Duration = Duration::from_millis(10);
 /// Length of the accept queue of a listening socket.
 pub(crate) const ACCEPT_BACKLOG: i32 = 256;
-/// Connections that fill an accept queue of length 0, which still holds one, with one to spare.
+/// Connections that fill the accept queue of a blocked listener. Linux admits one connection at a backlog of 0; the second is
+/// a spare.
 const QUEUE_FILLERS: usize = 2;
 /// Delay before the next attempt after `accept` has failed.
 pub(crate) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Bytes that a courier may send before it has its answer; more end the call.
+/// A courier sends nothing between a request and its answer. A stray byte or two is tolerated; a courier that sends this many
+/// bytes is treated as having given up the call.
 const MAX_UNEXPECTED_BYTES: usize = 256;
 /// Upper bound of the lateness histogram, in microseconds; larger values are counted as this one.
 const MAX_LATENESS_US: u64 = 60_000_000;
@@ -92,7 +94,7 @@
     pub counters: Rc<Counters>,
 }
 
-/// One endpoint of a partner. [`EndpointListener`]s serve it on their addresses.
+/// One endpoint of a partner, independent of addresses: an [`EndpointListener`] for each courier accepts its connections.
 pub struct Endpoint {
     /// Identifies it in the trace.
     pub id: EndpointId,
@@ -133,6 +135,7 @@
     _reserved_port: Socket,
     context: EndpointContext,
     courier: CourierId,
+    /// The endpoint that is served. Shared with the accepting task, so that a replacement takes effect there.
     endpoint: Rc<RefCell<Rc<Endpoint>>>,
     /// `None` while connections are refused.
     listener: RefCell<Option<Rc<TcpListener>>>,
@@ -209,7 +212,7 @@
                 spawn_local(async move {
                     let reader = RequestReader::default();
                     let connection =
-                        Connection { context, courier, endpoint, stream, reader, last_delivery: None };
+                        Connection { context, courier, endpoint, stream, reader, last_ok_answer: None };
                     // An error only ends the connection; a call that it cuts is recorded where it is served.
                     let _ = connection.serve().await;
                 });
@@ -263,8 +266,8 @@
     endpoint: Rc<Endpoint>,
     stream: TcpStream,
     reader: RequestReader,
-    /// The bytes of the last answer with 200, for a duplicate of it.
-    last_delivery: Option<Vec<u8>>,
+    /// The bytes of the last answer if that was a 200, for a duplicate of it.
+    last_ok_answer: Option<Vec<u8>>,
 }
 
 impl Connection {
@@ -310,6 +313,7 @@
         let call = CallId(context.counters.calls_received.get());
         let message = request.header("x-call-id").and_then(ids::parse_wire_id);
         let expected = message.and_then(|message| (context.expected_message)(message));
+        // Only recorded, for the checks of the trace: a call with a changed key or body is answered as any other.
         let intact = expected.as_ref().is_some_and(|expected| {
             let key = request.header("idempotency-key").map(str::to_owned);
             expected.idempotency_key == key && expected.body == request.body
@@ -327,7 +331,7 @@
             self.answer(call, Answer::Error, "400 Bad Request", "").await?;
             return Ok(false);
         }
-        let duplicate = self.last_delivery.take().zip(self.duplicate_answer());
+        let duplicate = self.last_ok_answer.take().zip(self.duplicate_answer());
         let rejected_after = duplicate.as_ref().and_then(|(_, duplicate)| duplicate.rejected_after);
         let outcome = match rejected_after {
             Some(_) => CallOutcome::Rejected(None),
@@ -383,7 +387,7 @@
         self.endpoint.partner.borrow_mut().duplicate_answer(self.endpoint.index)
     }
 
-    /// Records that a call ended without an answer. The connection is reset if the partner ended the call.
+    /// Records that a call ended without an answer, by whom. The connection is reset if the partner ended the call.
     fn close_unanswered(&self, call: CallId, by: By) -> io::Result<bool> {
         self.context.recorder.record(Event::CallCut { call, by });
         if by == By::Partner {
@@ -392,7 +396,8 @@
         Ok(false)
     }
 
-    /// Waits until an answer is due, and further while the endpoint is stalled. Returns early if the call is cut.
+    /// Waits until an answer is due, and further while the endpoint is stalled; without a due time, until the call ends. Returns
+    /// an error if the call ends before, with who ended it.
     async fn wait(
         &mut self,
         mut due: Option<At>,
@@ -401,12 +406,13 @@
         let recorder = self.context.recorder.clone();
         let mut unexpected = Vec::new();
         loop {
+            // Without a due time, the timer only wakes the loop once an hour.
             let far_future = recorder.now() + Duration::from_secs(3600);
             tokio::select! {
                 biased;
                 _ = reset_requests.changed() => return Err(By::Partner),
                 read = self.stream.read_buf(&mut unexpected) => match read {
-                    // A courier sends nothing before the answer, so only a few bytes are tolerated.
+                    // See MAX_UNEXPECTED_BYTES. 0 bytes mean that the courier has closed its sending side.
                     Ok(count) if count > 0 && unexpected.len() < MAX_UNEXPECTED_BYTES => {}
                     _ => return Err(By::Courier),
                 },
@@ -439,7 +445,7 @@
         let text = format!("HTTP/1.1 {status}\r\n{header}{report}Content-Length: {length}\r\n\r\n{body}");
         let at = self.context.recorder.now();
         let written = self.stream.write_all(text.as_bytes()).await;
-        self.last_delivery = (answer == Answer::Ok).then(|| text.into_bytes());
+        self.last_ok_answer = (answer == Answer::Ok).then(|| text.into_bytes());
         let event = match written {
             Ok(()) => Event::CallAnswered { call, answer },
             Err(_) => Event::CallCut { call, by: By::Courier },
--- a/crates/gullcart-standins/src/ids.rs
+++ b/crates/gullcart-standins/src/ids.rs
@@ -30,13 +30,13 @@
     number.checked_sub(1).filter(|number| *number < 1 << 40).map(MessageId)
 }
 
-/// The idempotency key of the message that was first enqueued under the number `origin`. It stays the same when the message
-/// is enqueued again under another number.
+/// The idempotency key of a message. `origin` is the [`MessageId`] under which the message was first enqueued: when it is
+/// enqueued again, it has a new id but keeps key and body.
 pub fn idempotency_key(origin: u64) -> String {
     format!("{:016x}", (origin + 1).wrapping_mul(MULTIPLIER).rotate_left(32))
 }
 
-/// The body of the message that was first enqueued under the number `origin`, of at least `size` bytes.
+/// The body of a message, of at least `size` bytes. For `origin`, see [`idempotency_key`].
 pub fn body(origin: u64, size: usize) -> Vec<u8> {
     let mut body = format!("{{\"pay\":{origin}}}").into_bytes();
     let mut rng = fastrand::Rng::with_seed(origin);
--- a/crates/gullcart-standins/src/link/faults.rs
+++ b/crates/gullcart-standins/src/link/faults.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Bytes buffered for each connection and direction while they are delayed or cut. When the buffer is full, the sender is
+/// Bytes buffered for each connection and direction while faults hold them back. When the buffer is full, the sender is
 /// blocked by backpressure.
 pub const MAX_HELD_BYTES: usize = 256 * 1024;
 
@@ -31,8 +31,8 @@
     /// Bytes in this direction are held back until the fault ends or the connection does. The other direction still works.
     /// A loopback proxy cannot drop a SYN packet, so new connections are established, with this direction cut.
     Cut(Direction),
-    /// Connections that are accepted during the fault never carry anything, not even after it. Open ones are cut in both
-    /// directions until it ends.
+    /// Connections that are accepted during the fault never carry anything, not even after it: what is sent on them is
+    /// discarded. Open ones are cut in both directions until it ends.
     Silent,
     /// New connections are refused, and open ones reset.
     Refused,
@@ -75,23 +75,24 @@
         self.active.is_empty()
     }
 
-    fn all(&self) -> impl Iterator<Item = (LinkFault, At)> + '_ {
+    /// The faults in force, with the times at which they began.
+    fn active_faults(&self) -> impl Iterator<Item = (LinkFault, At)> + '_ {
         self.active.values().copied()
     }
 
     /// Whether connections are refused.
     pub fn is_refused(&self) -> bool {
-        self.all().any(|(fault, _)| fault == LinkFault::Refused)
+        self.active_faults().any(|(fault, _)| fault == LinkFault::Refused)
     }
 
     /// Whether a connection that is accepted now will never carry anything.
     pub fn is_silent(&self) -> bool {
-        self.all().any(|(fault, _)| fault == LinkFault::Silent)
+        self.active_faults().any(|(fault, _)| fault == LinkFault::Silent)
     }
 
     /// Whether bytes in this direction are held back now.
     pub fn is_cut(&self, direction: Direction, now: At) -> bool {
-        self.all().any(|(fault, began)| match fault {
+        self.active_faults().any(|(fault, began)| match fault {
             LinkFault::Cut(cut) => cut == direction,
             LinkFault::Silent => true,
             LinkFault::Flapping(up, down) => {
@@ -111,7 +112,7 @@
             let change = if elapsed < up.as_micros() as u64 { up.as_micros() as u64 } else { period };
             Some(At(now.0 + change - elapsed))
         };
-        self.all().filter_map(next_change).min()
+        self.active_faults().filter_map(next_change).min()
     }
 
     /// The delay of a chunk; `chance`, between 0 and 1, is its position in the range of each [`LinkFault::Delayed`].
@@ -120,18 +121,17 @@
             LinkFault::Delayed(from, to) => from + to.saturating_sub(from).mul_f64(chance.clamp(0.0, 1.0)),
             _ => Duration::ZERO,
         };
-        self.all().map(delay).sum()
+        self.active_faults().map(delay).sum()
     }
 
     /// The lowest limit of the throughput; `None` if there is no limit.
     pub fn bytes_per_second(&self) -> Option<u32> {
-        self.all().filter_map(|(fault, _)| matches!(fault, LinkFault::Slow(_)).then_some(fault)).fold(
-            None,
-            |lowest, fault| match fault {
+        self.active_faults()
+            .filter_map(|(fault, _)| matches!(fault, LinkFault::Slow(_)).then_some(fault))
+            .fold(None, |lowest, fault| match fault {
                 LinkFault::Slow(rate) => Some(lowest.map_or(rate, |lowest: u32| lowest.min(rate)).max(1)),
                 _ => lowest,
-            },
-        )
+            })
     }
 
     /// How many bytes a connection that has `carried` so far may still carry before it is reset; `None` if there is no limit.
@@ -140,7 +140,7 @@
             LinkFault::ResetAfter(bytes) => Some(bytes.saturating_sub(carried)),
             _ => None,
         };
-        self.all().filter_map(remaining).min()
+        self.active_faults().filter_map(remaining).min()
     }
 }
 
--- a/crates/gullcart-standins/src/link/mesh.rs
+++ b/crates/gullcart-standins/src/link/mesh.rs
@@ -63,7 +63,8 @@
     pub fn cut_pairs(&mut self, pairs: &[(usize, usize)]) -> io::Result<FaultId> {
         let id = self.new_id();
         for (from, to) in pairs {
-            // A link may be cut in both directions by one fault, so each direction has a separate id on the link.
+            // One fault may cut a link in both directions, so each direction has its own id on the link: twice the id of the
+            // fault for the forward one, and one more for the backward one.
             if let Some(link) = self.link(*from, *to) {
                 link.begin_fault(id.0 * 2, LinkFault::Cut(Direction::Forward))?;
             }
@@ -82,6 +83,7 @@
     /// Begins a fault of the connections that one process opens to another.
     pub fn begin_fault(&mut self, from: usize, to: usize, fault: LinkFault) -> io::Result<FaultId> {
         let id = self.new_id();
+        // Ids on a link are those of the mesh times two, see cut_pairs.
         if let Some(link) = self.link(from, to) {
             link.begin_fault(id.0 * 2, fault)?;
         }
--- a/crates/gullcart-standins/src/link/mod.rs
+++ b/crates/gullcart-standins/src/link/mod.rs
@@ -58,6 +58,7 @@
             let change_at = next_change.map(|at| self.opened_at + Duration::from_micros(at.0));
             tokio::select! {
                 _ = changes.changed() => {}
+                // Disabled without a time; the moment in its place is never used.
                 () = sleep_until(change_at.unwrap_or(self.opened_at)), if change_at.is_some() => {}
             }
         }
@@ -155,7 +156,7 @@
         if let Some(accepting) = self.accepting.borrow_mut().take() {
             accepting.abort();
         }
-        // Resets the open connections.
+        // Resets the open connections, by a fault with an id that no other one has.
         self.shared.faults.borrow_mut().begin_fault(u32::MAX, LinkFault::Refused, At(0));
         self.shared.changes.send_replace(());
     }
--- a/crates/gullcart-standins/src/partner.rs
+++ b/crates/gullcart-standins/src/partner.rs
@@ -44,13 +44,13 @@
     pub retry_after_share: f64,
     /// Minimum retry-after of rejections above a [`Limit::Rate`].
     pub min_retry_after: Duration,
-    /// Whether rejected calls use up the limit too.
-    pub rejected_calls_count: bool,
-    /// Share of the capacity that is available right after an outage.
+    /// Whether rejected calls use up a [`Limit::Rate`] too. They never use up a [`Limit::PerWindow`].
+    pub count_rejected_calls: bool,
+    /// Share of the capacity that is available right after an outage, when the slow start begins.
     pub cold_capacity_share: f64,
-    /// Time after an outage until the full capacity is available.
+    /// Length of the slow start, after which the full capacity is available.
     pub warm_up: Duration,
-    /// During slow start, the partner collapses under this multiple of its current capacity, sustained for
+    /// During slow start, the partner collapses under a load of this multiple of its current capacity, if the load lasts for
     /// `collapse_window`.
     pub collapse_multiple: f64,
     /// How long the overload must last to make the partner collapse.
@@ -62,7 +62,7 @@
 /// A fault of one or all endpoints of a partner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PartnerFault {
-    /// Accepts calls and answers none.
+    /// Accepts connections and calls, and answers no call.
     Silent,
     /// The process is stalled: answers that are due are sent when the fault ends.
     Stall,
@@ -120,18 +120,18 @@
     Malformed(At),
 }
 
-/// The servers and the queue of an endpoint.
-struct Endpoint {
+/// The servers of an endpoint, which process one call each at a time, and its queue.
+struct EndpointServers {
     /// When each server becomes free.
-    servers: Vec<At>,
+    server_free_at: Vec<At>,
     /// When the calls in the queue begin to be served.
-    waiting: VecDeque<At>,
+    queued_start_at: VecDeque<At>,
 }
 
 /// The state of a partner and its endpoints.
 pub struct Partner {
     spec: PartnerSpec,
-    endpoints: Vec<Endpoint>,
+    endpoints: Vec<EndpointServers>,
     servers_per_endpoint: usize,
     rng: fastrand::Rng,
     /// Tokens of [`Limit::Rate`] at `refilled_at`.
@@ -142,7 +142,7 @@
     used_in_window: u32,
     faults: Vec<ActiveFault>,
     /// The slow start after an outage, while it lasts.
-    cold: Option<Cold>,
+    slow_start: Option<Cold>,
     collapsed: bool,
 }
 
@@ -170,7 +170,7 @@
             window_index: 0,
             used_in_window: 0,
             faults: Vec::new(),
-            cold: None,
+            slow_start: None,
             collapsed: false,
         };
         for _ in 0..endpoints {
@@ -181,8 +181,10 @@
 
     /// Adds an endpoint with as many servers as the others, and returns its index.
     pub fn add_endpoint(&mut self) -> usize {
-        self.endpoints
-            .push(Endpoint { servers: vec![At(0); self.servers_per_endpoint], waiting: VecDeque::new() });
+        self.endpoints.push(EndpointServers {
+            server_free_at: vec![At(0); self.servers_per_endpoint],
+            queued_start_at: VecDeque::new(),
+        });
         self.endpoints.len() - 1
     }
 
@@ -203,12 +205,12 @@
 
     /// Whether connections to an endpoint are refused.
     pub fn is_down(&self, endpoint: usize) -> bool {
-        self.active(endpoint).any(|active| active.fault == PartnerFault::Down)
+        self.active_faults(endpoint).any(|active| active.fault == PartnerFault::Down)
     }
 
     /// When the endpoint becomes reachable again; `None` if it is reachable.
     pub fn unreachable_until(&self, endpoint: usize) -> Option<At> {
-        self.active(endpoint)
+        self.active_faults(endpoint)
             .filter(|active| active.fault == PartnerFault::Unreachable)
             .map(|active| active.until)
             .max()
@@ -227,7 +229,7 @@
     /// Begins the slow start after an outage, with empty queues.
     pub fn begin_slow_start(&mut self, now: At) {
         let PartnerSpec { cold_capacity_share, warm_up, collapse_multiple, collapse_window, .. } = self.spec;
-        self.cold = Some(Cold::new(
+        self.slow_start = Some(Cold::new(
             now,
             now + warm_up,
             self.capacity(),
@@ -236,23 +238,24 @@
             collapse_window,
         ));
         for endpoint in &mut self.endpoints {
-            endpoint.waiting.clear();
-            endpoint.servers.fill(now);
+            endpoint.queued_start_at.clear();
+            endpoint.server_free_at.fill(now);
         }
     }
 
     /// Share of the capacity that is available now.
     pub fn capacity_share(&self, now: At) -> f64 {
-        self.cold.as_ref().map_or(1.0, |cold| cold.share(now))
+        self.slow_start.as_ref().map_or(1.0, |slow_start| slow_start.share(now))
     }
 
-    fn active(&self, endpoint: usize) -> impl Iterator<Item = &ActiveFault> {
-        self.faults.iter().filter(move |active| active.endpoint.is_none_or(|at| at == endpoint))
+    /// The faults in force at an endpoint.
+    fn active_faults(&self, endpoint: usize) -> impl Iterator<Item = &ActiveFault> {
+        self.faults.iter().filter(move |active| active.endpoint.is_none_or(|affected| affected == endpoint))
     }
 
     /// Planned end of an endpoint's stall; `None` if it is not stalled.
     pub fn stalled_until(&self, endpoint: usize) -> Option<At> {
-        self.active(endpoint)
+        self.active_faults(endpoint)
             .filter(|active| active.fault == PartnerFault::Stall)
             .map(|active| active.until)
             .max()
@@ -260,7 +263,7 @@
 
     /// Draws whether a call that follows a successful one on its connection gets a duplicate of the earlier answer.
     pub fn duplicate_answer(&mut self, endpoint: usize) -> Option<DuplicateAnswer> {
-        let share = self.active(endpoint).find_map(|active| match active.fault {
+        let share = self.active_faults(endpoint).find_map(|active| match active.fault {
             PartnerFault::DuplicateAnswers(share) => Some(share),
             _ => None,
         })?;
@@ -274,14 +277,17 @@
         Some(DuplicateAnswer { delay, rejected_after })
     }
 
-    /// Decides the outcome of a call whose last byte has arrived: by faults first, then by the limit, then by the queue.
+    /// Decides the outcome of a call whose last byte has arrived. A collapsed partner never answers. Otherwise faults that reject
+    /// calls come first, then the limit, then the queue; a call that passes all of them is served, and may then be reset,
+    /// answered malformed or end with an error.
     pub fn handle_call(&mut self, endpoint: usize, now: At) -> CallOutcome {
-        let collapsed_now = self.cold.as_mut().and_then(|cold| cold.call(now, false)).is_some();
-        if self.cold.as_ref().is_some_and(|cold| cold.is_warm(now)) {
-            self.cold = None;
+        let collapsed_now =
+            self.slow_start.as_mut().and_then(|slow_start| slow_start.call(now, false)).is_some();
+        if self.slow_start.as_ref().is_some_and(|slow_start| slow_start.is_warm(now)) {
+            self.slow_start = None;
         }
         self.collapsed |= collapsed_now;
-        let faults: Vec<ActiveFault> = self.active(endpoint).copied().collect();
+        let faults: Vec<ActiveFault> = self.active_faults(endpoint).copied().collect();
         let is = |fault| faults.iter().any(|active| active.fault == fault);
         if self.collapsed || is(PartnerFault::Silent) || is(PartnerFault::Unreachable) {
             return CallOutcome::NoAnswer;
@@ -331,7 +337,7 @@
                     self.tokens -= 1.0;
                     return None;
                 }
-                if self.spec.rejected_calls_count {
+                if self.spec.count_rejected_calls {
                     self.tokens = (self.tokens - 1.0).max(-burst_size);
                 }
                 let refill = Duration::from_secs_f64((1.0 - self.tokens) / rate.max(1e-3));
@@ -354,22 +360,22 @@
 
     /// Assigns a call to the server that is free first, and returns when it is done; `None` if the queue is full.
     fn schedule(&mut self, index: usize, now: At, slowdown: f64) -> Option<At> {
-        // Between half of and twice the mean, mostly near the mean.
+        // 0.5 + U/2 + U*U for uniform U, drawn anew each time: from half of to twice the mean, with the expected value 1.
         let spread = 0.5 + self.rng.f64() * 0.5 + self.rng.f64() * self.rng.f64() * 1.0;
         let service_time =
             self.spec.mean_service_time.mul_f64(spread * slowdown / self.capacity_share(now).max(0.01));
         let queue = self.spec.queue_capacity;
         let endpoint = self.endpoints.get_mut(index)?;
-        while endpoint.waiting.front().is_some_and(|begins| *begins <= now) {
-            endpoint.waiting.pop_front();
+        while endpoint.queued_start_at.front().is_some_and(|begins| *begins <= now) {
+            endpoint.queued_start_at.pop_front();
         }
-        let server = endpoint.servers.iter_mut().min()?;
+        let server = endpoint.server_free_at.iter_mut().min()?;
         let begins = now.max(*server);
         if begins > now {
-            if endpoint.waiting.len() >= queue {
+            if endpoint.queued_start_at.len() >= queue {
                 return None;
             }
-            endpoint.waiting.push_back(begins);
+            endpoint.queued_start_at.push_back(begins);
         }
         *server = begins + service_time;
         Some(*server)
--- a/crates/gullcart-standins/src/partner/tests.rs
+++ b/crates/gullcart-standins/src/partner/tests.rs
@@ -8,7 +8,7 @@
         queue_capacity: 2,
         retry_after_share: 1.0,
         min_retry_after: Duration::from_millis(300),
-        rejected_calls_count: false,
+        count_rejected_calls: false,
         cold_capacity_share: 0.2,
         warm_up: Duration::from_secs(10),
         collapse_multiple: 2.5,
@@ -41,8 +41,8 @@
 
 #[test]
 fn rejected_calls_use_up_the_limit_where_they_count() {
-    let first_free_ms = |rejected_calls_count| {
-        let mut partner = Partner::new(PartnerSpec { rejected_calls_count, ..spec(Limit::Rate(10.0)) }, 1, 1);
+    let first_free_ms = |count_rejected_calls| {
+        let mut partner = Partner::new(PartnerSpec { count_rejected_calls, ..spec(Limit::Rate(10.0)) }, 1, 1);
         for _ in 0..5 {
             let _ = partner.handle_call(0, At(0));
         }
--- a/crates/gullcart-standins/src/process.rs
+++ b/crates/gullcart-standins/src/process.rs
@@ -46,7 +46,7 @@
         error: io::Error,
     },
     /// The process ended, or did not listen in time.
-    #[error("{program} did not listen; end of its log: {log}")]
+    #[error("{program} ended or did not listen in time; end of its log: {log}")]
     NotListening {
         /// The executable of the daemon.
         program: PathBuf,
@@ -55,10 +55,11 @@
     },
 }
 
-/// The last lines of a log.
+/// The last lines of a log, shared with the task that reads them.
 pub type Log = Rc<RefCell<VecDeque<String>>>;
 
-/// A courier's process. It is killed when dropped.
+/// A courier's process in a rehearsal, for a single-threaded runtime. It is killed when dropped. The blocking counterpart for
+/// tests is [`crate::world::Courier`].
 pub struct Courier {
     pid: Pid,
     address: SocketAddr,
@@ -133,7 +134,7 @@
     /// Waits until the process has ended, for `limit` at most, and returns whether it has.
     pub async fn wait_for_exit(&self, limit: Duration) -> bool {
         let mut exited = self.exited.clone();
-        // The sender sets the value before it is dropped, so an error cannot hide the exit.
+        // The channel is closed only after the exit, so a closed channel means that the process has ended.
         let exited = timeout(limit, exited.wait_for(|exited| *exited)).await;
         exited.is_ok()
     }
--- a/crates/gullcart-standins/src/recorder.rs
+++ b/crates/gullcart-standins/src/recorder.rs
@@ -30,12 +30,12 @@
             .map_or(0, |started_at| Instant::now().saturating_duration_since(started_at).as_micros() as u64))
     }
 
-    /// Starts the clock at this moment, which may be in the future.
+    /// Starts the clock at this moment, which may be in the future; the time is 0 until then.
     pub fn begin(&self, at: Instant) {
         self.started_at.set(Some(at));
     }
 
-    /// Converts a time of the rehearsal to a moment of the runtime.
+    /// Converts a time of the rehearsal to a moment of the runtime. Before [`Recorder::begin`], time 0 is the current moment.
     pub fn instant(&self, at: At) -> Instant {
         self.started_at.get().unwrap_or_else(Instant::now) + Duration::from_micros(at.0)
     }
@@ -47,8 +47,8 @@
         at
     }
 
-    /// Records an event that happened at `at`, a moment ago: an answer counts from when it was written, not from when the
-    /// stand-in gets to record it.
+    /// Records an event with the time `at`, which is a moment ago. An answer is recorded after its write returns, with the time
+    /// before the write, because the other side may have read it in between.
     pub fn record_at(&self, at: At, event: Event) {
         (self.sink.borrow_mut())(Entry { at, event });
     }
--- a/crates/gullcart-standins/src/register.rs
+++ b/crates/gullcart-standins/src/register.rs
@@ -1,5 +1,5 @@
-//! The stand-in for the partner register (service discovery): one agent for each courier, which serves the list of
-//! endpoints, advertises its changes on watches and receives notices.
+//! The stand-in for the partner register, which is the service discovery of couriers. Each courier has its own agent, which
+//! serves the list of endpoints, advertises its changes on watches and receives notices.
 
 use crate::http::{Request, RequestReader};
 use crate::{ids, Recorder};
@@ -19,8 +19,8 @@
 
 /// Interval of the empty lines that keep a watch alive while nothing changes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// A change counts as advertised after this time at the latest, even if the courier has no watch open, unless the register is
-/// silent.
+/// A change that the courier has not been sent after this time is recorded in the trace as advertised nonetheless, so that a
+/// courier without an open watch does not escape the checks. While the agent is silent, it is not recorded.
 const MAX_ADVERTISE_DELAY: Duration = Duration::from_secs(6);
 
 /// An entry of the list, as one courier sees it.
@@ -36,7 +36,7 @@
     pub kind: String,
     /// The zone.
     pub zone: String,
-    /// Capacity hint of the list, in calls a second.
+    /// The weight of the endpoint, in calls a second; the list has it as `capacity_hint`.
     pub weight: f64,
     /// The current state.
     pub state: State,
@@ -57,7 +57,7 @@
     }
 }
 
-/// A change of the list, and whether the trace has it as advertised.
+/// A change of the list. `advertised` is set once the trace has the change as [`Event::Listed`].
 struct Change {
     rev: u64,
     target: Target,
@@ -84,7 +84,7 @@
         json!({"rev": *self.rev.borrow(), "all": true, "targets": listed}).to_string()
     }
 
-    /// Records that the courier was sent the state of an endpoint.
+    /// Records that the state of an endpoint was advertised to the courier.
     fn record_listed(&self, endpoint: EndpointId, state: State) {
         self.recorder.record(Event::Listed { courier: self.courier, endpoint, state });
     }
@@ -165,7 +165,7 @@
         self.state.list()
     }
 
-    /// Adds or replaces a list entry, and advertises it.
+    /// Adds or replaces a list entry, and advertises it. See [`MAX_ADVERTISE_DELAY`] for when it is recorded.
     pub fn update_target(&self, target: Target) {
         let rev = *self.state.rev.borrow() + 1;
         self.state.targets.borrow_mut().insert(target.endpoint, target.clone());
@@ -213,6 +213,8 @@
             receive_notices(agent, &mut stream, &request).await?;
         } else if request.method == "GET" && request.path == "/v1/endpoints" {
             wait_until_not_silent(agent).await;
+            // The list advertises these states too: a draining endpoint has its state in it, a deleted one is left out.
+            // Serving entries add no restriction and are not recorded.
             for target in agent.targets.borrow().values().filter(|target| target.state != State::Serving) {
                 agent.record_listed(target.endpoint, target.state);
             }
--- a/crates/gullcart-standins/src/world.rs
+++ b/crates/gullcart-standins/src/world.rs
@@ -1,5 +1,6 @@
-//! The harness of the daemon's tests: endpoints whose every answer the test scripts, discovery, and clients, on loopback
-//! sockets. The system chooses all ports, and tests wait for events rather than for times.
+//! The harness of the daemon's tests. [`World`] has endpoints whose every answer the test scripts, discovery, and clients, on
+//! loopback sockets, and starts couriers among them. The system chooses all ports, and tests wait for events rather than
+//! for times. It uses threads and blocking calls, unlike the rest of this package.
 
 mod agent;
 mod call;
--- a/crates/gullcart-standins/src/world/agent.rs
+++ b/crates/gullcart-standins/src/world/agent.rs
@@ -33,12 +33,12 @@
 pub(super) struct AgentState {
     /// The whole list as JSON.
     pub list: Mutex<String>,
-    /// Whether requests for watches are left unanswered.
+    /// Whether requests for watches are left unanswered. The whole list is served nonetheless.
     pub silent: AtomicBool,
     /// Whether notices are left unanswered.
-    pub hold_notices: AtomicBool,
+    pub ignore_notices: AtomicBool,
     /// Number of requests with notices so far.
-    pub notices: AtomicU32,
+    pub notice_requests: AtomicU32,
     watches: Mutex<Watches>,
 }
 
@@ -68,11 +68,11 @@
 
     /// Passes each notice of a request to the test, and answers the request.
     fn receive_notices(&self, request: &Request, actions: &Sender<CourierAction>, out: &mut TcpStream) {
-        self.notices.fetch_add(1, Ordering::SeqCst);
+        self.notice_requests.fetch_add(1, Ordering::SeqCst);
         for line in String::from_utf8_lossy(&request.body).lines() {
             let _ = actions.send(CourierAction::Notice(line.to_owned()));
         }
-        if !self.hold_notices.load(Ordering::SeqCst) {
+        if !self.ignore_notices.load(Ordering::SeqCst) {
             let _ = out.write_all(b"HTTP/1.1 204 No Content\r\n\r\n");
         }
     }
--- a/crates/gullcart-standins/src/world/client.rs
+++ b/crates/gullcart-standins/src/world/client.rs
@@ -64,7 +64,8 @@
         self.send(&bytes);
     }
 
-    /// Enqueues a message and reads the reply. `class` may be followed by further fields.
+    /// Enqueues a message and reads the reply. `key` is its order key. `class` may carry further fields after a comma, as in
+    /// `notice,r=1`.
     pub fn enqueue(&mut self, id: &str, key: &str, class: &str, destination: u32, body: &[u8]) -> String {
         self.send_enqueue(id, key, class, destination, body);
         self.read_reply()
@@ -83,7 +84,7 @@
         Ok(rest)
     }
 
-    /// Waits for the connection to end, and returns whether it did so before any further byte.
+    /// Waits until the connection ends or a byte arrives, which is then lost, and returns whether the connection has ended.
     pub fn is_closed(&mut self) -> bool {
         match self.stream.read(&mut [0]) {
             Ok(count) => count == 0,
--- a/crates/gullcart-standins/src/world/config.rs
+++ b/crates/gullcart-standins/src/world/config.rs
@@ -4,13 +4,16 @@
 use super::harness::World;
 use serde_json::{json, Value};
 
-/// A class of the settings. `aim_s` is its aim in seconds, `repeat_window_ms` its repeat window, and `ordered` whether it
-/// keeps its messages in order.
+/// Deadline of a message as a multiple of its aim.
+const DEADLINE_PER_AIM: u64 = 8;
+
+/// A class of the settings: `aim_s` is its aim in seconds, `effect` how the partner recognizes repeated calls, `repeat_window_ms`
+/// how long it does so, and `ordered` whether messages with one order key are sent one at a time.
 fn class(aim_s: u64, name: &str, effect: &str, repeat_window_ms: u64, ordered: bool) -> Value {
     json!({
         "Name": name, "Effect": effect, "Group": "all", "RepeatWindow": repeat_window_ms * 1_000_000,
         "OneAtATime": ordered, "Worth": 1.0, "LateShare": 0.5,
-        "Aim": aim_s * 1_000_000_000, "Deadline": aim_s * 8 * 1_000_000_000,
+        "Aim": aim_s * 1_000_000_000, "Deadline": aim_s * DEADLINE_PER_AIM * 1_000_000_000,
     })
 }
 
--- a/crates/gullcart-standins/src/world/courier.rs
+++ b/crates/gullcart-standins/src/world/courier.rs
@@ -116,7 +116,7 @@
                 return line.clone();
             }
             let left = end.saturating_duration_since(Instant::now());
-            assert!(!left.is_zero(), "no line of the log contains '{text}': {lines:#?}");
+            assert!(!left.is_zero(), "the log has fewer than {count} lines with '{text}': {lines:#?}");
             lines = self.log.added.wait_timeout(lines, left).unwrap().0;
         }
     }
--- a/crates/gullcart-standins/src/world/expectations.rs
+++ b/crates/gullcart-standins/src/world/expectations.rs
@@ -69,6 +69,6 @@
 
     /// Number of requests with notices that an agent has received.
     pub fn notice_requests_at(&self, agent: &Agent) -> u32 {
-        agent.state.notices.load(Ordering::SeqCst)
+        agent.state.notice_requests.load(Ordering::SeqCst)
     }
 }
--- a/crates/gullcart-standins/src/world/harness.rs
+++ b/crates/gullcart-standins/src/world/harness.rs
@@ -1,4 +1,4 @@
-//! The harness itself: endpoints, discovery and the folder of a courier under test.
+//! [`World`]: the endpoints, discovery, folder and parameters of couriers under test.
 
 use super::agent::Agent;
 use super::call::{serve_calls, CourierAction};
@@ -20,13 +20,13 @@
     /// What couriers do, in order.
     pub(super) actions: Receiver<CourierAction>,
     pub(super) action_sender: Sender<CourierAction>,
-    /// Aim of all classes, in seconds. Deadlines are eight times as long.
+    /// Aim of all classes, in seconds. Deadlines follow from it, see [`World::configure`].
     pub(super) aim_s: u64,
     /// Maximum number of messages that a courier holds.
     pub max_held: u32,
-    /// Maximum number of calls in flight.
+    /// Connection slots: the maximum number of calls in flight.
     pub slots: u32,
-    /// Descriptors that the configuration allows a courier.
+    /// Limit of sockets in the configuration.
     pub sockets: u32,
     /// Limit of open descriptors that the system enforces, if it is to be lower than usual.
     pub descriptor_limit: Option<u32>,
@@ -116,7 +116,7 @@
         &self.folder
     }
 
-    /// Bytes that the files of the state folder take up, rounded up to 512 for each file.
+    /// Bytes that the files of the state folder take up, in disk blocks of 512 bytes.
     pub fn disk_used_bytes(&self) -> u64 {
         let files = std::fs::read_dir(self.folder.join("state")).unwrap();
         files.map(|file| file.unwrap().metadata().map_or(0, |data| data.len().div_ceil(512) * 512)).sum()
@@ -127,7 +127,7 @@
         let files = std::fs::read_dir(self.state_folder()).unwrap().map(|file| file.unwrap().path());
         let last = files.filter(|path| path.extension().is_some_and(|end| end == "seg")).max().unwrap();
         let mut all = std::fs::read(&last).unwrap();
-        // The rest of the segment is zeros, but the last record may end in a few zeros itself.
+        // The unwritten rest of the segment is zeros. The last record may end in zeros itself, so 7 of them are kept.
         all.truncate(all.iter().rposition(|byte| *byte != 0).map_or(0, |at| at + 8));
         all.extend_from_slice(bytes);
         std::fs::write(last, all).unwrap();
--- a/crates/gullcart-standins/src/world/updates.rs
+++ b/crates/gullcart-standins/src/world/updates.rs
@@ -23,20 +23,20 @@
         json!({"rev": rev, "all": false, "targets": [self.target(endpoint, state)]})
     }
 
-    /// Advertises that an endpoint is draining.
+    /// Advertises that an endpoint is draining, in revision 2: the configured list has revision 1.
     pub fn advertise_draining(&self, endpoint: usize) {
         self.advertise(2, &[self.target(endpoint, "DRAINING")]);
     }
 
-    /// Advertises that an endpoint is deleted.
+    /// Advertises that an endpoint is deleted, in revision 2 or, if later ones were advertised, in the last of them.
     pub fn advertise_deleted(&self, endpoint: usize) {
         self.advertise(2, &[self.target(endpoint, "DELETED")]);
     }
 
-    /// Advertises in one update that an endpoint was replaced `times` times in a row by another one at the same address. The
-    /// new ids contain `round`, which callers count from 0; the last replacement of the previous round is
-    /// deleted too.
-    pub fn advertise_replacements(&self, endpoint: usize, round: u32, times: u32) {
+    /// Advertises in one update that an endpoint was replaced `count` times in a row by a new one at the same address. Callers
+    /// number the `round`s from 0; each round after the first also deletes the last endpoint of the round before it. All
+    /// rounds must have the same `count`.
+    pub fn advertise_replacements(&self, endpoint: usize, round: u32, count: u32) {
         let mut targets = Vec::new();
         let entry = |uid: String, state| {
             let mut target = self.target(endpoint, state);
@@ -44,19 +44,21 @@
             target
         };
         targets.push(self.target(endpoint, "DELETED"));
-        for time in 0..times {
-            targets.push(entry(format!("s-{endpoint}-{round}-{time}"), "SERVING"));
-            if time + 1 < times {
-                targets.push(entry(format!("s-{endpoint}-{round}-{time}"), "DELETED"));
+        for index in 0..count {
+            targets.push(entry(format!("s-{endpoint}-{round}-{index}"), "SERVING"));
+            if index + 1 < count {
+                targets.push(entry(format!("s-{endpoint}-{round}-{index}"), "DELETED"));
             }
         }
         if round > 0 {
-            targets.push(entry(format!("s-{endpoint}-{}-{}", round - 1, times - 1), "DELETED"));
+            targets.push(entry(format!("s-{endpoint}-{}-{}", round - 1, count - 1), "DELETED"));
         }
+        // Above the revisions of other updates, and increasing.
         self.advertise(10 + round, &targets);
     }
 
-    /// List entries of `count` additional endpoints, all at the address of the first one, two for each destination from 2 on.
+    /// List entries of `count` additional endpoints, to make a long list. All have the address of the first endpoint, and each
+    /// destination from 2 on has two of them.
     fn extra_targets(&self, count: usize, state: &str) -> Vec<Value> {
         let entry = |number: usize| {
             let mut target = self.target(0, state);
@@ -83,8 +85,8 @@
     }
 
     /// Sets whether discovery leaves notices unanswered.
-    pub fn leave_notices_unanswered(&self, hold: bool) {
-        self.discovery.state.hold_notices.store(hold, Ordering::SeqCst);
+    pub fn leave_notices_unanswered(&self, ignore: bool) {
+        self.discovery.state.ignore_notices.store(ignore, Ordering::SeqCst);
     }
 
     /// An agent whose connections the test serves itself: `each` gets every connection with its number, from 0 on.
--- a/crates/gullcart-standins/tests/links.rs
+++ b/crates/gullcart-standins/tests/links.rs
@@ -22,9 +22,9 @@
 
 /// What a process has logged so far.
 #[derive(Default)]
-struct ReceivedNumbers {
+struct EchoLog {
     /// Numbers received from each other process, by its name, in order of arrival.
-    from: HashMap<String, Vec<u64>>,
+    received: HashMap<String, Vec<u64>>,
     /// Numbers echoed by each peer, by its index among the peers.
     echoed: HashMap<usize, Vec<u64>>,
     /// Number of reconnects to each peer, by its index among the peers.
@@ -35,9 +35,9 @@
 struct Echo {
     child: Child,
     address: SocketAddr,
-    received: Rc<RefCell<ReceivedNumbers>>,
-    /// Number of log lines so far, to wait for more.
-    lines: watch::Receiver<u64>,
+    log: Rc<RefCell<EchoLog>>,
+    /// Counts the log lines, and notifies of each.
+    line_count: watch::Receiver<u64>,
 }
 
 impl Echo {
@@ -54,29 +54,29 @@
         let mut log = BufReader::new(child.stderr.take().unwrap()).lines();
         let first = log.next_line().await.unwrap().unwrap();
         let address = first.split_once("address=").unwrap().1.parse().unwrap();
-        let received = Rc::new(RefCell::new(ReceivedNumbers::default()));
-        let (line_count, lines) = watch::channel(0);
-        let shared = received.clone();
+        let parsed = Rc::new(RefCell::new(EchoLog::default()));
+        let (line_sender, line_count) = watch::channel(0);
+        let shared = parsed.clone();
         spawn_local(async move {
             while let Ok(Some(line)) = log.next_line().await {
                 let words: Vec<&str> = line.split(' ').collect();
-                let mut received = shared.borrow_mut();
+                let mut parsed = shared.borrow_mut();
                 match words[..] {
                     ["heard", name, number] => {
-                        received.from.entry(name.to_owned()).or_default().push(number.parse().unwrap());
+                        parsed.received.entry(name.to_owned()).or_default().push(number.parse().unwrap());
                     }
                     ["back", peer, _, number] => {
                         let peer = peer.parse().unwrap();
-                        received.echoed.entry(peer).or_default().push(number.parse().unwrap());
+                        parsed.echoed.entry(peer).or_default().push(number.parse().unwrap());
                     }
-                    ["anew", peer] => *received.reconnects.entry(peer.parse().unwrap()).or_default() += 1,
+                    ["anew", peer] => *parsed.reconnects.entry(peer.parse().unwrap()).or_default() += 1,
                     _ => panic!("{line}"),
                 }
-                drop(received);
-                line_count.send_modify(|lines| *lines += 1);
+                drop(parsed);
+                line_sender.send_modify(|count| *count += 1);
             }
         });
-        Echo { child, address, received, lines }
+        Echo { child, address, log: parsed, line_count }
     }
 
     fn signal(&self, signal: Signal) {
@@ -86,25 +86,25 @@
 
     /// How many numbers it has received from another process.
     fn received_count(&self, from: &str) -> usize {
-        self.received.borrow().from.get(from).map_or(0, Vec::len)
+        self.log.borrow().received.get(from).map_or(0, Vec::len)
     }
 
     /// How many numbers a peer has echoed.
     fn echoed_count(&self, peer: usize) -> usize {
-        self.received.borrow().echoed.get(&peer).map_or(0, Vec::len)
+        self.log.borrow().echoed.get(&peer).map_or(0, Vec::len)
     }
 
     /// How often it has reconnected to a peer.
     fn reconnects(&self, peer: usize) -> u64 {
-        self.received.borrow().reconnects.get(&peer).copied().unwrap_or(0)
+        self.log.borrow().reconnects.get(&peer).copied().unwrap_or(0)
     }
 
     /// Waits until a condition on the log holds.
     async fn wait_until(&self, what: &str, is_true: impl Fn(&Echo) -> bool) {
-        let mut lines = self.lines.clone();
+        let mut line_count = self.line_count.clone();
         let waited = timeout(TIMEOUT, async {
             while !is_true(self) {
-                lines.changed().await.unwrap();
+                line_count.changed().await.unwrap();
             }
         });
         assert!(waited.await.is_ok(), "timed out waiting until: {what}");
@@ -196,9 +196,10 @@
         sleep(Duration::from_millis(60)).await;
         mesh.end_fault(cut).unwrap();
         all[1].expect_receives("a").await;
+        // On a slow machine, a may have reconnected in spite of that; numbers in transit are then lost.
         if all[0].reconnects(0) == 0 {
-            let received = all[1].received.borrow();
-            let numbers = &received.from["a"];
+            let log = all[1].log.borrow();
+            let numbers = &log.received["a"];
             assert!(numbers.windows(2).all(|two| two[0] + 1 == two[1]), "{numbers:?}");
         }
     });
@@ -245,7 +246,7 @@
         all[1].expect_silence("a").await;
         mesh.end_fault(silent).unwrap();
         all[1].expect_receives("a").await;
-        assert!(is_increasing(&all[1].received.borrow().from["a"]));
+        assert!(is_increasing(&all[1].log.borrow().received["a"]));
     });
 }
 
@@ -259,7 +260,7 @@
         mesh.begin_fault(0, 1, LinkFault::ResetAfter(301)).unwrap();
         all[0].wait_until("a is reset several times", |echo| echo.reconnects(0) > 4).await;
         all[1].expect_receives("a").await;
-        assert!(is_increasing(&all[1].received.borrow().from["a"]));
+        assert!(is_increasing(&all[1].log.borrow().received["a"]));
         // Links without a fault stay connected.
         assert_eq!(all[0].reconnects(1), other_reconnects);
     });
@@ -275,14 +276,14 @@
         // Numbers and echoes are delayed, so an echo of a number that is sent now takes at least twice the lower bound. The
         // check asks for one lower bound.
         let started = Instant::now();
-        let last_echoed = *all[0].received.borrow().echoed[&0].last().unwrap();
+        let last_echoed = *all[0].log.borrow().echoed[&0].last().unwrap();
         all[0]
             .wait_until("later numbers are echoed", |echo| {
-                *echo.received.borrow().echoed[&0].last().unwrap() > last_echoed + 20
+                *echo.log.borrow().echoed[&0].last().unwrap() > last_echoed + 20
             })
             .await;
         assert!(started.elapsed() >= from, "{:?}", started.elapsed());
-        assert!(is_increasing(&all[1].received.borrow().from["a"]));
+        assert!(is_increasing(&all[1].log.borrow().received["a"]));
         mesh.end_fault(delayed).unwrap();
         let bytes_per_second = 200;
         mesh.begin_fault(0, 1, LinkFault::Slow(bytes_per_second)).unwrap();
@@ -325,7 +326,7 @@
         all[1].expect_silence("a").await;
         all[0].signal(Signal::CONT);
         all[1].expect_receives("a").await;
-        assert!(is_increasing(&all[1].received.borrow().from["a"]));
+        assert!(is_increasing(&all[1].log.borrow().received["a"]));
 
         mesh.set_process_address(2, None);
         all[2].signal(Signal::KILL);
--- a/crates/gullcart-standins/tests/standins.rs
+++ b/crates/gullcart-standins/tests/standins.rs
@@ -48,7 +48,7 @@
         queue_capacity: 10,
         retry_after_share: 1.0,
         min_retry_after: Duration::from_millis(300),
-        rejected_calls_count: false,
+        count_rejected_calls: false,
         cold_capacity_share: 0.2,
         warm_up: Duration::from_secs(10),
         collapse_multiple: 2.5,
@@ -194,14 +194,14 @@
 }
 
 /// Opens a watch of the changes after revision 1.
-async fn watch(address: SocketAddr) -> BufReader<TcpStream> {
+async fn open_watch(address: SocketAddr) -> BufReader<TcpStream> {
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(b"GET /v1/endpoints?watch=1&after=1 HTTP/1.1\r\n\r\n").await.unwrap();
     BufReader::new(stream)
 }
 
 /// Reads up to the next line that contains this text.
-async fn line(watch: &mut BufReader<TcpStream>, text: &str) -> String {
+async fn read_line_with(watch: &mut BufReader<TcpStream>, text: &str) -> String {
     loop {
         let mut line = String::new();
         assert!(watch.read_line(&mut line).await.unwrap() > 0, "the watch ended");
@@ -212,22 +212,24 @@
 }
 
 #[test]
-fn a_change_is_recorded_when_it_is_sent_and_a_silent_register_sends_nothing() {
+fn a_change_is_recorded_when_it_is_sent_and_a_silent_agent_sends_nothing() {
     on_loopback(async {
         let (recorder, trace) = recorder();
         let agent = Agent::start(&recorder, CourierId(0), vec![target(State::Serving)]).await.unwrap();
-        let mut watching = watch(agent.address()).await;
-        line(&mut watching, "200 OK").await;
+        let mut watching = open_watch(agent.address()).await;
+        read_line_with(&mut watching, "200 OK").await;
         agent.set_silent(true);
         agent.update_target(target(State::Draining));
-        let silent = timeout(Duration::from_millis(300), line(&mut watching, "DRAINING")).await;
+        let silent = timeout(Duration::from_millis(300), read_line_with(&mut watching, "DRAINING")).await;
         assert!(silent.is_err() && events(&trace).is_empty());
         agent.set_silent(false);
-        assert!(line(&mut watching, "DRAINING").await.contains("\"rev\":2"));
+        assert!(read_line_with(&mut watching, "DRAINING").await.contains("\"rev\":2"));
         assert!(matches!(events(&trace)[..], [Event::Listed { state: State::Draining, .. }]));
         // A new watch is sent the changes since its revision.
         let agent = agent.restart_at_new_address().await.unwrap();
-        assert!(line(&mut watch(agent.address()).await, "DRAINING").await.contains("s-00000007"));
+        assert!(read_line_with(&mut open_watch(agent.address()).await, "DRAINING")
+            .await
+            .contains("s-00000007"));
     });
 }
 
@@ -254,21 +256,21 @@
     });
 }
 
-/// A courier that accepts one connection for each of these replies, writes the reply to the first request and closes the
-/// connection. An empty reply closes it without one.
-async fn courier(answers: Vec<&'static str>) -> SocketAddr {
+/// A fake courier. It accepts one connection for each of these replies, writes the reply to the first request and closes the
+/// connection; for an empty reply it closes the connection without writing.
+async fn fake_courier(replies: Vec<&'static str>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     spawn_local(async move {
-        for answer in answers {
+        for reply in replies {
             let (mut stream, _) = listener.accept().await.unwrap();
             let mut buffer = [0; 4096];
             let _ = stream.read(&mut buffer).await;
-            let _ = stream.write_all(answer.as_bytes()).await;
-            if answer.is_empty() {
+            let _ = stream.write_all(reply.as_bytes()).await;
+            if reply.is_empty() {
                 continue;
             }
-            // Closed without notice: the next request on this connection fails.
+            // The client still has the connection in its pool, and its next request on it fails.
             drop(stream);
         }
     });
@@ -292,16 +294,16 @@
         .encode();
         let clients = Clients::default();
         assert_eq!(clients.enqueue(&request).await, Told::Unreached);
-        clients.set_address(Some(courier(vec!["+OK\r\n", "-BUSY 30\r\n"]).await));
+        clients.set_address(Some(fake_courier(vec!["+OK\r\n", "-BUSY 30\r\n"]).await));
         assert_eq!(clients.enqueue(&request).await, Told::Taken);
         assert_eq!(clients.enqueue(&request).await, Told::Busy(Some(30)));
         // A new connection is closed without a reply: accepted at the second attempt.
         let clients = Clients::default();
-        clients.set_address(Some(courier(vec!["", "+OK\r\n"]).await));
+        clients.set_address(Some(fake_courier(vec!["", "+OK\r\n"]).await));
         assert_eq!(clients.enqueue(&request).await, Told::Taken);
         // Two connections are closed without a reply: the client cannot know the outcome.
         let clients = Clients::default();
-        clients.set_address(Some(courier(vec!["", ""]).await));
+        clients.set_address(Some(fake_courier(vec!["", ""]).await));
         assert_eq!(clients.enqueue(&request).await, Told::Cut);
     });
 }
