--- a/crates/gullcart-emulator/src/calls.rs
+++ b/crates/gullcart-emulator/src/calls.rs
@@ -9,7 +9,7 @@
 use gullcart_judge::trace::{Answer, CallId, ClosedBy, CourierId, EndpointState, Event, Timestamp};
 use gullcart_rehearsal::Effect;
 use gullcart_standins::ids;
-use gullcart_standins::partner::Fate;
+use gullcart_standins::partner::CallOutcome;
 use std::time::Duration;
 
 /// Additional time that an endpoint takes for the first call on a connection.
@@ -102,7 +102,7 @@
     fn draw_connect_arrival(&mut self, address: Address) -> Timestamp {
         let first_arrival = self.draw_arrival_time();
         let unreachable_until = self.listening_endpoint(address).and_then(|(partner, index)| {
-            self.partners[partner].cut_until(self.endpoints[partner][index].model_index)
+            self.partners[partner].unreachable_until(self.endpoints[partner][index].model_index)
         });
         let (mut at, mut retry_delay) = (first_arrival, FIRST_SYN_RETRY);
         while unreachable_until.is_some_and(|until| at < until) {
@@ -235,7 +235,7 @@
         let now = self.now;
         self.calls_received += 1;
         let call = CallId(self.calls_received);
-        let request = ids::message_of(&wire_id);
+        let request = ids::parse_wire_id(&wire_id);
         let handed = request.and_then(|request| self.book.handed.get(&request));
         let origin = handed.map(|handed| handed.origin as u64);
         let intact = origin.is_some_and(|origin| {
@@ -254,12 +254,15 @@
             first_byte: first_byte_at,
             intact,
         });
-        let planned_outcome = self.partners[partner].call(model_index, now);
+        let planned_outcome = self.partners[partner].handle_call(model_index, now);
         let overhead = if is_new_connection { NEW_CONNECTION_OVERHEAD } else { Duration::ZERO };
         let outcome_at = match planned_outcome {
-            Fate::Done(at) | Fate::Error(at) | Fate::Reset(at) | Fate::Spoilt(at) => Some(at + overhead),
-            Fate::Refused(_) => Some(now + overhead),
-            Fate::Silent => None,
+            CallOutcome::Success(at)
+            | CallOutcome::Error(at)
+            | CallOutcome::Reset(at)
+            | CallOutcome::Malformed(at) => Some(at + overhead),
+            CallOutcome::Rejected(_) => Some(now + overhead),
+            CallOutcome::NoAnswer => None,
         };
         let endpoint_call =
             EndpointCall { courier, incarnation, message, serial, partner, endpoint_index, planned_outcome };
@@ -284,14 +287,14 @@
         let Some(endpoint_call) = self.endpoint_calls.get(&call) else { return };
         let (partner, endpoint_index) = (endpoint_call.partner, endpoint_call.endpoint_index);
         let model_index = self.endpoints[partner][endpoint_index].model_index;
-        if let Some(until) = self.partners[partner].stalled(model_index).filter(|until| *until > now) {
+        if let Some(until) = self.partners[partner].stalled_until(model_index).filter(|until| *until > now) {
             return self.queue.push(until, ScheduledEvent::EndpointOutcome(call));
         }
         let Some(endpoint_call) = self.endpoint_calls.remove(&call) else { return };
         let EndpointCall { courier, incarnation, message, serial, planned_outcome, .. } = endpoint_call;
         let reports_limit = self.scenario.partners[partner].reports;
         let limit_report = reports_limit.then(|| {
-            let (remaining_share, limit) = self.partners[partner].report(now);
+            let (remaining_share, limit) = self.partners[partner].limit_report(now);
             // The header X-Load-Report carries two decimal places of the share and one of the limit.
             LimitReport {
                 remaining_share: (remaining_share * 100.0).round() / 100.0,
@@ -299,20 +302,20 @@
             }
         });
         let (answer, outcome, is_reusable) = match planned_outcome {
-            Fate::Done(_) => (Answer::Ok, Outcome::Ok, true),
-            Fate::Error(_) => (Answer::Error, Outcome::Error, true),
-            Fate::Refused(retry_after) => {
+            CallOutcome::Success(_) => (Answer::Ok, Outcome::Ok, true),
+            CallOutcome::Error(_) => (Answer::Error, Outcome::Error, true),
+            CallOutcome::Rejected(retry_after) => {
                 self.calls_rejected += 1;
                 let retry_after_ms = retry_after.map(|wait| wait.as_micros().div_ceil(1000).max(1) as u64);
                 let outcome = Outcome::Rejected(retry_after_ms.map(Duration::from_millis));
                 (Answer::Rejected(retry_after_ms), outcome, true)
             }
             // A 200 in the status line means success, whatever is malformed after it.
-            Fate::Spoilt(_) if call.0 % MALFORMED_ANSWER_KINDS == MALFORMED_AFTER_STATUS => {
+            CallOutcome::Malformed(_) if call.0 % MALFORMED_ANSWER_KINDS == MALFORMED_AFTER_STATUS => {
                 (Answer::Ok, Outcome::Ok, false)
             }
-            Fate::Spoilt(_) => (Answer::Malformed, Outcome::Malformed, false),
-            Fate::Reset(_) | Fate::Silent => {
+            CallOutcome::Malformed(_) => (Answer::Malformed, Outcome::Malformed, false),
+            CallOutcome::Reset(_) | CallOutcome::NoAnswer => {
                 return self.reset_call(call, courier, incarnation, message, serial);
             }
         };
--- a/crates/gullcart-emulator/src/courier.rs
+++ b/crates/gullcart-emulator/src/courier.rs
@@ -72,12 +72,12 @@
 
     /// The engine's time, counted from the start of the process, for a time of the run.
     pub fn engine_time(&self, now: Timestamp) -> Time {
-        EPOCH + (now - self.started_at)
+        PROCESS_START + (now - self.started_at)
     }
 
     /// The time of the run for a time of the engine, rounded up to whole microseconds so that no timer fires early.
     pub fn run_time(&self, time: Time) -> Timestamp {
-        let micros = (time - EPOCH).as_nanos().div_ceil(1000);
+        let micros = (time - PROCESS_START).as_nanos().div_ceil(1000);
         self.started_at + Duration::from_micros(micros as u64)
     }
 
--- a/crates/gullcart-emulator/src/events.rs
+++ b/crates/gullcart-emulator/src/events.rs
@@ -20,7 +20,7 @@
 };
 #[cfg(feature = "broken")]
 use gullcart_message::ListingUpdate;
-use gullcart_standins::partner::Fate;
+use gullcart_standins::partner::CallOutcome;
 
 /// Serial number of calls whose end is not reported to their courier's engine, for an injected fault.
 pub(crate) const UNTRACKED_SERIAL: u64 = 0;
@@ -43,7 +43,7 @@
     pub serial: u64,
     pub partner: usize,
     pub endpoint_index: usize,
-    pub planned_outcome: Fate,
+    pub planned_outcome: CallOutcome,
 }
 
 /// A call on its way from a courier to an endpoint.
--- a/crates/gullcart-emulator/src/faults.rs
+++ b/crates/gullcart-emulator/src/faults.rs
@@ -11,7 +11,7 @@
 use gullcart_message::Target;
 use gullcart_rehearsal::figures::{END, FRONT_NOTICES, HANDED_AGAIN_MS, RESTART, ZONE};
 use gullcart_rehearsal::{Action, Replace};
-use gullcart_standins::partner::Trouble;
+use gullcart_standins::partner::PartnerFault;
 use std::time::Duration;
 
 /// Time after which the judge takes a change that the register's agent knows for reported to the courier, the same as in the
@@ -51,8 +51,8 @@
         let now = self.now;
         match action {
             Action::Begin { id, trouble, partner, endpoint, until } => {
-                self.partners[partner].begin(id, trouble, endpoint, until + STARTUP_OFFSET);
-                if trouble == Trouble::Down {
+                self.partners[partner].begin_fault(id, trouble, endpoint, until + STARTUP_OFFSET);
+                if trouble == PartnerFault::Down {
                     for index in 0..self.endpoints[partner].len() {
                         if self.partners[partner].is_down(self.endpoints[partner][index].model_index) {
                             self.reset_connections(partner, index);
@@ -60,12 +60,12 @@
                     }
                 }
             }
-            Action::End { id, partner } => self.partners[partner].end(id),
+            Action::End { id, partner } => self.partners[partner].end_fault(id),
             Action::Out(partner) => {
                 self.record(Event::OutageBegan { partner: Simulation::partner_id(partner) })
             }
             Action::Back(partner) => {
-                self.partners[partner].come_back(now);
+                self.partners[partner].begin_slow_start(now);
                 let (capacity, spec) =
                     (self.partners[partner].capacity(), self.partners[partner].spec().clone());
                 // The partner starts anew, so the connections with unanswered calls from the outage are reset.
@@ -73,8 +73,8 @@
                 self.record(Event::OutageEnded {
                     partner: Simulation::partner_id(partner),
                     capacity,
-                    cold_capacity_share: spec.cold_from,
-                    warm_at: now + spec.cold,
+                    cold_capacity_share: spec.cold_capacity_share,
+                    warm_at: now + spec.warm_up,
                 });
             }
             Action::Drain { partner, endpoint, replace } => {
--- a/crates/gullcart-emulator/src/processes.rs
+++ b/crates/gullcart-emulator/src/processes.rs
@@ -71,9 +71,9 @@
             parsed_settings,
             seed,
             initial_list: state.agent.full_list(),
-            now: EPOCH,
+            now: PROCESS_START,
             // The run's time is in microseconds.
-            epoch_ms: RUN_START_UNIX_MS + self.now.0 / 1000,
+            start_unix_ms: RUN_START_UNIX_MS + self.now.0 / 1000,
             settings_checksum: 0,
             #[cfg(feature = "broken")]
             fault_injector,
@@ -194,7 +194,7 @@
         if self.couriers[courier].process(incarnation).is_none() {
             return;
         }
-        let request = ids::message_of(&notice.id);
+        let request = ids::parse_wire_id(&notice.id);
         let verdict = match notice.verdict {
             NoticeVerdict::Failed => Verdict::Failed,
             NoticeVerdict::Returned { after_ms } => Verdict::Returned(Some(after_ms)),
--- a/crates/gullcart-emulator/tests/days.rs
+++ b/crates/gullcart-emulator/tests/days.rs
@@ -25,7 +25,7 @@
                 report.verdict,
                 Verdict::Kept,
                 "{name}, seed {seed}: {} {first_violation:?}",
-                report.service.service
+                report.service.combined
             );
             assert_eq!(report.remarks, Vec::<String>::new(), "{name}, seed {seed}");
             let counts = &report.counts;
--- a/crates/gullcart-peers/src/folder/tests.rs
+++ b/crates/gullcart-peers/src/folder/tests.rs
@@ -17,13 +17,13 @@
     folder.save_identity(&first).unwrap();
     assert!(matches!(GroupFolder::open(&path, 1 << 20, 8, None), Err(FolderError::Io(_))), "it is locked");
     drop(folder);
-    let copy = gullcart_standins::folder::Copy::take(&path).unwrap();
+    let copy = gullcart_standins::folder::FolderCopy::take(&path).unwrap();
     let (folder, origin, _) = GroupFolder::open(&path, 1 << 20, 8, None).unwrap();
     assert!(
         matches!(&origin, FolderOrigin::Unchanged(restarted) if restarted.folder_id == first.folder_id && restarted.incarnation.0 == 2)
     );
     drop(folder);
-    copy.put_back().unwrap();
+    copy.restore().unwrap();
     let (_folder, origin, _) = GroupFolder::open(&path, 1 << 20, 9, None).unwrap();
     assert!(matches!(origin, FolderOrigin::Copied(_)), "{origin:?}");
 }
--- a/crates/gullcart-peers/tests/common/mod.rs
+++ b/crates/gullcart-peers/tests/common/mod.rs
@@ -210,7 +210,7 @@
         let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
         let first = timeout(TIMEOUT, lines.next_line()).await.unwrap().unwrap().unwrap();
         let address = first.split_once("address=").unwrap_or_else(|| panic!("{first}")).1.parse().unwrap();
-        self.mesh.at(index, Some(address));
+        self.mesh.set_process_address(index, Some(address));
         let (status, log) = (Rc::new(RefCell::new(Value::Null)), Rc::new(RefCell::new(Vec::new())));
         let (last_status, lines_seen) = (status.clone(), log.clone());
         spawn_local(async move {
@@ -232,7 +232,7 @@
 
     pub async fn kill(&mut self, index: usize) {
         self.signal(index, Signal::KILL);
-        self.mesh.at(index, None);
+        self.mesh.set_process_address(index, None);
         self.processes[index].take().unwrap().child.wait().await.unwrap();
     }
 
@@ -250,7 +250,7 @@
         let mut process = self.processes[index].take().unwrap();
         process.child.stdin.take().unwrap().write_all(b"leave\n").await.unwrap();
         timeout(TIMEOUT, process.child.wait()).await.unwrap().unwrap();
-        self.mesh.at(index, None);
+        self.mesh.set_process_address(index, None);
     }
 
     pub fn status(&self, index: usize) -> Value {
--- a/crates/gullcart-peers/tests/faults.rs
+++ b/crates/gullcart-peers/tests/faults.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use gullcart_standins::link::plan::{Trouble, Way};
+use gullcart_standins::link::faults::{Direction, LinkFault};
 use std::time::Duration;
 use tokio::time::sleep;
 
@@ -18,16 +18,16 @@
     Duration::from_millis(count)
 }
 
-fn random_trouble(rng: &mut fastrand::Rng) -> Trouble {
+fn random_trouble(rng: &mut fastrand::Rng) -> LinkFault {
     match rng.u8(0..8) {
-        0 => Trouble::Cut(Way::There),
-        1 => Trouble::Cut(Way::Back),
-        2 => Trouble::Silent,
-        3 => Trouble::Refused,
-        4 => Trouble::Slow(rng.u32(2_000..50_000)),
-        5 => Trouble::Late(ms(1), ms(rng.u64(2..300))),
-        6 => Trouble::ResetAfter(rng.u64(200..20_000)),
-        _ => Trouble::Flapping(ms(rng.u64(50..500)), ms(rng.u64(50..500))),
+        0 => LinkFault::Cut(Direction::Forward),
+        1 => LinkFault::Cut(Direction::Backward),
+        2 => LinkFault::Silent,
+        3 => LinkFault::Refused,
+        4 => LinkFault::Slow(rng.u32(2_000..50_000)),
+        5 => LinkFault::Delayed(ms(1), ms(rng.u64(2..300))),
+        6 => LinkFault::ResetAfter(rng.u64(200..20_000)),
+        _ => LinkFault::Flapping(ms(rng.u64(50..500)), ms(rng.u64(50..500))),
     }
 }
 
@@ -70,17 +70,17 @@
             7 | 8 => {
                 let other = (index + 1 + rng.usize(0..size - 1)) % size;
                 let trouble = random_trouble(&mut rng);
-                troubles.push(group.mesh.trouble(index, other, trouble).unwrap());
+                troubles.push(group.mesh.begin_fault(index, other, trouble).unwrap());
             }
             _ => {
                 if let Some(number) = troubles.pop() {
-                    group.mesh.end(number).unwrap();
+                    group.mesh.end_fault(number).unwrap();
                 }
             }
         }
         sleep(ms(rng.u64(0..900))).await;
     }
-    group.mesh.heal().unwrap();
+    group.mesh.end_all_faults().unwrap();
     for index in paused {
         group.resume(index);
     }
@@ -134,7 +134,7 @@
                     "cut off" => {
                         let cut = group.mesh.partition(&[&[holder], &others]).unwrap();
                         (holder, gap) = group.next_holder("one", before).await;
-                        group.mesh.end(cut).unwrap();
+                        group.mesh.end_fault(cut).unwrap();
                     }
                     _ => {
                         group.leave(holder).await;
--- a/crates/gullcart-peers/tests/processes.rs
+++ b/crates/gullcart-peers/tests/processes.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use gullcart_standins::folder::{lose, Copy};
+use gullcart_standins::folder::{clear_folder, FolderCopy};
 use serde_json::Value;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -56,7 +56,7 @@
         let others: Vec<usize> = (0..5).filter(|index| *index != holder).collect();
         let cut = group.mesh.partition(&[&[holder], &others]).unwrap();
         group.next_holder("one", holder).await;
-        group.mesh.end(cut).unwrap();
+        group.mesh.end_fault(cut).unwrap();
         group.stable_holder("one", LONGER_THAN_LEASE).await;
         group.check_actions();
     });
@@ -72,7 +72,7 @@
             let cut = group.mesh.partition(&[&[a], &[c]]).unwrap();
             sleep(LONGER_THAN_LEASE).await;
             group.holder("one").await;
-            group.mesh.end(cut).unwrap();
+            group.mesh.end_fault(cut).unwrap();
         }
         group.check_actions();
     });
@@ -149,13 +149,13 @@
         let mut group = Group::start(3, 3, &["one"]).await;
         group.holder("one").await;
         let folder = group.state_folder(0).join("group");
-        let copy = Copy::take(&folder).unwrap();
+        let copy = FolderCopy::take(&folder).unwrap();
         for is_lost in [true, false] {
             group.kill(0).await;
             if is_lost {
-                lose(&folder).unwrap();
+                clear_folder(&folder).unwrap();
             } else {
-                copy.put_back().unwrap();
+                copy.restore().unwrap();
             }
             group.start_process(0).await;
             let what = "it learns that it is known with another folder";
--- a/crates/gullcart-rehearsal/src/day/actions.rs
+++ b/crates/gullcart-rehearsal/src/day/actions.rs
@@ -3,7 +3,7 @@
 use super::time::at;
 use crate::scenario::{Fault, FaultKind, How, Replace, Scenario, Target};
 use gullcart_judge::trace::Timestamp;
-use gullcart_standins::partner::Trouble;
+use gullcart_standins::partner::PartnerFault;
 use std::time::Duration;
 
 /// The troubles of one fault have numbers of its own, so many at most.
@@ -19,7 +19,7 @@
         /// Its number, by which it ends.
         id: u32,
         /// What.
-        trouble: Trouble,
+        trouble: PartnerFault,
         /// Where.
         partner: usize,
         /// One endpoint, or all.
@@ -176,13 +176,13 @@
     fn put_at_partner(&mut self, site: Site) {
         let &Fault { kind, severity, tells_wait, how, .. } = self.fault;
         match kind {
-            FaultKind::Silent => self.put_trouble(site, Trouble::Silent),
-            FaultKind::Slow => self.put_trouble(site, Trouble::Slow(severity)),
-            FaultKind::Refuse => self.put_trouble(site, Trouble::Refuse(severity, tells_wait)),
-            FaultKind::Shut => self.put_trouble(site, Trouble::Shut(tells_wait)),
-            FaultKind::Reset => self.put_trouble(site, Trouble::Reset(severity)),
-            FaultKind::Spoil => self.put_trouble(site, Trouble::Spoil(severity)),
-            FaultKind::Copies => self.put_trouble(site, Trouble::Copies(severity)),
+            FaultKind::Silent => self.put_trouble(site, PartnerFault::Silent),
+            FaultKind::Slow => self.put_trouble(site, PartnerFault::Slow(severity)),
+            FaultKind::Refuse => self.put_trouble(site, PartnerFault::Reject(severity, tells_wait)),
+            FaultKind::Shut => self.put_trouble(site, PartnerFault::Closed(tells_wait)),
+            FaultKind::Reset => self.put_trouble(site, PartnerFault::Reset(severity)),
+            FaultKind::Spoil => self.put_trouble(site, PartnerFault::Malformed(severity)),
+            FaultKind::Copies => self.put_trouble(site, PartnerFault::DuplicateAnswers(severity)),
             FaultKind::Stall => self.put_stalls(site),
             FaultKind::Outage => {
                 self.put_trouble(site, outage_trouble(how, tells_wait));
@@ -193,7 +193,7 @@
     }
 
     /// A trouble for as long as the fault lasts.
-    fn put_trouble(&mut self, site: Site, trouble: Trouble) {
+    fn put_trouble(&mut self, site: Site, trouble: PartnerFault) {
         self.put_trouble_within(self.first_id, site, trouble, self.from(), self.to());
     }
 
@@ -201,7 +201,7 @@
         &mut self,
         id: u32,
         site: Site,
-        trouble: Trouble,
+        trouble: PartnerFault,
         from: Timestamp,
         until: Timestamp,
     ) {
@@ -212,22 +212,22 @@
 
     /// One stall, or a short one every so many seconds.
     fn put_stalls(&mut self, site: Site) {
-        let Some(every) = self.fault.every_s else { return self.put_trouble(site, Trouble::Stall) };
+        let Some(every) = self.fault.every_s else { return self.put_trouble(site, PartnerFault::Stall) };
         let stalls = (self.fault.length_s / every).ceil().min(MOST_STALLS) as u32;
         for stall in 0..stalls {
             let begins = self.begin + f64::from(stall) * every;
             let ends = begins + self.fault.severity / 1e3;
-            self.put_trouble_within(self.first_id + stall, site, Trouble::Stall, at(begins), at(ends));
+            self.put_trouble_within(self.first_id + stall, site, PartnerFault::Stall, at(begins), at(ends));
         }
     }
 }
 
 /// How a partner that is out treats calls.
-fn outage_trouble(how: How, tells_wait: bool) -> Trouble {
+fn outage_trouble(how: How, tells_wait: bool) -> PartnerFault {
     match how {
-        How::Down => Trouble::Down,
-        How::Silent => Trouble::Silent,
-        How::Cut => Trouble::Cut,
-        How::Shut => Trouble::Shut(tells_wait),
+        How::Down => PartnerFault::Down,
+        How::Silent => PartnerFault::Silent,
+        How::Cut => PartnerFault::Unreachable,
+        How::Shut => PartnerFault::Closed(tells_wait),
     }
 }
--- a/crates/gullcart-rehearsal/src/figures.rs
+++ b/crates/gullcart-rehearsal/src/figures.rs
@@ -3,7 +3,7 @@
 use crate::day::Day;
 use crate::scenario::{Effect, Scenario};
 use gullcart_judge::{ClassRules, ClassWorth, RuleLimits};
-use gullcart_standins::partner::{Limit, Spec};
+use gullcart_standins::partner::{Limit, PartnerSpec};
 use serde_json::{json, Value};
 use std::time::Duration;
 
@@ -53,25 +53,25 @@
 }
 
 /// A partner's figures.
-pub fn spec(partner: &crate::scenario::Partner) -> Spec {
+pub fn spec(partner: &crate::scenario::Partner) -> PartnerSpec {
     let figures = RuleLimits::new(Vec::new());
     let span = Duration::from_secs_f64(partner.span_s);
-    Spec {
+    PartnerSpec {
         limit: match (partner.rate, partner.count) {
             (Some(rate), _) => Limit::Rate(rate),
-            (None, count) => Limit::Count { calls: count.unwrap_or(1), span },
+            (None, count) => Limit::PerWindow { calls: count.unwrap_or(1), window: span },
         },
-        spare: partner.spare,
-        pace: Duration::from_secs_f64(partner.pace_ms / 1e3),
-        queue: partner.queue,
-        tells_wait: partner.tells_wait,
-        wait: Duration::from_secs_f64(partner.wait_ms / 1e3),
-        refused_count: partner.refused_count,
-        cold_from: partner.cold_from,
-        cold: Duration::from_secs_f64(partner.cold_s),
-        fall_multiple: figures.collapse_multiple,
-        fall_window: figures.collapse_window,
-        errors: partner.errors,
+        capacity_factor: partner.spare,
+        mean_service_time: Duration::from_secs_f64(partner.pace_ms / 1e3),
+        queue_capacity: partner.queue,
+        retry_after_share: partner.tells_wait,
+        min_retry_after: Duration::from_secs_f64(partner.wait_ms / 1e3),
+        count_rejected_calls: partner.refused_count,
+        cold_capacity_share: partner.cold_from,
+        warm_up: Duration::from_secs_f64(partner.cold_s),
+        collapse_multiple: figures.collapse_multiple,
+        collapse_window: figures.collapse_window,
+        error_share: partner.errors,
     }
 }
 
--- a/crates/gullcart-rehearsal/src/run/clients.rs
+++ b/crates/gullcart-rehearsal/src/run/clients.rs
@@ -1,7 +1,7 @@
 //! Clients: messages sent by the schedule, and what they do with answers.
 
 use super::*;
-use gullcart_standins::client::HandIn;
+use gullcart_standins::client::EnqueueRequest;
 use tokio::time::timeout;
 
 impl World {
@@ -80,19 +80,19 @@
             };
             let keyed = class.effect == Effect::Keyed;
             let idempotency_key = keyed.then(|| ids::idempotency_key(origin as u64));
-            let request = HandIn {
+            let request = EnqueueRequest {
                 id: &ids::wire_id(message),
-                key: arrival.key.unwrap_or(0),
+                order_key: arrival.key.unwrap_or(0),
                 class: &class.name,
                 partner: partner_id(arrival.partner).0,
-                left,
+                time_left: left,
                 idempotency_key: idempotency_key.as_deref(),
                 retry,
-                again,
+                from_dead_courier: again,
                 body: &ids::body(origin as u64, self.scenario.traffic.body),
             }
-            .request();
-            self.recorder.note(Event::EnqueueSent {
+            .encode();
+            self.recorder.record(Event::EnqueueSent {
                 message,
                 courier: CourierId(courier as u16),
                 class: ClassId(arrival.class as u8),
@@ -100,11 +100,11 @@
                 partner: partner_id(arrival.partner),
                 deadline,
             });
-            let mut told = self.places[courier].clients.hand_in(&request).await;
+            let mut told = self.places[courier].clients.enqueue(&request).await;
             if told == EnqueueOutcome::ConnectionLost && self.is_away(courier).await {
                 told = EnqueueOutcome::Unreachable;
             }
-            self.recorder.note(Event::EnqueueAnswered { message, outcome: told });
+            self.recorder.record(Event::EnqueueAnswered { message, outcome: told });
             match told {
                 EnqueueOutcome::Accepted | EnqueueOutcome::Error => return,
                 EnqueueOutcome::Busy(wait) => {
@@ -124,7 +124,7 @@
 
     /// Whether a courier's process has ended, or does so in a moment.
     pub(super) async fn is_away(&self, courier: usize) -> bool {
-        let ended = self.places[courier].process.borrow().as_ref().map(Courier::ended);
+        let ended = self.places[courier].process.borrow().as_ref().map(Courier::exit_watch);
         match ended {
             Some(mut ended) => {
                 timeout(Duration::from_millis(100), ended.wait_for(|ended| *ended)).await.is_ok()
--- a/crates/gullcart-rehearsal/src/run/couriers.rs
+++ b/crates/gullcart-rehearsal/src/run/couriers.rs
@@ -6,7 +6,7 @@
 
 impl World {
     pub(super) fn process(&self, courier: usize, what: ProcessEvent) {
-        self.recorder.note(Event::Process { courier: CourierId(courier as u16), change: what });
+        self.recorder.record(Event::Process { courier: CourierId(courier as u16), change: what });
     }
 
     pub(super) async fn start(self: &Rc<Self>, courier: usize) -> Result<(), RunError> {
@@ -17,11 +17,11 @@
         *place.ending.borrow_mut() = ending.clone();
         let started = Courier::start(&self.launch, &config, &place.folder.join("state")).await;
         let process = started.map_err(|error| RunError::Start { courier, error })?;
-        place.clients.find(Some(process.address()));
+        place.clients.set_address(Some(process.address()));
         self.watch(courier, &process, ending);
         *place.process.borrow_mut() = Some(process);
         while !place.clients.ping().await {
-            if place.process.borrow().as_ref().is_none_or(Courier::has_ended) {
+            if place.process.borrow().as_ref().is_none_or(Courier::has_exited) {
                 return Ok(());
             }
             sleep(Duration::from_millis(5)).await;
@@ -33,7 +33,7 @@
 
     /// Notes a crash: an end that nobody asked for.
     fn watch(self: &Rc<Self>, courier: usize, process: &Courier, ending: Rc<Cell<bool>>) {
-        let (mut ended, log, world) = (process.ended(), process.log(), self.clone());
+        let (mut ended, log, world) = (process.exit_watch(), process.log(), self.clone());
         spawn_local(async move {
             // The sender goes only after it has told.
             let _ = ended.wait_for(|ended| *ended).await;
@@ -41,7 +41,7 @@
             if !ending.get() {
                 world.process(courier, ProcessEvent::Crashed);
                 place.serving.set(false);
-                place.clients.find(None);
+                place.clients.set_address(None);
                 let last = log.borrow().back().cloned().unwrap_or_default();
                 world.remark(format!("courier {courier} ended by itself; its last line: {last}"));
             }
@@ -71,7 +71,7 @@
         self.watch(courier, &new, ending);
         let Some(old) = place.process.replace(Some(new)) else { return };
         old.signal(Signal::TERM);
-        if !old.wait(END).await {
+        if !old.wait_for_exit(END).await {
             self.remark(format!(
                 "the process before of courier {courier} was still there 3.7 s after SIGTERM"
             ));
@@ -87,7 +87,7 @@
             let process = place.process.borrow();
             let Some(process) = &*process else { return };
             process.signal(Signal::TERM);
-            process.ended()
+            process.exit_watch()
         };
         sleep(FRONT_NOTICES).await;
         place.serving.set(false);
@@ -98,7 +98,7 @@
                 process.signal(Signal::KILL);
             }
         }
-        place.clients.find(None);
+        place.clients.set_address(None);
         self.process(courier, ProcessEvent::Ended);
     }
 
@@ -110,7 +110,7 @@
         if let Some(process) = &*place.process.borrow() {
             process.signal(Signal::KILL);
         }
-        place.clients.find(None);
+        place.clients.set_address(None);
         self.process(courier, ProcessEvent::Ended);
         if folder_lost {
             let state = place.folder.join("state");
@@ -165,7 +165,7 @@
 
     pub(super) async fn start_again(self: &Rc<Self>, courier: usize) {
         let place = &self.places[courier];
-        let ended = place.process.borrow().as_ref().map(Courier::ended);
+        let ended = place.process.borrow().as_ref().map(Courier::exit_watch);
         if let Some(mut ended) = ended {
             let _ = ended.wait_for(|ended| *ended).await;
         }
@@ -182,7 +182,7 @@
     pub(super) fn full(&self, courier: usize, full: bool) {
         let process = self.places[courier].process.borrow();
         let Some(process) = &*process else { return };
-        if let Err(error) = process.limit_files(full.then_some(0)) {
+        if let Err(error) = process.limit_file_size(full.then_some(0)) {
             self.remark(format!("the folder of courier {courier} could not be filled: {error}"));
         }
     }
@@ -192,7 +192,7 @@
         for (courier, place) in self.places.iter().enumerate() {
             self.go_on(courier);
             place.ending.borrow().set(true);
-            if place.process.borrow().as_ref().is_some_and(|process| !process.has_ended()) {
+            if place.process.borrow().as_ref().is_some_and(|process| !process.has_exited()) {
                 self.process(courier, ProcessEvent::Terminated);
             }
             if let Some(process) = &*place.process.borrow() {
@@ -203,10 +203,10 @@
         for (courier, place) in self.places.iter().enumerate() {
             let Some(process) = place.process.borrow_mut().take() else { continue };
             let left = until.saturating_duration_since(Instant::now());
-            if !process.wait(left).await {
+            if !process.wait_for_exit(left).await {
                 self.remark(format!("courier {courier} was still there 3.7 s after SIGTERM, and was killed"));
                 process.signal(Signal::KILL);
-                process.wait(END).await;
+                process.wait_for_exit(END).await;
             }
         }
     }
--- a/crates/gullcart-rehearsal/src/run/faults.rs
+++ b/crates/gullcart-rehearsal/src/run/faults.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::day::Action;
 use crate::scenario::Replace;
-use gullcart_standins::partner::Trouble;
+use gullcart_standins::partner::PartnerFault;
 use rustix::process::Signal;
 
 impl World {
@@ -11,24 +11,24 @@
         let now = self.recorder.now();
         match action {
             Action::Begin { id, trouble, partner, endpoint, until } => {
-                self.partners[partner].borrow_mut().begin(id, trouble, endpoint, until);
-                if matches!(trouble, Trouble::Down | Trouble::Cut) {
+                self.partners[partner].borrow_mut().begin_fault(id, trouble, endpoint, until);
+                if matches!(trouble, PartnerFault::Down | PartnerFault::Unreachable) {
                     self.reopen(partner);
                 }
             }
             Action::End { id, partner } => {
-                self.partners[partner].borrow_mut().end(id);
+                self.partners[partner].borrow_mut().end_fault(id);
                 self.reopen(partner);
             }
             Action::Out(partner) => {
-                self.recorder.note(Event::OutageBegan { partner: partner_id(partner) });
+                self.recorder.record(Event::OutageBegan { partner: partner_id(partner) });
             }
             Action::Back(partner) => self.back(partner, now),
             Action::Drain { partner, endpoint, replace } => self.drain(partner, endpoint, replace),
             Action::Gone { partner, endpoint, replace } => self.gone(partner, endpoint, replace),
             Action::Silence(courier, silent) => {
                 if let Some(agent) = &*self.places[courier].agent.borrow() {
-                    agent.silence(silent);
+                    agent.set_silent(silent);
                 }
             }
             Action::Move(courier) => {
@@ -63,13 +63,13 @@
             if standing.state.get() == EndpointState::Gone {
                 continue;
             }
-            if self.partners[partner].borrow().is_down(standing.endpoint.place) {
-                standing.doors.iter().for_each(Door::shut);
-                standing.endpoint.break_connections();
+            if self.partners[partner].borrow().is_down(standing.endpoint.index) {
+                standing.doors.iter().for_each(EndpointListener::refuse_connections);
+                standing.endpoint.reset_connections();
                 continue;
             }
-            let is_cut = self.partners[partner].borrow().cut_until(standing.endpoint.place).is_some();
-            let change = if is_cut { Door::cut } else { Door::reopen };
+            let is_cut = self.partners[partner].borrow().unreachable_until(standing.endpoint.index).is_some();
+            let change = if is_cut { EndpointListener::block_connections } else { EndpointListener::reopen };
             if let Some(error) = standing.doors.iter().find_map(|door| change(door).err()) {
                 self.remark(format!("an endpoint's address could not be opened again or cut off: {error}"));
             }
@@ -78,16 +78,16 @@
 
     pub(super) fn back(&self, partner: usize, now: Timestamp) {
         let mut model = self.partners[partner].borrow_mut();
-        model.come_back(now);
+        model.begin_slow_start(now);
         let (capacity, spec) = (model.capacity(), model.spec().clone());
         drop(model);
         // Calls of before hang no more.
-        self.endpoints.borrow()[partner].iter().for_each(|standing| standing.endpoint.break_connections());
-        self.recorder.note(Event::OutageEnded {
+        self.endpoints.borrow()[partner].iter().for_each(|standing| standing.endpoint.reset_connections());
+        self.recorder.record(Event::OutageEnded {
             partner: partner_id(partner),
             capacity,
-            cold_capacity_share: spec.cold_from,
-            warm_at: now + spec.cold,
+            cold_capacity_share: spec.cold_capacity_share,
+            warm_at: now + spec.warm_up,
         });
     }
 
@@ -100,7 +100,7 @@
             spawn_local(async move {
                 sleep(Duration::from_secs_f64(late)).await;
                 if let Some(agent) = &*world.places[courier].agent.borrow() {
-                    agent.change(target);
+                    agent.update_target(target);
                 }
             });
         }
@@ -127,9 +127,9 @@
             let endpoints = self.endpoints.borrow();
             let standing = &endpoints[partner][place];
             standing.state.set(EndpointState::Gone);
-            standing.endpoint.break_connections();
+            standing.endpoint.reset_connections();
             if replace != Replace::SameAddress {
-                standing.doors.iter().for_each(Door::shut);
+                standing.doors.iter().for_each(EndpointListener::refuse_connections);
             }
         }
         self.tell(partner, place);
@@ -137,7 +137,7 @@
             let model = self.partners[partner].borrow_mut().add_endpoint();
             let endpoint = self.new_endpoint(partner, model);
             let doors = self.endpoints.borrow()[partner][place].doors.clone();
-            doors.iter().for_each(|door| door.hand_over(endpoint.clone()));
+            doors.iter().for_each(|door| door.replace_endpoint(endpoint.clone()));
             let standing = Standing { endpoint, doors, state: Cell::new(EndpointState::Serving) };
             self.endpoints.borrow_mut()[partner].push(standing);
             let place = self.endpoints.borrow()[partner].len() - 1;
@@ -148,7 +148,7 @@
     pub(super) async fn move_agent(&self, courier: usize) {
         let place = &self.places[courier];
         let Some(agent) = place.agent.borrow_mut().take() else { return };
-        match agent.move_on().await {
+        match agent.restart_at_new_address().await {
             Ok(agent) => *place.agent.borrow_mut() = Some(agent),
             Err(error) => return self.remark(format!("the register could not move: {error}")),
         }
--- a/crates/gullcart-rehearsal/src/run/mod.rs
+++ b/crates/gullcart-rehearsal/src/run/mod.rs
@@ -17,9 +17,11 @@
 use gullcart_judge::trace::*;
 use gullcart_judge::{Judge, Rule, ServiceScores, Weights};
 use gullcart_standins::client::Clients;
-use gullcart_standins::endpoint::{Counters, Door, Endpoint, Expect, Expected, Site};
+use gullcart_standins::endpoint::{
+    Counters, Endpoint, EndpointContext, EndpointListener, ExpectedMessage, ExpectedMessageLookup,
+};
 use gullcart_standins::partner::Partner;
-use gullcart_standins::process::{Courier, Launch, StartError};
+use gullcart_standins::process::{Courier, LaunchOptions, StartError};
 use gullcart_standins::register::Agent;
 use gullcart_standins::{ids, Recorder};
 use hdrhistogram::Histogram;
@@ -62,7 +64,7 @@
 #[derive(Clone, Debug)]
 pub struct Options {
     /// How couriers are started.
-    pub launch: Launch,
+    pub launch: LaunchOptions,
     /// What everything is drawn from.
     pub seed: u64,
     /// When to end.
@@ -129,18 +131,18 @@
 /// An endpoint and its addresses, one for each courier.
 struct Standing {
     endpoint: Rc<Endpoint>,
-    doors: Rc<Vec<Door>>,
+    doors: Rc<Vec<EndpointListener>>,
     state: Cell<EndpointState>,
 }
 
 struct World {
     scenario: Scenario,
     seed: u64,
-    launch: Launch,
+    launch: LaunchOptions,
     day: Day,
     book: Rc<RefCell<Book>>,
     recorder: Recorder,
-    site: Site,
+    site: EndpointContext,
     partners: Vec<Rc<RefCell<Partner>>>,
     /// By partner, in the order of the file; those that come in their place later on stand behind.
     endpoints: RefCell<Vec<Vec<Standing>>>,
@@ -203,18 +205,18 @@
         let recorder = Recorder::new(move |entry| heard.borrow_mut().hear(entry));
         let (asked, classes) = (book.clone(), scenario.classes.clone());
         let size = scenario.traffic.body;
-        let expect: Expect = Rc::new(move |message| {
+        let expect: ExpectedMessageLookup = Rc::new(move |message| {
             let book = asked.borrow();
             let origin = book.handed.get(&message)?.origin;
             let class = &classes[book.origins[origin].arrival.class];
             let keyed = class.effect == Effect::Keyed;
-            Some(Expected {
+            Some(ExpectedMessage {
                 idempotency_key: keyed.then(|| ids::idempotency_key(origin as u64)),
                 body: ids::body(origin as u64, size),
             })
         });
         let counters = Rc::new(Counters::default());
-        let site = Site { recorder: recorder.clone(), expect, counters };
+        let site = EndpointContext { recorder: recorder.clone(), expected_message: expect, counters };
         let partners: Vec<Rc<RefCell<Partner>>> = scenario
             .partners
             .iter()
@@ -333,19 +335,19 @@
         let mut recent = std::mem::take(&mut self.book.borrow_mut().recent);
         recent.sort_by(f64::total_cmp);
         let memory = |place: &Place| {
-            let kb = place.process.borrow().as_ref().and_then(Courier::memory_kb);
+            let kb = place.process.borrow().as_ref().and_then(Courier::resident_kib);
             kb.map(|kb| kb as f64 / 1024.0)
         };
         let sample = Sample {
             at: now.as_secs_f64(),
-            out: counters.out.get(),
+            out: counters.calls_in_flight.get(),
             owed: self.book.borrow().judge.pending_messages(),
-            calls: counters.calls.get() - *calls,
-            refused: counters.refused.get() - *refused,
+            calls: counters.calls_received.get() - *calls,
+            refused: counters.calls_rejected.get() - *refused,
             memory_mb: self.places.iter().map(memory).collect(),
             latency_ms: recent.last().map(|worst| (recent[recent.len() / 2], *worst)),
         };
-        (*calls, *refused) = (counters.calls.get(), counters.refused.get());
+        (*calls, *refused) = (counters.calls_received.get(), counters.calls_rejected.get());
         sample
     }
 
@@ -371,7 +373,7 @@
             book.judge.finish(now);
         }
         let counters = &self.site.counters;
-        let (clients, partners) = (lateness(&self.late.borrow()), lateness(&counters.late.borrow()));
+        let (clients, partners) = (lateness(&self.late.borrow()), lateness(&counters.lateness_us.borrow()));
         let late = clients.p99.max(partners.p99);
         let void = (late > LATE_MS).then(|| {
             format!(
@@ -405,8 +407,8 @@
             broken,
             breaches,
             counts: Counts {
-                refused: counters.refused.get(),
-                connections: counters.connections.get(),
+                refused: counters.calls_rejected.get(),
+                connections: counters.connections_accepted.get(),
                 ..book.counts
             },
             latency: book.service.latency(None),
--- a/crates/gullcart-rehearsal/src/run/stand.rs
+++ b/crates/gullcart-rehearsal/src/run/stand.rs
@@ -8,8 +8,8 @@
     /// A new endpoint at new addresses.
     pub(super) fn endpoint(&self, partner: usize, place: usize) -> io::Result<Standing> {
         let endpoint = self.new_endpoint(partner, place);
-        let doors: io::Result<Vec<Door>> = (0..self.places.len())
-            .map(|courier| Door::open(&self.site, CourierId(courier as u16), endpoint.clone()))
+        let doors: io::Result<Vec<EndpointListener>> = (0..self.places.len())
+            .map(|courier| EndpointListener::open(&self.site, CourierId(courier as u16), endpoint.clone()))
             .collect();
         Ok(Standing { endpoint, doors: Rc::new(doors?), state: Cell::new(EndpointState::Serving) })
     }
@@ -47,7 +47,7 @@
         let place = &self.places[courier];
         let agent = place.agent.borrow();
         let agent = agent.as_ref().ok_or_else(|| io::Error::other("the register's agent is moving"))?;
-        let known: Value = serde_json::from_str(&agent.known())?;
+        let known: Value = serde_json::from_str(&agent.known_list())?;
         let limits = &self.scenario.couriers;
         let seed = self.rng.borrow_mut().u64(..);
         // An upgrade needs a console; else there is none.
--- a/crates/gullcart-standins/src/partner.rs
+++ b/crates/gullcart-standins/src/partner.rs
@@ -1,172 +1,177 @@
-//! The model of a partner: what it takes, how long it works, what faults do to it, and how it returns from an outage.
-//! It knows no socket and no clock.
+//! The model of a partner: its limit, its service times, its faults and its slow start after an outage. No I/O, no clock.
 
 use gullcart_judge::slow_start::SlowStart;
 use gullcart_judge::trace::Timestamp;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How many calls a partner takes from all couriers together.
+/// How many calls a partner accepts from all couriers together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Limit {
-    /// So many calls a second, evenly; a fifth of a second's calls may come at once.
+    /// Calls a second, as a token bucket that holds the calls of a fifth of a second.
     Rate(f64),
-    /// So many calls in each span, which begin at the same time for all.
-    Count {
-        /// Calls.
+    /// A number of calls in each window; windows begin at multiples of their length.
+    PerWindow {
+        /// Calls allowed in a window.
         calls: u32,
-        /// Length of a span.
-        span: Duration,
+        /// Length of a window.
+        window: Duration,
     },
 }
 
 impl Limit {
-    /// In calls a second.
+    /// The limit in calls a second.
     pub fn per_second(self) -> f64 {
         match self {
             Limit::Rate(rate) => rate,
-            Limit::Count { calls, span } => f64::from(calls) / span.as_secs_f64(),
+            Limit::PerWindow { calls, window } => f64::from(calls) / window.as_secs_f64(),
         }
     }
 }
 
-/// What a partner is like.
+/// Parameters of a partner.
 #[derive(Clone, Debug)]
-pub struct Spec {
-    /// What it allows.
+pub struct PartnerSpec {
+    /// The calls that it accepts.
     pub limit: Limit,
-    /// What it can do over what it allows, 1 or more.
-    pub spare: f64,
-    /// Mean time for a call.
-    pub pace: Duration,
-    /// Calls that wait at an endpoint whose servers are all busy; more are turned away.
-    pub queue: usize,
-    /// Share of refusals that tell a wait.
-    pub tells_wait: f64,
-    /// The wait that a refusal above a plain rate tells, at least.
-    pub wait: Duration,
-    /// Whether refused calls use up the limit too.
-    pub refused_count: bool,
-    /// Share of its capacity after an outage.
-    pub cold_from: f64,
-    /// Until it has all of it.
-    pub cold: Duration,
-    /// Pushed over by this multiple of what it can do, ...
-    pub fall_multiple: f64,
-    /// ... for so long.
-    pub fall_window: Duration,
-    /// Share of calls that end as errors.
-    pub errors: f64,
+    /// Capacity as a multiple of the limit, at least 1.
+    pub capacity_factor: f64,
+    /// Mean service time of a call.
+    pub mean_service_time: Duration,
+    /// Calls that may wait at an endpoint whose servers are all busy; further ones are rejected.
+    pub queue_capacity: usize,
+    /// Share of rejections that carry a retry-after.
+    pub retry_after_share: f64,
+    /// Minimum retry-after of rejections above a [`Limit::Rate`].
+    pub min_retry_after: Duration,
+    /// Whether rejected calls use up a [`Limit::Rate`] too. They never use up a [`Limit::PerWindow`].
+    pub count_rejected_calls: bool,
+    /// Share of the capacity that is available right after an outage, when the slow start begins.
+    pub cold_capacity_share: f64,
+    /// Length of the slow start, after which the full capacity is available.
+    pub warm_up: Duration,
+    /// During slow start, the partner collapses under a load of this multiple of its current capacity, if the load lasts for
+    /// `collapse_window`.
+    pub collapse_multiple: f64,
+    /// How long the overload must last to make the partner collapse.
+    pub collapse_window: Duration,
+    /// Share of calls that end with an error.
+    pub error_share: f64,
 }
 
-/// Something that is wrong with some or all endpoints of a partner, while it lasts.
+/// A fault of one or all endpoints of a partner.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
-    /// Takes calls and answers none.
+pub enum PartnerFault {
+    /// Accepts connections and calls, and answers no call.
     Silent,
-    /// Stands still: what is due is answered at its end.
+    /// The process is stalled: answers that are due are sent when the fault ends.
     Stall,
-    /// Everything takes so many times as long.
+    /// Service times are multiplied by this factor.
     Slow(f64),
-    /// Refuses this share of the calls; with or without a told wait.
-    Refuse(f64, bool),
-    /// Refuses all until it opens; with or without telling when.
-    Shut(bool),
-    /// Resets this share of the connections once a call was read.
+    /// Rejects this share of the calls, with a retry-after if the flag is set.
+    Reject(f64, bool),
+    /// Rejects all calls until the fault ends, with the remaining time as retry-after if the flag is set.
+    Closed(bool),
+    /// Resets the connection of this share of the calls while they are served.
     Reset(f64),
-    /// Spoils this share of the answers.
-    Spoil(f64),
-    /// Writes the last delivery of a connection once more behind this share of the calls that come on it after that.
-    Copies(f64),
-    /// Refuses connections, and breaks those that there are.
+    /// Sends malformed responses to this share of the calls.
+    Malformed(f64),
+    /// Repeats the last successful answer of a connection during this share of the calls that follow on it.
+    DuplicateAnswers(f64),
+    /// Refuses new connections and resets open ones.
     Down,
-    /// Cut off: what is open says nothing, and new connections come up only when it is over.
-    Cut,
+    /// Open connections carry no answers, and new ones are established only once the fault is over.
+    Unreachable,
 }
 
-/// A trouble in force.
+/// A fault in force.
 #[derive(Clone, Copy, Debug)]
-struct Active {
+struct ActiveFault {
     id: u32,
-    what: Trouble,
-    /// One endpoint, or all.
+    fault: PartnerFault,
+    /// The affected endpoint; `None` for all.
     endpoint: Option<usize>,
     until: Timestamp,
 }
 
-/// A second copy of an earlier answer, written while a call is out.
+/// A duplicate of an earlier answer, sent while a later call on the connection is in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SecondCopy {
-    /// How long behind the call.
-    pub after: Duration,
-    /// Whether the call is turned away, and how long behind it; else it goes on as any other.
-    pub refused_after: Option<Duration>,
+pub struct DuplicateAnswer {
+    /// Delay after the arrival of the call.
+    pub delay: Duration,
+    /// Delay after which the call itself is rejected; `None` if it is served as any other.
+    pub rejected_after: Option<Duration>,
 }
 
-/// What becomes of a call.
+/// The outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fate {
-    /// It is answered with 200 when it is done.
-    Done(Timestamp),
-    /// It runs and ends in an error.
+pub enum CallOutcome {
+    /// It is answered with 200 at this time.
+    Success(Timestamp),
+    /// It runs and is answered with an error at this time.
     Error(Timestamp),
-    /// It is turned away at once.
-    Refused(Option<Duration>),
+    /// It is rejected at once, with a retry-after if there is one.
+    Rejected(Option<Duration>),
     /// It is never answered.
-    Silent,
-    /// Its connection is reset at that time.
+    NoAnswer,
+    /// Its connection is reset at this time.
     Reset(Timestamp),
-    /// Its answer is damaged.
-    Spoilt(Timestamp),
+    /// It is answered with a malformed response at this time.
+    Malformed(Timestamp),
 }
 
-struct Endpoint {
-    /// When each server is free.
-    servers: Vec<Timestamp>,
-    /// When the calls that wait begin.
-    waiting: VecDeque<Timestamp>,
+/// The servers of an endpoint, which process one call each at a time, and its queue.
+struct EndpointServers {
+    /// When each server becomes free.
+    server_free_at: Vec<Timestamp>,
+    /// When the calls in the queue begin to be served.
+    queued_start_at: VecDeque<Timestamp>,
 }
 
-/// A partner with its endpoints.
+/// The state of a partner and its endpoints.
 pub struct Partner {
-    spec: Spec,
-    endpoints: Vec<Endpoint>,
-    servers: usize,
+    spec: PartnerSpec,
+    endpoints: Vec<EndpointServers>,
+    servers_per_endpoint: usize,
     rng: fastrand::Rng,
+    /// Tokens of [`Limit::Rate`] at `refilled_at`.
     tokens: f64,
-    filled: Timestamp,
-    span: u64,
-    used: u32,
-    troubles: Vec<Active>,
-    cold: Option<SlowStart>,
-    fallen: bool,
+    refilled_at: Timestamp,
+    /// Current window of [`Limit::PerWindow`], and the calls in it.
+    window_index: u64,
+    used_in_window: u32,
+    faults: Vec<ActiveFault>,
+    /// The slow start after an outage, while it lasts.
+    slow_start: Option<SlowStart>,
+    collapsed: bool,
 }
 
-/// A second copy comes at once or so long behind the call, ...
-const LONGEST_COPY_DELAY_MS: u64 = 40;
-/// ... and the call is turned away so long behind the copy, where it is.
-const REFUSAL_BEHIND_COPY: Duration = Duration::from_millis(80);
+/// Upper bound of the random delay between a call and the duplicate answer, in milliseconds.
+const MAX_DUPLICATE_DELAY_MS: u64 = 40;
+/// Delay between a duplicate answer and the rejection of the call, if it is rejected.
+const REJECTION_DELAY: Duration = Duration::from_millis(80);
 
-/// The part of a second's calls that a plain rate takes at once.
-const BURST_S: f64 = 0.2;
+/// Size of the token bucket of [`Limit::Rate`], in seconds of the rate.
+const BURST_SECONDS: f64 = 0.2;
 
 impl Partner {
-    /// A warm partner with some endpoints.
-    pub fn new(spec: Spec, endpoints: usize, seed: u64) -> Self {
-        let needed = spec.limit.per_second() * spec.spare * spec.pace.as_secs_f64() / endpoints.max(1) as f64;
-        let servers = (needed.ceil() as usize).max(1);
+    /// A partner at full capacity, with this number of endpoints.
+    pub fn new(spec: PartnerSpec, endpoints: usize, seed: u64) -> Self {
+        let needed = spec.limit.per_second() * spec.capacity_factor * spec.mean_service_time.as_secs_f64()
+            / endpoints.max(1) as f64;
+        let servers_per_endpoint = (needed.ceil() as usize).max(1);
         let mut partner = Partner {
-            tokens: (spec.limit.per_second() * BURST_S).max(1.0),
+            tokens: (spec.limit.per_second() * BURST_SECONDS).max(1.0),
             spec,
             endpoints: Vec::new(),
-            servers,
+            servers_per_endpoint,
             rng: fastrand::Rng::with_seed(seed),
-            filled: Timestamp(0),
-            span: 0,
-            used: 0,
-            troubles: Vec::new(),
-            cold: None,
-            fallen: false,
+            refilled_at: Timestamp(0),
+            window_index: 0,
+            used_in_window: 0,
+            faults: Vec::new(),
+            slow_start: None,
+            collapsed: false,
         };
         for _ in 0..endpoints {
             partner.add_endpoint();
@@ -174,197 +179,220 @@
         partner
     }
 
-    /// One more endpoint, as strong as the others; its place.
+    /// Adds an endpoint with as many servers as the others, and returns its index.
     pub fn add_endpoint(&mut self) -> usize {
-        self.endpoints.push(Endpoint { servers: vec![Timestamp(0); self.servers], waiting: VecDeque::new() });
+        self.endpoints.push(EndpointServers {
+            server_free_at: vec![Timestamp(0); self.servers_per_endpoint],
+            queued_start_at: VecDeque::new(),
+        });
         self.endpoints.len() - 1
     }
 
-    /// What all endpoints that serve can do when warm, in calls a second.
+    /// Full capacity of all endpoints together, in calls a second.
     pub fn capacity(&self) -> f64 {
-        self.spec.limit.per_second() * self.spec.spare
+        self.spec.limit.per_second() * self.spec.capacity_factor
     }
 
-    /// Its figures.
-    pub fn spec(&self) -> &Spec {
+    /// The parameters.
+    pub fn spec(&self) -> &PartnerSpec {
         &self.spec
     }
 
-    /// Whether it was pushed over.
-    pub fn is_fallen(&self) -> bool {
-        self.fallen
+    /// Whether it has collapsed under overload. It stays so for the rest of the run.
+    pub fn has_collapsed(&self) -> bool {
+        self.collapsed
     }
 
     /// Whether connections to an endpoint are refused.
     pub fn is_down(&self, endpoint: usize) -> bool {
-        self.active(endpoint).any(|active| active.what == Trouble::Down)
+        self.active_faults(endpoint).any(|active| active.fault == PartnerFault::Down)
     }
 
-    /// Until when an endpoint is cut off; none if it is not.
-    pub fn cut_until(&self, endpoint: usize) -> Option<Timestamp> {
-        self.active(endpoint).filter(|active| active.what == Trouble::Cut).map(|active| active.until).max()
+    /// When the endpoint becomes reachable again; `None` if it is reachable.
+    pub fn unreachable_until(&self, endpoint: usize) -> Option<Timestamp> {
+        self.active_faults(endpoint)
+            .filter(|active| active.fault == PartnerFault::Unreachable)
+            .map(|active| active.until)
+            .max()
     }
 
-    /// A trouble begins; `until` is when it is meant to end.
-    pub fn begin(&mut self, id: u32, what: Trouble, endpoint: Option<usize>, until: Timestamp) {
-        self.troubles.push(Active { id, what, endpoint, until });
+    /// Begins a fault; `until` is its planned end.
+    pub fn begin_fault(&mut self, id: u32, fault: PartnerFault, endpoint: Option<usize>, until: Timestamp) {
+        self.faults.push(ActiveFault { id, fault, endpoint, until });
     }
 
-    /// All troubles of that id end.
-    pub fn end(&mut self, id: u32) {
-        self.troubles.retain(|active| active.id != id);
+    /// Ends all faults with this id.
+    pub fn end_fault(&mut self, id: u32) {
+        self.faults.retain(|active| active.id != id);
     }
 
-    /// It comes back from an outage, cold.
-    pub fn come_back(&mut self, now: Timestamp) {
-        let Spec { cold_from, cold, fall_multiple, fall_window, .. } = self.spec;
-        self.cold =
-            Some(SlowStart::new(now, now + cold, self.capacity(), cold_from, fall_multiple, fall_window));
+    /// Begins the slow start after an outage, with empty queues.
+    pub fn begin_slow_start(&mut self, now: Timestamp) {
+        let PartnerSpec { cold_capacity_share, warm_up, collapse_multiple, collapse_window, .. } = self.spec;
+        self.slow_start = Some(SlowStart::new(
+            now,
+            now + warm_up,
+            self.capacity(),
+            cold_capacity_share,
+            collapse_multiple,
+            collapse_window,
+        ));
         for endpoint in &mut self.endpoints {
-            endpoint.waiting.clear();
-            endpoint.servers.fill(now);
+            endpoint.queued_start_at.clear();
+            endpoint.server_free_at.fill(now);
         }
     }
 
-    /// Share of the capacity that is there now.
-    pub fn share(&self, now: Timestamp) -> f64 {
-        self.cold.as_ref().map_or(1.0, |cold| cold.capacity_share(now))
+    /// Share of the capacity that is available now.
+    pub fn capacity_share(&self, now: Timestamp) -> f64 {
+        self.slow_start.as_ref().map_or(1.0, |slow_start| slow_start.capacity_share(now))
     }
 
-    fn active(&self, endpoint: usize) -> impl Iterator<Item = &Active> {
-        self.troubles.iter().filter(move |active| active.endpoint.is_none_or(|at| at == endpoint))
+    /// The faults in force at an endpoint.
+    fn active_faults(&self, endpoint: usize) -> impl Iterator<Item = &ActiveFault> {
+        self.faults.iter().filter(move |active| active.endpoint.is_none_or(|affected| affected == endpoint))
     }
 
-    /// Until when an endpoint stands still; none if it does not.
-    pub fn stalled(&self, endpoint: usize) -> Option<Timestamp> {
-        self.active(endpoint).filter(|active| active.what == Trouble::Stall).map(|active| active.until).max()
+    /// Planned end of an endpoint's stall; `None` if it is not stalled.
+    pub fn stalled_until(&self, endpoint: usize) -> Option<Timestamp> {
+        self.active_faults(endpoint)
+            .filter(|active| active.fault == PartnerFault::Stall)
+            .map(|active| active.until)
+            .max()
     }
 
-    /// The second copy of an earlier answer that a call gets on a connection that has brought a delivery, if it gets one.
-    pub fn second_copy(&mut self, endpoint: usize) -> Option<SecondCopy> {
-        let share = self.active(endpoint).find_map(|active| match active.what {
-            Trouble::Copies(share) => Some(share),
+    /// Draws whether a call that follows a successful one on its connection gets a duplicate of the earlier answer.
+    pub fn duplicate_answer(&mut self, endpoint: usize) -> Option<DuplicateAnswer> {
+        let share = self.active_faults(endpoint).find_map(|active| match active.fault {
+            PartnerFault::DuplicateAnswers(share) => Some(share),
             _ => None,
         })?;
         if self.rng.f64() >= share {
             return None;
         }
         let is_at_once = self.rng.bool();
-        let delay_ms = if is_at_once { 0 } else { self.rng.u64(..LONGEST_COPY_DELAY_MS) };
-        let after = Duration::from_millis(delay_ms);
-        let refused_after = self.rng.bool().then_some(after + REFUSAL_BEHIND_COPY);
-        Some(SecondCopy { after, refused_after })
+        let delay_ms = if is_at_once { 0 } else { self.rng.u64(..MAX_DUPLICATE_DELAY_MS) };
+        let delay = Duration::from_millis(delay_ms);
+        let rejected_after = self.rng.bool().then_some(delay + REJECTION_DELAY);
+        Some(DuplicateAnswer { delay, rejected_after })
     }
 
-    /// A call's last byte has come. Troubles come first, then the limit, then the queue.
-    pub fn call(&mut self, endpoint: usize, now: Timestamp) -> Fate {
-        let fallen_now = self.cold.as_mut().and_then(|cold| cold.record_call(now, false)).is_some();
-        if self.cold.as_ref().is_some_and(|cold| cold.is_warm(now)) {
-            self.cold = None;
+    /// Decides the outcome of a call whose last byte has arrived. A collapsed partner never answers. Otherwise faults that reject
+    /// calls come first, then the limit, then the queue; a call that passes all of them is served, and may then be reset,
+    /// answered malformed or end with an error.
+    pub fn handle_call(&mut self, endpoint: usize, now: Timestamp) -> CallOutcome {
+        let collapsed_now =
+            self.slow_start.as_mut().and_then(|slow_start| slow_start.record_call(now, false)).is_some();
+        if self.slow_start.as_ref().is_some_and(|slow_start| slow_start.is_warm(now)) {
+            self.slow_start = None;
         }
-        self.fallen |= fallen_now;
-        let troubles: Vec<Active> = self.active(endpoint).copied().collect();
-        let is = |what| troubles.iter().any(|active| active.what == what);
-        if self.fallen || is(Trouble::Silent) || is(Trouble::Cut) {
-            return Fate::Silent;
+        self.collapsed |= collapsed_now;
+        let faults: Vec<ActiveFault> = self.active_faults(endpoint).copied().collect();
+        let is = |fault| faults.iter().any(|active| active.fault == fault);
+        if self.collapsed || is(PartnerFault::Silent) || is(PartnerFault::Unreachable) {
+            return CallOutcome::NoAnswer;
         }
-        let mut slow = 1.0;
-        let (mut reset, mut spoil) = (false, false);
-        for active in &troubles {
-            match active.what {
-                Trouble::Shut(tells) => return Fate::Refused(tells.then(|| active.until - now)),
-                Trouble::Refuse(share, tells) if self.rng.f64() < share => {
-                    return Fate::Refused(tells.then_some(self.spec.wait));
+        let mut slowdown = 1.0;
+        let (mut reset, mut malformed) = (false, false);
+        for active in &faults {
+            match active.fault {
+                PartnerFault::Closed(tells_retry_after) => {
+                    return CallOutcome::Rejected(tells_retry_after.then(|| active.until - now))
+                }
+                PartnerFault::Reject(share, tells_retry_after) if self.rng.f64() < share => {
+                    return CallOutcome::Rejected(tells_retry_after.then_some(self.spec.min_retry_after));
                 }
-                Trouble::Slow(times) => slow *= times,
-                Trouble::Reset(share) => reset |= self.rng.f64() < share,
-                Trouble::Spoil(share) => spoil |= self.rng.f64() < share,
+                PartnerFault::Slow(times) => slowdown *= times,
+                PartnerFault::Reset(share) => reset |= self.rng.f64() < share,
+                PartnerFault::Malformed(share) => malformed |= self.rng.f64() < share,
                 _ => {}
             }
         }
         if let Some(wait) = self.above_limit(now) {
-            let tells = self.rng.f64() < self.spec.tells_wait;
-            return Fate::Refused(tells.then_some(wait));
+            let tells_retry_after = self.rng.f64() < self.spec.retry_after_share;
+            return CallOutcome::Rejected(tells_retry_after.then_some(wait));
         }
-        let Some(done) = self.work(endpoint, now, slow) else { return Fate::Refused(None) };
+        let Some(done) = self.schedule(endpoint, now, slowdown) else { return CallOutcome::Rejected(None) };
         if reset {
-            // In the midst of the work: it may have run.
-            return Fate::Reset(now + (done - now) / 2);
+            // Halfway through the service time: the outcome is ambiguous.
+            return CallOutcome::Reset(now + (done - now) / 2);
         }
-        if spoil {
-            return Fate::Spoilt(done);
+        if malformed {
+            return CallOutcome::Malformed(done);
         }
-        if self.rng.f64() < self.spec.errors {
-            return Fate::Error(done);
+        if self.rng.f64() < self.spec.error_share {
+            return CallOutcome::Error(done);
         }
-        Fate::Done(done)
+        CallOutcome::Success(done)
     }
 
-    /// The wait until there is room again, if the call is above the limit.
+    /// The retry-after of a call above the limit; `None` if the limit allows the call, which is then counted.
     fn above_limit(&mut self, now: Timestamp) -> Option<Duration> {
         match self.spec.limit {
             Limit::Rate(rate) => {
-                let most = (rate * BURST_S).max(1.0);
-                self.tokens = (self.tokens + rate * (now - self.filled).as_secs_f64()).min(most);
-                self.filled = now;
+                let burst_size = (rate * BURST_SECONDS).max(1.0);
+                self.tokens = (self.tokens + rate * (now - self.refilled_at).as_secs_f64()).min(burst_size);
+                self.refilled_at = now;
                 if self.tokens >= 1.0 {
                     self.tokens -= 1.0;
                     return None;
                 }
-                if self.spec.refused_count {
-                    self.tokens = (self.tokens - 1.0).max(-most);
+                if self.spec.count_rejected_calls {
+                    self.tokens = (self.tokens - 1.0).max(-burst_size);
                 }
-                let room = Duration::from_secs_f64((1.0 - self.tokens) / rate.max(1e-3));
-                Some(self.spec.wait.max(room))
+                let refill = Duration::from_secs_f64((1.0 - self.tokens) / rate.max(1e-3));
+                Some(self.spec.min_retry_after.max(refill))
             }
-            Limit::Count { calls, span } => {
-                let micros = (span.as_micros() as u64).max(1);
-                let number = now.0 / micros;
-                if number != self.span {
-                    (self.span, self.used) = (number, 0);
+            Limit::PerWindow { calls, window } => {
+                let micros = (window.as_micros() as u64).max(1);
+                let window_index = now.0 / micros;
+                if window_index != self.window_index {
+                    (self.window_index, self.used_in_window) = (window_index, 0);
                 }
-                if self.used < calls {
-                    self.used += 1;
+                if self.used_in_window < calls {
+                    self.used_in_window += 1;
                     return None;
                 }
-                Some(Timestamp((number + 1) * micros) - now)
+                Some(Timestamp((window_index + 1) * micros) - now)
             }
         }
     }
 
-    /// When a call is done that begins as soon as a server is free; none where the queue is full.
-    fn work(&mut self, place: usize, now: Timestamp, slow: f64) -> Option<Timestamp> {
-        // Between half and twice the mean, most near it.
+    /// Assigns a call to the server that is free first, and returns when it is done; `None` if the queue is full.
+    fn schedule(&mut self, index: usize, now: Timestamp, slowdown: f64) -> Option<Timestamp> {
+        // 0.5 + U/2 + U*U for uniform U, drawn anew each time: from half of to twice the mean, with the expected value 1.
         let spread = 0.5 + self.rng.f64() * 0.5 + self.rng.f64() * self.rng.f64() * 1.0;
-        let span = self.spec.pace.mul_f64(spread * slow / self.share(now).max(0.01));
-        let queue = self.spec.queue;
-        let endpoint = self.endpoints.get_mut(place)?;
-        while endpoint.waiting.front().is_some_and(|begins| *begins <= now) {
-            endpoint.waiting.pop_front();
+        let service_time =
+            self.spec.mean_service_time.mul_f64(spread * slowdown / self.capacity_share(now).max(0.01));
+        let queue = self.spec.queue_capacity;
+        let endpoint = self.endpoints.get_mut(index)?;
+        while endpoint.queued_start_at.front().is_some_and(|begins| *begins <= now) {
+            endpoint.queued_start_at.pop_front();
         }
-        let server = endpoint.servers.iter_mut().min()?;
+        let server = endpoint.server_free_at.iter_mut().min()?;
         let begins = now.max(*server);
         if begins > now {
-            if endpoint.waiting.len() >= queue {
+            if endpoint.queued_start_at.len() >= queue {
                 return None;
             }
-            endpoint.waiting.push_back(begins);
+            endpoint.queued_start_at.push_back(begins);
         }
-        *server = begins + span;
+        *server = begins + service_time;
         Some(*server)
     }
 
-    /// What an answer reports: the share of the limit that is left, and the limit in calls a second.
-    pub fn report(&mut self, now: Timestamp) -> (f64, f64) {
+    /// The contents of a load report: the remaining share of the limit, and the limit in calls a second.
+    pub fn limit_report(&mut self, now: Timestamp) -> (f64, f64) {
         let limit = self.spec.limit.per_second();
         let left = match self.spec.limit {
             Limit::Rate(rate) => {
-                let most = (rate * BURST_S).max(1.0);
-                (self.tokens + rate * (now - self.filled).as_secs_f64()).clamp(0.0, most) / most
+                let burst_size = (rate * BURST_SECONDS).max(1.0);
+                (self.tokens + rate * (now - self.refilled_at).as_secs_f64()).clamp(0.0, burst_size)
+                    / burst_size
             }
-            Limit::Count { calls, span } => {
-                let number = now.0 / (span.as_micros() as u64).max(1);
-                let used = if number == self.span { self.used } else { 0 };
+            Limit::PerWindow { calls, window } => {
+                let window_index = now.0 / (window.as_micros() as u64).max(1);
+                let used = if window_index == self.window_index { self.used_in_window } else { 0 };
                 1.0 - f64::from(used) / f64::from(calls.max(1))
             }
         };
--- a/crates/gullcart-standins/src/recorder.rs
+++ b/crates/gullcart-standins/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Where stand-ins write down what happens.
+//! The clock of a rehearsal, and the record of its events.
 
 use gullcart_judge::trace::{Entry, Event, Timestamp};
 use std::cell::{Cell, RefCell};
@@ -6,47 +6,53 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-type Hear = dyn FnMut(Entry);
+/// Receives the entries of the trace.
+type EntrySink = dyn FnMut(Entry);
 
-/// The clock of a rehearsal, and who hears what happens. Copies share both.
+/// Stamps events with the time of the rehearsal and passes them on. Clones share the clock and the sink.
 #[derive(Clone)]
 pub struct Recorder {
-    begun: Rc<Cell<Option<Instant>>>,
-    hear: Rc<RefCell<Hear>>,
+    started_at: Rc<Cell<Option<Instant>>>,
+    sink: Rc<RefCell<EntrySink>>,
 }
 
 impl Recorder {
-    /// A clock that stands at 0 until [`Recorder::begin`]. `hear` gets every entry in the order of time; it must not record itself.
-    pub fn new(hear: impl FnMut(Entry) + 'static) -> Self {
-        Recorder { begun: Rc::default(), hear: Rc::new(RefCell::new(hear)) }
+    /// The clock stays at 0 until [`Recorder::begin`]. `sink` receives every entry in the order of recording; it must not
+    /// record events itself.
+    pub fn new(sink: impl FnMut(Entry) + 'static) -> Self {
+        Recorder { started_at: Rc::default(), sink: Rc::new(RefCell::new(sink)) }
     }
 
-    /// Time since the beginning.
+    /// Time since the beginning of the rehearsal.
     pub fn now(&self) -> Timestamp {
-        let begun = self.begun.get();
-        Timestamp(begun.map_or(0, |begun| Instant::now().saturating_duration_since(begun).as_micros() as u64))
+        let started_at = self.started_at.get();
+        Timestamp(
+            started_at.map_or(0, |started_at| {
+                Instant::now().saturating_duration_since(started_at).as_micros() as u64
+            }),
+        )
     }
 
-    /// Starts the clock at some moment, which may be still to come.
+    /// Starts the clock at this moment, which may be in the future; the time is 0 until then.
     pub fn begin(&self, at: Instant) {
-        self.begun.set(Some(at));
+        self.started_at.set(Some(at));
     }
 
-    /// The moment of a time.
+    /// Converts a time of the rehearsal to a moment of the runtime. Before [`Recorder::begin`], time 0 is the current moment.
     pub fn instant(&self, at: Timestamp) -> Instant {
-        self.begun.get().unwrap_or_else(Instant::now) + Duration::from_micros(at.0)
+        self.started_at.get().unwrap_or_else(Instant::now) + Duration::from_micros(at.0)
     }
 
-    /// Writes down what happens now.
-    pub fn note(&self, event: Event) -> Timestamp {
+    /// Records an event that happens now, and returns the time.
+    pub fn record(&self, event: Event) -> Timestamp {
         let at = self.now();
-        self.note_at(at, event);
+        self.record_at(at, event);
         at
     }
 
-    /// Writes down what happened a moment ago: what an answer tells holds from when it was written, not from when the
-    /// kit came round to note it.
-    pub fn note_at(&self, at: Timestamp, event: Event) {
-        (self.hear.borrow_mut())(Entry { at, event });
+    /// Records an event with the time `at`, which is a moment ago. An answer is recorded after its write returns, with the time
+    /// before the write, because the other side may have read it in between.
+    pub fn record_at(&self, at: Timestamp, event: Event) {
+        (self.sink.borrow_mut())(Entry { at, event });
     }
 }
--- a/crates/gullcart-standins/src/register.rs
+++ b/crates/gullcart-standins/src/register.rs
@@ -1,6 +1,7 @@
-//! The partner register: an agent for each courier, which tells the list and its changes, and takes notices.
+//! The stand-in for the partner register, which is the service discovery of couriers. Each courier has its own agent, which
+//! serves the list of endpoints, advertises its changes on watches and receives notices.
 
-use crate::http::{Reader, Request};
+use crate::http::{Request, RequestReader};
 use crate::{ids, Recorder};
 use gullcart_judge::trace::*;
 use serde_json::{json, Value};
@@ -16,27 +17,28 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// While nothing changes, an empty line comes this often.
-const EMPTY_LINE: Duration = Duration::from_secs(2);
-/// What the register has to tell counts as told so much later at the latest, unless the register is silent.
-const TOLD_AT_LAST: Duration = Duration::from_secs(6);
+/// Interval of the empty lines that keep a watch alive while nothing changes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// A change that the courier has not been sent after this time is recorded in the trace as advertised nonetheless, so that a
+/// courier without an open watch does not escape the checks. While the agent is silent, it is not recorded.
+const MAX_ADVERTISE_DELAY: Duration = Duration::from_secs(6);
 
 /// An entry of the list, as one courier sees it.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Which endpoint.
+    /// The endpoint.
     pub endpoint: EndpointId,
-    /// Whose.
+    /// The partner that it belongs to.
     pub partner: PartnerId,
-    /// Where this courier finds it.
+    /// Its address for this courier.
     pub address: SocketAddr,
-    /// Name of the partner's kind.
+    /// The partner's kind.
     pub kind: String,
-    /// Name of the location.
+    /// The zone.
     pub zone: String,
-    /// What the partner takes from all couriers together, in calls a second.
+    /// The weight of the endpoint, in calls a second; the list has it as `capacity_hint`.
     pub weight: f64,
-    /// What it is now.
+    /// The current state.
     pub state: EndpointState,
 }
 
@@ -55,59 +57,63 @@
     }
 }
 
+/// A change of the list. `advertised` is set once the trace has the change as [`Event::Listed`].
 struct Change {
     rev: u64,
     target: Target,
-    told: Cell<bool>,
+    advertised: Cell<bool>,
 }
 
-struct Shared {
+/// What an agent shares with its connections.
+struct AgentState {
     courier: CourierId,
     recorder: Recorder,
     targets: RefCell<BTreeMap<EndpointId, Target>>,
-    /// All changes of the run, in their order; a rehearsal has some hundreds at most.
+    /// All changes of the run in order, never trimmed: a rehearsal has a few hundred at most.
     changes: RefCell<Vec<Change>>,
     rev: watch::Sender<u64>,
     silent: watch::Sender<bool>,
 }
 
-impl Shared {
+impl AgentState {
+    /// The whole list as JSON.
     fn list(&self) -> String {
         let targets = self.targets.borrow();
-        let there: Vec<Value> =
+        let listed: Vec<Value> =
             targets.values().filter(|target| target.state != EndpointState::Gone).map(Target::json).collect();
-        json!({"rev": *self.rev.borrow(), "all": true, "targets": there}).to_string()
+        json!({"rev": *self.rev.borrow(), "all": true, "targets": listed}).to_string()
     }
 
-    fn tell(&self, endpoint: EndpointId, state: EndpointState) {
-        self.recorder.note(Event::ListingUpdated { courier: self.courier, endpoint, state });
+    /// Records that the state of an endpoint was advertised to the courier.
+    fn record_listed(&self, endpoint: EndpointId, state: EndpointState) {
+        self.recorder.record(Event::ListingUpdated { courier: self.courier, endpoint, state });
     }
 
-    /// What has changed after a version, as a line of the watch; it counts as told.
+    /// The changes after revision `after` as a line of the watch, with its revision. They are recorded as advertised.
     fn line_after(&self, after: u64) -> Option<(u64, String)> {
         let changes = self.changes.borrow();
         let new: Vec<&Change> = changes.iter().filter(|change| change.rev > after).collect();
         let last = new.last()?.rev;
         let targets: Vec<Value> = new.iter().map(|change| change.target.json()).collect();
         for change in &new {
-            change.told.set(true);
-            self.tell(change.target.endpoint, change.target.state);
+            change.advertised.set(true);
+            self.record_listed(change.target.endpoint, change.target.state);
         }
         Some((last, format!("{}\n", json!({"rev": last, "all": false, "targets": targets}))))
     }
 }
 
-/// The register's agent on one courier's machine.
+/// The register's agent for one courier.
 pub struct Agent {
-    shared: Rc<Shared>,
+    state: Rc<AgentState>,
     address: SocketAddr,
     serving: JoinHandle<()>,
 }
 
 impl Agent {
-    /// An agent that knows a list, at a new address.
+    /// Starts an agent with these list entries on a new port.
     pub async fn start(recorder: &Recorder, courier: CourierId, targets: Vec<Target>) -> io::Result<Self> {
-        let shared = Rc::new(Shared {
+        let state = Rc::new(AgentState {
             courier,
             recorder: recorder.clone(),
             targets: RefCell::new(targets.into_iter().map(|target| (target.endpoint, target)).collect()),
@@ -115,28 +121,29 @@
             rev: watch::Sender::new(1),
             silent: watch::Sender::new(false),
         });
-        Self::listen(shared).await
+        Self::listen(state).await
     }
 
-    /// The same register at another address; this one breaks all its connections.
-    pub async fn move_on(self) -> io::Result<Self> {
+    /// Closes all connections, and serves the same list on a new port.
+    pub async fn restart_at_new_address(self) -> io::Result<Self> {
         self.serving.abort();
-        Self::listen(self.shared.clone()).await
+        Self::listen(self.state.clone()).await
     }
 
-    async fn listen(shared: Rc<Shared>) -> io::Result<Self> {
+    /// Serves the agent on a new port.
+    async fn listen(state: Rc<AgentState>) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let agent = shared.clone();
+        let agent = state.clone();
         let serving = spawn_local(async move {
-            // Dropped with this task, so that an agent that moves on ends its connections.
+            // Dropped with this task, so that connections end when the agent changes its address.
             let mut connections = tokio::task::JoinSet::new();
             loop {
                 tokio::select! {
                     accepted = listener.accept() => match accepted {
                         Ok((stream, _)) => {
                             let agent = agent.clone();
-                            // A courier that goes away breaks its connections.
+                            // Errors are ignored: they occur when a courier ends with open connections.
                             connections.spawn_local(async move { drop(serve(&agent, stream).await) });
                         }
                         Err(_) => sleep(Duration::from_millis(20)).await,
@@ -145,43 +152,49 @@
                 }
             }
         });
-        Ok(Agent { shared, address, serving })
+        Ok(Agent { state, address, serving })
     }
 
-    /// Where it is.
+    /// The address of the agent.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The list as it is now, in the form of the configuration's `known`.
-    pub fn known(&self) -> String {
-        self.shared.list()
+    /// The current list, as JSON for the configuration's `known`.
+    pub fn known_list(&self) -> String {
+        self.state.list()
     }
 
-    /// An entry is new or has changed.
-    pub fn change(&self, target: Target) {
-        let rev = *self.shared.rev.borrow() + 1;
-        self.shared.targets.borrow_mut().insert(target.endpoint, target.clone());
-        self.shared.changes.borrow_mut().push(Change { rev, target, told: Cell::new(false) });
-        self.shared.rev.send_replace(rev);
-        let shared = self.shared.clone();
+    /// Adds or replaces a list entry, and advertises it. See [`MAX_ADVERTISE_DELAY`] for when it is recorded.
+    pub fn update_target(&self, target: Target) {
+        let rev = *self.state.rev.borrow() + 1;
+        self.state.targets.borrow_mut().insert(target.endpoint, target.clone());
+        self.state.changes.borrow_mut().push(Change { rev, target, advertised: Cell::new(false) });
+        self.state.rev.send_replace(rev);
+        let agent = self.state.clone();
         spawn_local(async move {
-            sleep(TOLD_AT_LAST).await;
-            let mut silent = shared.silent.subscribe();
+            sleep(MAX_ADVERTISE_DELAY).await;
+            let mut silent = agent.silent.subscribe();
             let _ = silent.wait_for(|silent| !silent).await;
-            let untold = shared.changes.borrow().iter().find(|c| c.rev == rev && !c.told.get()).map(|c| {
-                c.told.set(true);
-                (c.target.endpoint, c.target.state)
-            });
-            if let Some((endpoint, state)) = untold {
-                shared.tell(endpoint, state);
+            let unadvertised = agent
+                .changes
+                .borrow()
+                .iter()
+                .find(|change| change.rev == rev && !change.advertised.get())
+                .map(|change| {
+                    change.advertised.set(true);
+                    (change.target.endpoint, change.target.state)
+                });
+            if let Some((endpoint, state)) = unadvertised {
+                agent.record_listed(endpoint, state);
             }
         });
     }
 
-    /// Takes connections and says nothing, but that it goes on taking notices; or speaks again.
-    pub fn silence(&self, silent: bool) {
-        self.shared.silent.send_replace(silent);
+    /// Makes the agent silent, or ends its silence. A silent agent accepts connections and notices, but sends no list and no
+    /// changes.
+    pub fn set_silent(&self, silent: bool) {
+        self.state.silent.send_replace(silent);
     }
 }
 
@@ -191,24 +204,27 @@
     }
 }
 
-async fn serve(agent: &Shared, mut stream: TcpStream) -> io::Result<()> {
+/// Serves the requests of one connection.
+async fn serve(agent: &AgentState, mut stream: TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    let mut reader = Reader::default();
+    let mut reader = RequestReader::default();
     while let Some(request) = reader.next(&mut stream, || agent.recorder.now()).await? {
         if request.method == "POST" && request.path == "/v1/notices" {
-            notices(agent, &mut stream, &request).await?;
+            receive_notices(agent, &mut stream, &request).await?;
         } else if request.method == "GET" && request.path == "/v1/endpoints" {
-            speaks(agent).await;
+            wait_until_not_silent(agent).await;
+            // The list advertises these states too: a draining endpoint has its state in it, a deleted one is left out.
+            // Serving entries add no restriction and are not recorded.
             for target in
                 agent.targets.borrow().values().filter(|target| target.state != EndpointState::Serving)
             {
-                agent.tell(target.endpoint, target.state);
+                agent.record_listed(target.endpoint, target.state);
             }
             let list = agent.list();
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
             stream.write_all(format!("{head}{list}").as_bytes()).await?;
         } else if let Some(after) = request.path.strip_prefix("/v1/endpoints?watch=1&after=") {
-            let after = after.parse().map_err(|_| io::Error::other("a version that cannot be read"))?;
+            let after = after.parse().map_err(|_| io::Error::other("the revision is not a number"))?;
             return watch_from(agent, stream, after).await;
         } else {
             stream.write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").await?;
@@ -217,36 +233,38 @@
     Ok(())
 }
 
-async fn speaks(agent: &Shared) {
+/// Waits while the agent is silent.
+async fn wait_until_not_silent(agent: &AgentState) {
     let mut silent = agent.silent.subscribe();
-    // The sender lives as long as the agent.
+    // This cannot fail: the agent holds the sender.
     let _ = silent.wait_for(|silent| !silent).await;
 }
 
-async fn watch_from(agent: &Shared, mut stream: TcpStream, mut after: u64) -> io::Result<()> {
+/// Sends the changes after revision `after` on a watch until the courier closes it.
+async fn watch_from(agent: &AgentState, mut stream: TcpStream, mut after: u64) -> io::Result<()> {
     let chunk = |line: &str| format!("{:x}\r\n{line}\r\n", line.len());
-    speaks(agent).await;
+    wait_until_not_silent(agent).await;
     stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
     let mut rev = agent.rev.subscribe();
-    let mut empty = Instant::now();
+    let mut keepalive_due = Instant::now();
     loop {
-        speaks(agent).await;
+        wait_until_not_silent(agent).await;
         rev.borrow_and_update();
         if let Some((last, line)) = agent.line_after(after) {
             after = last;
             stream.write_all(chunk(&line).as_bytes()).await?;
-            empty = Instant::now() + EMPTY_LINE;
+            keepalive_due = Instant::now() + KEEPALIVE_INTERVAL;
         }
-        if Instant::now() >= empty {
+        if Instant::now() >= keepalive_due {
             stream.write_all(chunk("\n").as_bytes()).await?;
-            empty = Instant::now() + EMPTY_LINE;
+            keepalive_due = Instant::now() + KEEPALIVE_INTERVAL;
         }
         let mut byte = [0];
         tokio::select! {
             changed = rev.changed() => changed.map_err(io::Error::other)?,
-            () = sleep_until(empty) => {}
-            gone = stream.readable() => {
-                gone?;
+            () = sleep_until(keepalive_due) => {}
+            readable = stream.readable() => {
+                readable?;
                 if matches!(stream.try_read(&mut byte), Ok(0)) {
                     return Ok(());
                 }
@@ -255,23 +273,25 @@
     }
 }
 
-async fn notices(agent: &Shared, stream: &mut TcpStream, request: &Request) -> io::Result<()> {
-    let mut heard = Vec::new();
+/// Records a request with notices and answers it. Notices before one that cannot be parsed are recorded too.
+async fn receive_notices(agent: &AgentState, stream: &mut TcpStream, request: &Request) -> io::Result<()> {
+    let mut received = Vec::new();
     for line in request.body.split(|byte| *byte == b'\n').filter(|line| !line.trim_ascii().is_empty()) {
         let Some((id, ended)) = read_notice(line) else {
             return stream.write_all(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").await;
         };
-        let message = ids::message_of(&id);
-        agent.recorder.note(Event::Notice { message, courier: agent.courier, verdict: ended });
-        heard.extend(message);
+        let message = ids::parse_wire_id(&id);
+        agent.recorder.record(Event::Notice { message, courier: agent.courier, verdict: ended });
+        received.extend(message);
     }
     stream.write_all(b"HTTP/1.1 204 No Content\r\n\r\n").await?;
-    for message in heard {
-        agent.recorder.note(Event::NoticeAnswered { message });
+    for message in received {
+        agent.recorder.record(Event::NoticeAnswered { message });
     }
     Ok(())
 }
 
+/// Parses a notice into the message id and the verdict.
 fn read_notice(line: &[u8]) -> Option<(String, Verdict)> {
     let value: Value = serde_json::from_slice(line).ok()?;
     let ended = match value.get("state")?.as_str()? {
--- a/crates/gullcart-standins/src/world.rs
+++ b/crates/gullcart-standins/src/world.rs
@@ -1,5 +1,6 @@
-//! What stands around a courier under test, on loopback sockets: endpoints whose every answer the test decides,
-//! discovery, and clients. All ports are chosen by the system, and tests wait on what arrives.
+//! The harness of the daemon's tests. [`World`] has endpoints whose every answer the test scripts, discovery, and clients, on
+//! loopback sockets, and starts couriers among them. The system chooses all ports, and tests wait for events rather than
+//! for times. It uses threads and blocking calls, unlike the rest of this package.
 
 mod agent;
 mod call;
@@ -7,21 +8,21 @@
 mod config;
 mod connections;
 mod courier;
+mod expectations;
 mod harness;
 mod http;
-mod seen;
 mod updates;
 
 pub use agent::Agent;
-pub use call::{Call, Seen};
+pub use call::{Call, CourierAction};
 pub use client::Client;
-pub use connections::Hanging;
-pub use courier::{Courier, Stopped};
+pub use connections::StalledListener;
+pub use courier::{Courier, KilledCourier};
 pub use harness::World;
 
 use std::time::Duration;
 
-/// Far longer than anything here takes; only a failing test waits for so long.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// How long nothing may happen where nothing should.
-const QUIET: Duration = Duration::from_millis(300);
+/// Upper bound of every wait. It is far longer than any step takes, so only a failing test reaches it.
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// How long a test watches to conclude that something does not happen.
+const QUIET_PERIOD: Duration = Duration::from_millis(300);
--- a/crates/gullcart-standins/src/world/courier.rs
+++ b/crates/gullcart-standins/src/world/courier.rs
@@ -1,9 +1,9 @@
-//! A courier under test: its process, its log and the signals that it is sent.
+//! The courier under test: its process, its log and the signals that tests send.
 
 use super::agent::Agent;
 use super::client::Client;
 use super::harness::World;
-use super::PATIENCE;
+use super::TIMEOUT;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::process::{Child, Command, ExitStatus, Stdio};
@@ -18,147 +18,150 @@
         Courier::start(self)
     }
 
-    /// Starts a courier whose discovery is at some agent.
-    pub fn start_at(&self, agent: &Agent) -> Courier<'_> {
+    /// Starts a courier with discovery at this agent, and waits until it listens.
+    pub fn start_with_agent(&self, agent: &Agent) -> Courier<'_> {
         self.configure(agent);
         Courier::start(self)
     }
 
-    /// What a courier says that does not start, and its exit status.
-    pub fn refuse_to_start(&self) -> (String, ExitStatus) {
+    /// Writes the configuration, runs a courier that is expected to exit, and returns its log and exit status.
+    pub fn run_to_exit(&self) -> (String, ExitStatus) {
         self.configure(&self.discovery);
         let output = self.command().output().unwrap();
         (String::from_utf8_lossy(&output.stderr).into_owned(), output.status)
     }
 
-    /// What a courier says that does not start with the configuration as it lies there, and its exit status.
-    pub fn start_as_configured(&self) -> (String, ExitStatus) {
+    /// Runs a courier with the existing configuration file until it exits, and returns its log and exit status.
+    pub fn run_to_exit_as_configured(&self) -> (String, ExitStatus) {
         let output = self.command().output().unwrap();
         (String::from_utf8_lossy(&output.stderr).into_owned(), output.status)
     }
 
-    /// Starts a courier that ends at once; what it says of that.
-    pub fn start_fails(&self) -> String {
+    /// Runs a courier until it exits, checks that it failed, and returns its log.
+    pub fn expect_failed_start(&self) -> String {
         self.configure(&self.discovery);
         let output = self.command().output().unwrap();
         assert!(!output.status.success());
         String::from_utf8_lossy(&output.stderr).into_owned()
     }
 
-    /// What starts a courier.
+    /// The command that starts a courier.
     fn command(&self) -> Command {
         let mut command = match self.descriptor_limit {
             None => Command::new(&self.program),
-            Some(limit) => limited(&self.program, limit),
+            Some(limit) => with_descriptor_limit(&self.program, limit),
         };
         command
-            .env("BALANCER_STATE", self.state())
+            .env("BALANCER_STATE", self.state_folder())
             .env("BALANCER_CONFIG", self.folder.join("config.json"))
-            .envs(self.variables.iter().map(|(name, value)| (name, value)));
+            .envs(self.environment.iter().map(|(name, value)| (name, value)));
         command
     }
 }
 
-/// A program that the system holds to so many descriptors. The shell is not asked to run a script of ours: a process that
-/// another test forks meanwhile may hold such a file open for writing, and then it cannot be executed.
-fn limited(program: &str, descriptors: u32) -> Command {
+/// A command that runs a program with a limit of open descriptors. The shell gets its commands as an argument rather than as
+/// a script file: a process that another test forks at that moment may hold the new file open for writing, and executing it
+/// would then fail.
+fn with_descriptor_limit(program: &str, descriptor_limit: u32) -> Command {
     let mut command = Command::new("/bin/sh");
-    command.arg("-c").arg(format!("ulimit -n {descriptors} && exec \"$0\"")).arg(program);
+    command.arg("-c").arg(format!("ulimit -n {descriptor_limit} && exec \"$0\"")).arg(program);
     command
 }
 
-/// The lines that a courier has written to its log.
+/// The lines that a courier has logged so far.
 #[derive(Default)]
-struct Log {
+struct LogLines {
     lines: Mutex<Vec<String>>,
-    more: Condvar,
+    added: Condvar,
 }
 
 /// A running courier; it is killed when dropped.
 pub struct Courier<'a> {
     world: &'a World,
     child: Child,
-    log: Arc<Log>,
+    log: Arc<LogLines>,
     address: SocketAddr,
 }
 
 impl<'a> Courier<'a> {
+    /// Starts the process and waits until its log names its address.
     fn start(world: &'a World) -> Self {
         let mut child = world.command().stderr(Stdio::piped()).spawn().unwrap();
-        let log = Arc::new(Log::default());
+        let log = Arc::new(LogLines::default());
         let (errors, shared) = (BufReader::new(child.stderr.take().unwrap()), log.clone());
         thread::spawn(move || {
             for line in errors.lines().map_while(Result::ok) {
                 shared.lines.lock().unwrap().push(line);
-                shared.more.notify_all();
+                shared.added.notify_all();
             }
         });
         let mut courier = Courier { world, child, log, address: SocketAddr::from(([127, 0, 0, 1], 0)) };
-        let line = courier.log_until("listening");
+        let line = courier.wait_for_log("listening");
         let address = line.split_once("address=").map(|(_, rest)| rest.split_whitespace().next());
         courier.address = address.flatten().unwrap().parse().unwrap();
         courier
     }
 
-    /// Waits for a line of the log that holds some words, and returns it.
-    pub fn log_until(&self, words: &str) -> String {
-        self.log_times(words, 1)
+    /// Waits for a log line that contains this text, and returns it.
+    pub fn wait_for_log(&self, text: &str) -> String {
+        self.wait_for_nth_log(text, 1)
     }
 
-    /// Waits for so many such lines, and returns the last of them.
-    pub fn log_times(&self, words: &str, times: usize) -> String {
-        let end = Instant::now() + PATIENCE;
+    /// Waits for `count` lines that contain this text, and returns the last of them.
+    pub fn wait_for_nth_log(&self, text: &str, count: usize) -> String {
+        let end = Instant::now() + TIMEOUT;
         let mut lines = self.log.lines.lock().unwrap();
         loop {
-            if let Some(line) = lines.iter().filter(|line| line.contains(words)).nth(times - 1) {
+            if let Some(line) = lines.iter().filter(|line| line.contains(text)).nth(count - 1) {
                 return line.clone();
             }
             let left = end.saturating_duration_since(Instant::now());
-            assert!(!left.is_zero(), "the log never says '{words}': {lines:#?}");
-            lines = self.log.more.wait_timeout(lines, left).unwrap().0;
+            assert!(!left.is_zero(), "the log has fewer than {count} lines with '{text}': {lines:#?}");
+            lines = self.log.added.wait_timeout(lines, left).unwrap().0;
         }
     }
 
-    /// Waits for a line of the log that holds both words, and returns it.
-    pub fn log_until_both(&self, words: &str, more: &str) -> String {
-        let mut times = 1;
+    /// Waits for a log line that contains both texts, and returns it.
+    pub fn wait_for_log_with_both(&self, text: &str, other_text: &str) -> String {
+        let mut count = 1;
         loop {
-            let line = self.log_times(words, times);
-            if line.contains(more) {
+            let line = self.wait_for_nth_log(text, count);
+            if line.contains(other_text) {
                 return line;
             }
-            times += 1;
+            count += 1;
         }
     }
 
-    /// Where its console listens.
+    /// The address of the console.
     pub fn console(&self) -> SocketAddr {
-        let line = self.log_until("the console is open");
+        let line = self.wait_for_log("the console is open");
         let address = line.split_once("address=").and_then(|(_, rest)| rest.split_whitespace().next());
         address.unwrap().trim_matches('"').parse().unwrap()
     }
 
-    /// A connection to the courier.
+    /// Connects a client to the courier.
     pub fn client(&self) -> Client {
         Client::connect(self.address)
     }
 
-    /// Kills the process.
-    pub fn kill(mut self) -> Stopped<'a> {
+    /// Kills the process with SIGKILL.
+    pub fn kill(mut self) -> KilledCourier<'a> {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
-        Stopped { world: self.world }
+        KilledCourier { world: self.world }
     }
 
-    /// Kills the process, and starts another one on the same folder.
+    /// Kills the process and starts another one with the same folder.
     pub fn kill_and_restart(self) -> Courier<'a> {
         self.kill().restart()
     }
 
-    /// Stops the process for as long as something is done. The signal is on its way for a moment, in which the process runs on.
+    /// Calls `act` while the process is stopped by SIGSTOP. The signal takes a moment to stop all threads, so this waits
+    /// until it has done so.
     pub fn while_stopped(&self, act: impl FnOnce()) {
         self.signal("STOP");
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TIMEOUT;
         while !self.is_stopped() {
             assert!(Instant::now() < end, "the process does not stop");
             thread::yield_now();
@@ -167,37 +170,37 @@
         self.signal("CONT");
     }
 
-    /// Whether all threads of the process stand still by a signal.
+    /// Whether all threads of the process are stopped by a signal.
     fn is_stopped(&self) -> bool {
         let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).unwrap();
         tasks.map(|task| std::fs::read_to_string(task.unwrap().path().join("stat")).unwrap()).all(|stat| {
-            // The state stands behind the name, which ends in a bracket.
+            // The state follows the name, which is in parentheses.
             stat.rsplit(')').next().is_some_and(|rest| rest.trim_start().starts_with('T'))
         })
     }
 
     /// Names of the threads of the process.
-    pub fn threads(&self) -> Vec<String> {
+    pub fn thread_names(&self) -> Vec<String> {
         let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).unwrap();
         let names = tasks.filter_map(|task| std::fs::read_to_string(task.ok()?.path().join("comm")).ok());
         names.map(|name| name.trim().to_owned()).collect()
     }
 
-    /// Descriptors that the process holds.
-    pub fn descriptors(&self) -> usize {
+    /// Number of open descriptors of the process.
+    pub fn descriptor_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
     /// Processor time of the process so far, in clock ticks.
-    pub fn ticks(&self) -> u64 {
+    pub fn cpu_ticks(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
-        // Behind the name, which ends in a bracket: the twelfth and thirteenth field.
+        // User and system time are the 12th and 13th fields after the name, which is in parentheses.
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
         fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
     }
 
-    /// Memory of the process that is in use, in KiB.
-    pub fn memory(&self) -> u64 {
+    /// Resident memory of the process, in KiB.
+    pub fn resident_kib(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap();
         line.split_whitespace().next().unwrap().parse().unwrap()
@@ -213,14 +216,14 @@
         self.signal("HUP");
     }
 
-    /// Sends a signal to the process.
+    /// Sends a signal, given by its name without SIG.
     pub fn signal(&self, name: &str) {
         let signal = format!("kill -{name} {}", self.child.id());
         assert!(Command::new("/bin/sh").args(["-c", &signal]).status().unwrap().success());
     }
 
-    /// Waits for the process to end by itself.
-    pub fn wait(&mut self, limit: Duration) -> ExitStatus {
+    /// Waits for the process to exit by itself, for `limit` at most.
+    pub fn wait_for_exit(&mut self, limit: Duration) -> ExitStatus {
         let end = Instant::now() + limit;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
@@ -240,12 +243,12 @@
 }
 
 /// A courier whose process was killed.
-pub struct Stopped<'a> {
+pub struct KilledCourier<'a> {
     world: &'a World,
 }
 
-impl<'a> Stopped<'a> {
-    /// Starts another process on the same folder.
+impl<'a> KilledCourier<'a> {
+    /// Starts another process with the same folder and configuration.
     pub fn restart(self) -> Courier<'a> {
         Courier::start(self.world)
     }
--- a/crates/gullcart-standins/src/world/updates.rs
+++ b/crates/gullcart-standins/src/world/updates.rs
@@ -1,4 +1,4 @@
-//! What discovery says of the endpoints, and other agents beside the first.
+//! What discovery advertises of the endpoints, and further discovery agents.
 
 use super::agent::Agent;
 use super::harness::World;
@@ -9,33 +9,34 @@
 use std::sync::Arc;
 
 impl World {
-    /// An endpoint as discovery lists it.
+    /// The list entry of an endpoint.
     pub(super) fn target(&self, endpoint: usize, state: &str) -> Value {
-        let destination = if self.apart { endpoint + 1 } else { 1 };
+        let destination = if self.separate_destinations { endpoint + 1 } else { 1 };
         json!({
             "uid": format!("s-{endpoint}"), "endpoint": self.endpoints[endpoint].to_string(), "az": "kingston",
             "model": "banks", "pod_group": destination, "state": state, "capacity_hint": 1000.0, "boot_ms": 0,
         })
     }
 
-    /// A change of the list that tells the state of one endpoint.
-    pub fn change(&self, rev: u32, endpoint: usize, state: &str) -> Value {
+    /// An update of the list with the state of one endpoint.
+    pub fn state_change(&self, rev: u32, endpoint: usize, state: &str) -> Value {
         json!({"rev": rev, "all": false, "targets": [self.target(endpoint, state)]})
     }
 
-    /// Tells the watch that an endpoint drains.
-    pub fn drain(&self, endpoint: usize) {
-        self.tell(2, &[self.target(endpoint, "DRAINING")]);
+    /// Advertises that an endpoint is draining, in revision 2: the configured list has revision 1.
+    pub fn advertise_draining(&self, endpoint: usize) {
+        self.advertise(2, &[self.target(endpoint, "DRAINING")]);
     }
 
-    /// Tells the watch that an endpoint is gone.
-    pub fn remove(&self, endpoint: usize) {
-        self.tell(2, &[self.target(endpoint, "DELETED")]);
+    /// Advertises that an endpoint is deleted, in revision 2 or, if later ones were advertised, in the last of them.
+    pub fn advertise_deleted(&self, endpoint: usize) {
+        self.advertise(2, &[self.target(endpoint, "DELETED")]);
     }
 
-    /// Tells the watch that other endpoints, at the same address, have come in the place of one: so many, one
-    /// after the other, under ids with this number in them.
-    pub fn replace(&self, endpoint: usize, number: u32, times: u32) {
+    /// Advertises in one update that an endpoint was replaced `count` times in a row by a new one at the same address. Callers
+    /// number the `round`s from 0; each round after the first also deletes the last endpoint of the round before it. All
+    /// rounds must have the same `count`.
+    pub fn advertise_replacements(&self, endpoint: usize, round: u32, count: u32) {
         let mut targets = Vec::new();
         let entry = |uid: String, state| {
             let mut target = self.target(endpoint, state);
@@ -43,20 +44,22 @@
             target
         };
         targets.push(self.target(endpoint, "DELETED"));
-        for time in 0..times {
-            targets.push(entry(format!("s-{endpoint}-{number}-{time}"), "SERVING"));
-            if time + 1 < times {
-                targets.push(entry(format!("s-{endpoint}-{number}-{time}"), "DELETED"));
+        for index in 0..count {
+            targets.push(entry(format!("s-{endpoint}-{round}-{index}"), "SERVING"));
+            if index + 1 < count {
+                targets.push(entry(format!("s-{endpoint}-{round}-{index}"), "DELETED"));
             }
         }
-        if number > 0 {
-            targets.push(entry(format!("s-{endpoint}-{}-{}", number - 1, times - 1), "DELETED"));
+        if round > 0 {
+            targets.push(entry(format!("s-{endpoint}-{}-{}", round - 1, count - 1), "DELETED"));
         }
-        self.tell(10 + number, &targets);
+        // Above the revisions of other updates, and increasing.
+        self.advertise(10 + round, &targets);
     }
 
-    /// So many more endpoints, all at the address of the first one, at destinations from 2 on.
-    fn many(&self, count: usize, state: &str) -> Vec<Value> {
+    /// List entries of `count` additional endpoints, to make a long list. All have the address of the first endpoint, and each
+    /// destination from 2 on has two of them.
+    fn extra_targets(&self, count: usize, state: &str) -> Vec<Value> {
         let entry = |number: usize| {
             let mut target = self.target(0, state);
             target["uid"] = format!("many-{number}").into();
@@ -66,27 +69,28 @@
         (0..count).map(entry).collect()
     }
 
-    /// Tells the watch of so many more endpoints in one change.
-    pub fn tell_many(&self, rev: u32, count: usize, state: &str) {
-        self.tell(rev, &self.many(count, state));
+    /// Advertises `count` additional endpoints in one update.
+    pub fn advertise_many(&self, rev: u32, count: usize, state: &str) {
+        self.advertise(rev, &self.extra_targets(count, state));
     }
 
-    pub fn tell(&self, rev: u32, targets: &[Value]) {
-        self.discovery.state.tell(rev, targets);
+    /// Advertises list entries on the watches.
+    pub fn advertise(&self, rev: u32, targets: &[Value]) {
+        self.discovery.state.advertise(rev, targets);
     }
 
-    /// Discovery takes connections and says nothing.
+    /// Sets whether discovery leaves requests for watches unanswered.
     pub fn silence_discovery(&self, silent: bool) {
         self.discovery.state.silent.store(silent, Ordering::SeqCst);
     }
 
-    /// Whether discovery leaves notices unanswered.
-    pub fn hold_notices(&self, hold: bool) {
-        self.discovery.state.hold_notices.store(hold, Ordering::SeqCst);
+    /// Sets whether discovery leaves notices unanswered.
+    pub fn leave_notices_unanswered(&self, ignore: bool) {
+        self.discovery.state.ignore_notices.store(ignore, Ordering::SeqCst);
     }
 
-    /// An agent whose every byte the test decides: it is given each connection, with its number from zero on.
-    pub fn raw_agent(&self, each: impl Fn(usize, TcpStream) + Clone + Send + 'static) -> Agent {
+    /// An agent whose connections the test serves itself: `each` gets every connection with its number, from 0 on.
+    pub fn agent_with_handler(&self, each: impl Fn(usize, TcpStream) + Clone + Send + 'static) -> Agent {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let count = Arc::new(AtomicU32::new(0));
@@ -94,19 +98,20 @@
         Agent { state: Arc::default(), address }
     }
 
-    /// Another agent, which knows that an endpoint drains.
+    /// Another agent, whose list has one endpoint as draining.
     pub fn agent_with_drain(&self, endpoint: usize) -> Agent {
-        let agent = Agent::start(&self.send);
-        let state = |at| if at == endpoint { "DRAINING" } else { "SERVING" };
-        let targets: Vec<Value> = (0..self.endpoints.len()).map(|at| self.target(at, state(at))).collect();
+        let agent = Agent::start(&self.action_sender);
+        let state = |index| if index == endpoint { "DRAINING" } else { "SERVING" };
+        let targets: Vec<Value> =
+            (0..self.endpoints.len()).map(|index| self.target(index, state(index))).collect();
         *agent.state.list.lock().unwrap() = json!({"rev": 5, "all": true, "targets": targets}).to_string();
         agent
     }
 
-    /// Another agent, with so many more endpoints in its whole list.
+    /// Another agent, whose list has `count` additional endpoints.
     pub fn agent_with_many(&self, rev: u32, count: usize, state: &str) -> Agent {
-        let agent = Agent::start(&self.send);
-        let targets = [vec![self.target(0, "SERVING")], self.many(count, state)].concat();
+        let agent = Agent::start(&self.action_sender);
+        let targets = [vec![self.target(0, "SERVING")], self.extra_targets(count, state)].concat();
         *agent.state.list.lock().unwrap() = json!({"rev": rev, "all": true, "targets": targets}).to_string();
         agent
     }
--- a/crates/gullcart/tests/answers.rs
+++ b/crates/gullcart/tests/answers.rs
@@ -28,12 +28,12 @@
     .enumerate()
     {
         assert_eq!(client.enqueue(&format!("d{number}"), "0", "salary", 1, b"x"), "+OK");
-        let call = world.call();
-        assert!(!used.contains(&call.connection()), "after {answer}");
-        used.push(call.connection());
-        call.raw(answer.as_bytes());
+        let call = world.next_call();
+        assert!(!used.contains(&call.courier_address()), "after {answer}");
+        used.push(call.courier_address());
+        call.answer_raw(answer.as_bytes());
     }
-    world.nothing();
+    world.expect_nothing();
 }
 
 /// A call with a malformed response may have run: an unsafe message fails soon and is not sent again. That a call never ran is
@@ -57,11 +57,11 @@
         let id = format!("s{number}");
         assert_eq!(client.enqueue(&id, "0", "salary", 1, b"x"), "+OK");
         let begun = Instant::now();
-        world.call().raw(answer.as_bytes());
-        assert_eq!(world.notice(), format!(r#"{{"id":"{id}","state":"failed"}}"#));
+        world.next_call().answer_raw(answer.as_bytes());
+        assert_eq!(world.next_notice(), format!(r#"{{"id":"{id}","state":"failed"}}"#));
         assert!(begun.elapsed() < Duration::from_secs(1), "{:?} for {answer:.20}", begun.elapsed());
     }
-    world.no_call();
+    world.expect_no_call();
 }
 
 /// A duplicate that arrives together with a response is not taken for the response to the next call.
@@ -72,12 +72,12 @@
     let mut client = courier.client();
     for number in 0..30 {
         assert_eq!(client.enqueue(&format!("b{number}"), "0", "salary", 1, b"x"), "+OK");
-        let call = world.call();
+        let call = world.next_call();
         assert_eq!(call.id, format!("b{number}"));
-        let twice = call.whole_answer("200 OK", "").repeat(2);
-        call.raw(&twice);
+        let twice = call.response_bytes("200 OK", "").repeat(2);
+        call.answer_raw(&twice);
     }
-    world.nothing();
+    world.expect_nothing();
 }
 
 /// The same for a duplicate that arrives while the next call is being sent: the courier finds both at once.
@@ -88,26 +88,26 @@
     let mut client = courier.client();
     for number in 0..10 {
         assert_eq!(client.enqueue(&format!("r{number}"), "0", "salary", 1, b"x"), "+OK");
-        let call = world.call();
+        let call = world.next_call();
         assert_eq!(call.id, format!("r{number}"));
-        let connection = call.connection();
+        let connection = call.courier_address();
         let mut stream = call.stream();
         // Otherwise the kernel holds the bytes back until the response is acknowledged by the packet with the next call.
         stream.set_nodelay(true).unwrap();
         call.answer("200 OK", "");
         // The reply shows that the delivery was processed, so that the connection is idle.
-        assert_eq!(client.ask(&["PING"]), "+PONG");
+        assert_eq!(client.request(&["PING"]), "+PONG");
         courier.while_stopped(|| {
-            client.begin_enqueue(&format!("q{number}"), "0", "salary", 1, b"x");
+            client.send_enqueue(&format!("q{number}"), "0", "salary", 1, b"x");
             let _ = stream.write_all(COMPLETE_RESPONSE);
         });
-        assert_eq!(client.line(), "+OK");
-        let call = world.call();
+        assert_eq!(client.read_reply(), "+OK");
+        let call = world.next_call();
         assert_eq!(call.id, format!("q{number}"));
-        assert_ne!(call.connection(), connection, "the bytes would pass for its answer");
+        assert_ne!(call.courier_address(), connection, "the bytes would pass for its answer");
         call.answer("200 OK", "");
     }
-    world.nothing();
+    world.expect_nothing();
 }
 
 /// Bytes that arrive shortly after a response would be taken for the next one if the next call were sent by then, so a
@@ -118,18 +118,18 @@
     let courier = world.start();
     let mut client = courier.client();
     assert_eq!(client.enqueue("m0", "0", "salary", 1, b"x"), "+OK");
-    let mut call = world.call();
+    let mut call = world.next_call();
     for number in 1..10 {
-        let (connection, answered) = (call.connection(), Instant::now());
+        let (connection, answered) = (call.courier_address(), Instant::now());
         call.answer("200 OK", "");
         // The connection is idle, or will be in a moment. A new connection may be used at once.
         assert_eq!(client.enqueue(&format!("m{number}"), "0", "salary", 1, b"x"), "+OK");
-        call = world.call();
+        call = world.next_call();
         let pause = answered.elapsed();
-        assert!(call.connection() != connection || pause >= Duration::from_millis(5), "{pause:?}");
+        assert!(call.courier_address() != connection || pause >= Duration::from_millis(5), "{pause:?}");
     }
     call.answer("200 OK", "");
-    world.nothing();
+    world.expect_nothing();
 }
 
 /// Interim responses are skipped and the connection is kept; too many of them are an error.
@@ -143,18 +143,18 @@
     // Connections are reused once the endpoint's responses were seen to differ.
     for number in 0..6 {
         assert_eq!(client.enqueue(&format!("e{number}"), "0", "salary", 1, b"x"), "+OK");
-        let call = world.call();
-        used.push(call.connection());
-        let whole = call.whole_answer("200 OK", "");
-        call.raw(&[hint.repeat(3).as_bytes(), &whole].concat());
-        world.nothing();
+        let call = world.next_call();
+        used.push(call.courier_address());
+        let whole = call.response_bytes("200 OK", "");
+        call.answer_raw(&[hint.repeat(3).as_bytes(), &whole].concat());
+        world.expect_nothing();
     }
     assert_eq!(used[5], used[4]);
     assert_eq!(client.enqueue("e6", "0", "salary", 1, b"x"), "+OK");
-    let call = world.call();
-    assert_eq!(call.connection(), used[5]);
-    call.raw(hint.repeat(200).as_bytes());
-    assert_eq!(world.notice(), r#"{"id":"e6","state":"failed"}"#);
+    let call = world.next_call();
+    assert_eq!(call.courier_address(), used[5]);
+    call.answer_raw(hint.repeat(200).as_bytes());
+    assert_eq!(world.next_notice(), r#"{"id":"e6","state":"failed"}"#);
 }
 
 /// Connections belong to an endpoint, not to its address: a new endpoint at the address of a removed one gets its own, and
@@ -164,26 +164,26 @@
     let world = World::new(PROGRAM, 2, 3.0);
     let courier = world.start();
     let mut client = courier.client();
-    world.remove(1);
-    courier.log_until("the list has changed");
+    world.advertise_deleted(1);
+    courier.wait_for_log("the list has changed");
     let mut deliver = |id: &str| {
         assert_eq!(client.enqueue(id, "0", "salary", 1, b"x"), "+OK");
-        let call = world.call();
-        let connection = call.connection();
+        let call = world.next_call();
+        let connection = call.courier_address();
         call.answer("200 OK", "");
-        world.nothing();
+        world.expect_nothing();
         connection
     };
     // Connections are reused once the endpoint's responses were seen to differ.
     let old: Vec<_> = (0..5).map(|number| deliver(&format!("a{number}"))).collect();
     assert_eq!(old[4], old[3]);
-    world.replace(0, 0, 1);
-    courier.log_times("the list has changed", 2);
+    world.advertise_replacements(0, 0, 1);
+    courier.wait_for_nth_log("the list has changed", 2);
     let new: Vec<_> = (0..5).map(|number| deliver(&format!("b{number}"))).collect();
     assert!(new.iter().all(|connection| !old.contains(connection)), "{new:?} behind {old:?}");
     assert_eq!(new[4], new[3]);
-    world.remove(1);
-    courier.log_times("the list has changed", 3);
+    world.advertise_deleted(1);
+    courier.wait_for_nth_log("the list has changed", 3);
     assert_eq!(deliver("c0"), new[4]);
 }
 
@@ -195,10 +195,10 @@
     let courier = world.start();
     let replace = |rounds: std::ops::Range<u32>| {
         for round in rounds {
-            world.replace(0, round, TIMES);
-            courier.log_times("the list has changed", round as usize + 1);
+            world.advertise_replacements(0, round, TIMES);
+            courier.wait_for_nth_log("the list has changed", round as usize + 1);
         }
-        courier.memory()
+        courier.resident_kib()
     };
     // The first rounds grow the buffers.
     let before = replace(0..5);
@@ -209,13 +209,13 @@
 /// With more endpoints than descriptors, idle connections are closed and the limit holds.
 #[test]
 fn descriptors_stay_inside_their_limit() {
-    let mut world = World::patient(PROGRAM, 40, 3.0);
-    (world.apart, world.sockets) = (true, 44);
+    let mut world = World::with_long_deadlines(PROGRAM, 40, 3.0);
+    (world.separate_destinations, world.sockets) = (true, 44);
     let courier = world.start();
     let mut client = courier.client();
     for destination in 1..=40 {
         assert_eq!(client.enqueue(&format!("n{destination}"), "0", "salary", destination, b"x"), "+OK");
-        world.call().answer("200 OK", "");
-        assert!(courier.descriptors() <= 44, "{} descriptors", courier.descriptors());
+        world.next_call().answer("200 OK", "");
+        assert!(courier.descriptor_count() <= 44, "{} descriptors", courier.descriptor_count());
     }
 }
--- a/crates/gullcart/tests/clients.rs
+++ b/crates/gullcart/tests/clients.rs
@@ -14,10 +14,10 @@
 fn clients_without_a_complete_request_do_not_keep_their_slots() {
     let world = World::new(PROGRAM, 1, 3.0);
     let courier = world.start();
-    let mut silent = courier.client().within(CLOSE_LIMIT);
-    let mut half = courier.client().within(CLOSE_LIMIT);
+    let mut silent = courier.client().with_read_timeout(CLOSE_LIMIT);
+    let mut half = courier.client().with_read_timeout(CLOSE_LIMIT);
     half.send(b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nh");
-    assert!(half.line().starts_with("-ERR "));
+    assert!(half.read_reply().starts_with("-ERR "));
     assert!(half.is_closed());
     assert!(silent.is_closed());
 }
@@ -31,9 +31,9 @@
     let courier = world.start();
     let silent: Vec<Client> = (0..300).map(|_| courier.client()).collect();
     for number in 0..20 {
-        let mut client = courier.client().within(Duration::from_secs(1));
+        let mut client = courier.client().with_read_timeout(Duration::from_secs(1));
         assert_eq!(client.enqueue(&format!("g{number}"), "0", "salary", 1, b"x"), "+OK");
-        world.call().answer("200 OK", "");
+        world.next_call().answer("200 OK", "");
     }
     drop(silent);
 }
@@ -45,12 +45,13 @@
     let mut world = World::new(PROGRAM, 1, 3.0);
     world.sockets = 256;
     let courier = world.start();
-    let mut stayed: Vec<Client> = (0..80).map(|_| courier.client().within(Duration::from_secs(1))).collect();
+    let mut stayed: Vec<Client> =
+        (0..80).map(|_| courier.client().with_read_timeout(Duration::from_secs(1))).collect();
     for client in &mut stayed {
-        assert_eq!(client.ask(&["PING"]), "+PONG");
+        assert_eq!(client.request(&["PING"]), "+PONG");
     }
     assert!(stayed[..30].iter_mut().all(Client::is_closed));
-    assert_eq!(stayed[79].ask(&["PING"]), "+PONG");
+    assert_eq!(stayed[79].request(&["PING"]), "+PONG");
 }
 
 /// The error arrives although the client goes on sending: closing with unread bytes would reset the connection and discard what
@@ -63,7 +64,7 @@
     client.send(b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nb1\r\n$3\r\nc=x\r\n$60000000\r\n");
     let part = vec![b'x'; 1 << 20];
     (0..60).for_each(|_| client.try_send(&part).unwrap());
-    assert!(client.line().starts_with("-ERR "));
+    assert!(client.read_reply().starts_with("-ERR "));
     assert!(client.is_closed());
 }
 
@@ -76,9 +77,9 @@
     flood.send(&b"*1\r\n$8\r\nFLUSHALL\r\n".repeat(2000));
     let mut client = courier.client();
     assert_eq!(client.enqueue("f1", "0", "salary", 1, b"x"), "+OK");
-    world.call().answer("200 OK", "");
-    (0..2000).for_each(|_| assert!(flood.line().starts_with("-ERR ")));
-    assert_eq!(flood.ask(&["PING"]), "+PONG");
+    world.next_call().answer("200 OK", "");
+    (0..2000).for_each(|_| assert!(flood.read_reply().starts_with("-ERR ")));
+    assert_eq!(flood.request(&["PING"]), "+PONG");
 }
 
 /// The id of a message that is held belongs to it: repeating the same message succeeds, and another message with the id is
@@ -88,22 +89,22 @@
     let world = World::new(PROGRAM, 1, 3.0);
     let courier = world.start();
     assert_eq!(courier.client().enqueue("i1", "9", "notice,k=i1", 1, b"1"), "+OK");
-    let call = world.call();
+    let call = world.next_call();
     assert!(courier.client().enqueue("i1", "9", "notice,k=i1", 1, b"other").starts_with("-ERR "));
     assert!(courier.client().enqueue("i1", "0", "salary", 1, b"1").starts_with("-ERR "));
     assert_eq!(courier.client().enqueue("i1", "9", "notice,k=i1", 1, b"1"), "+OK");
     call.answer("200 OK", "");
-    world.nothing();
+    world.expect_nothing();
 }
 
 /// A destination that was never listed is an error; one that has lost its endpoints may get new ones.
 #[test]
 fn unknown_destinations_are_errors_and_empty_ones_are_not() {
-    let mut world = World::patient(PROGRAM, 2, 3.0);
-    world.apart = true;
+    let mut world = World::with_long_deadlines(PROGRAM, 2, 3.0);
+    world.separate_destinations = true;
     let courier = world.start();
-    world.remove(1);
-    courier.log_until("the list has changed");
+    world.advertise_deleted(1);
+    courier.wait_for_log("the list has changed");
     let mut client = courier.client();
     assert!(client.enqueue("d9", "0", "salary", 9, b"x").starts_with("-ERR "));
     assert_eq!(client.enqueue("d2", "0", "salary", 2, b"x"), "+OK");
@@ -111,7 +112,7 @@
     let courier = courier.kill_and_restart();
     assert_eq!(courier.client().enqueue("d3", "0", "salary", 2, b"x"), "+OK");
     assert!(courier.client().enqueue("d8", "0", "salary", 8, b"x").starts_with("-ERR "));
-    world.no_call();
+    world.expect_no_call();
 }
 
 /// Without its idempotency key a message of a keyed class could not be repeated safely.
@@ -120,7 +121,7 @@
     let world = World::new(PROGRAM, 1, 3.0);
     let courier = world.start();
     assert!(courier.client().enqueue("k1", "9", "notice", 1, b"1").starts_with("-ERR "));
-    world.no_call();
+    world.expect_no_call();
 }
 
 /// A request that arrives in small pieces over two seconds is served; it used to be cut off after one. One that stops half way
@@ -142,9 +143,9 @@
         std::thread::sleep(due.saturating_sub(began.elapsed()));
         client.send(&[byte]);
     }
-    assert_eq!(client.line(), "+OK");
-    assert_eq!(world.call().id, "s1");
-    assert!(stuck.line().starts_with("-ERR"));
+    assert_eq!(client.read_reply(), "+OK");
+    assert_eq!(world.next_call().id, "s1");
+    assert!(stuck.read_reply().starts_with("-ERR"));
 }
 
 /// An unlisted destination gets another error than an invalid number.
@@ -154,7 +155,7 @@
     let courier = world.start();
     let mut client = courier.client();
     let mut ask = |id: &str, destination: &str| {
-        client.ask(&["ENQUEUE", "0", id, &format!("c=salary,d=9000,dest={destination}"), "x"])
+        client.request(&["ENQUEUE", "0", id, &format!("c=salary,d=9000,dest={destination}"), "x"])
     };
     for unlisted in ["65535", "65536", "1600000", "4294967295"] {
         assert_eq!(ask("m1", unlisted), "-ERR unknown destination", "{unlisted}");
@@ -163,12 +164,12 @@
         assert_eq!(ask("m1", unfit), "-ERR dest is missing or no number", "{unfit}");
     }
     // From now on the list has one of them.
-    let mut wide = world.change(2, 0, "SERVING")["targets"][0].clone();
+    let mut wide = world.state_change(2, 0, "SERVING")["targets"][0].clone();
     (wide["uid"], wide["pod_group"]) = ("wide".into(), 1_600_000.into());
-    world.tell(2, &[wide]);
-    courier.log_until("rev=2");
+    world.advertise(2, &[wide]);
+    courier.wait_for_log("rev=2");
     assert_eq!(ask("m1", "1600000"), "+OK");
-    let call = world.call();
+    let call = world.next_call();
     assert_eq!(call.id, "m1");
     call.answer("200 OK", "");
 }
--- a/crates/gullcart/tests/common/mod.rs
+++ b/crates/gullcart/tests/common/mod.rs
@@ -44,7 +44,7 @@
     pub fn with_one_partner(couriers: u32) -> Self {
         let mut worlds: Vec<World> = (0..3).map(|_| World::with_console(PROGRAM, 1)).collect();
         let (first, rest) = worlds.split_at_mut(1);
-        rest.iter_mut().for_each(|world| world.call_where(&first[0]));
+        rest.iter_mut().for_each(|world| world.share_endpoints_of(&first[0]));
         worlds.iter_mut().for_each(|world| world.couriers = couriers);
         Group::of(worlds)
     }
@@ -70,7 +70,7 @@
             }
             let file = world.folder().join("group.toml");
             std::fs::write(&file, text).unwrap();
-            world.variables.push(("GULLCART_GROUP".to_owned(), file.display().to_string()));
+            world.environment.push(("GULLCART_GROUP".to_owned(), file.display().to_string()));
             files.push(file);
         }
         Group { worlds, files, _reserved: reserved }
--- a/crates/gullcart/tests/console.rs
+++ b/crates/gullcart/tests/console.rs
@@ -44,14 +44,14 @@
     assert_eq!(ask(console, b"STATUS\n"), "YES\n");
     let mut client = courier.client();
     assert_eq!(client.enqueue("a1", "0", "salary", 1, b"x"), "+OK");
-    let call = world.call();
+    let call = world.next_call();
     let metrics = ask(console, b"METRICS\r\n");
     assert!(metrics.ends_with("\nEND\n"), "{metrics}");
     assert_eq!((figure(&metrics, "attempts"), figure(&metrics, "in_flight")), (1, 1));
     call.answer("200 OK", "");
     assert_eq!(client.enqueue("a2", "0", "salary", 1, b"x"), "+OK");
-    world.call().reset();
-    assert_eq!(world.notice(), r#"{"id":"a2","state":"failed"}"#);
+    world.next_call().close();
+    assert_eq!(world.next_notice(), r#"{"id":"a2","state":"failed"}"#);
     let metrics = ask(console, b"METRICS\n");
     assert_eq!((figure(&metrics, "served.salary"), figure(&metrics, "failed.salary")), (1, 1));
     assert_eq!((figure(&metrics, "attempts"), figure(&metrics, "in_flight")), (2, 0));
@@ -73,14 +73,14 @@
     let mut client = courier.client();
     for number in 0..6 {
         assert_eq!(client.enqueue(&format!("a{number}"), "0", "salary", 1, b"x"), "+OK");
-        let call = world.call();
+        let call = world.next_call();
         assert_eq!(call.endpoint, 1);
         call.answer("200 OK", "");
     }
     assert_eq!(ask(at, b"RESTORE s-0\n"), "YES\n");
     assert_eq!(ask(at, b"SUSPEND s-1\n"), "YES\n");
     assert_eq!(client.enqueue("b", "0", "salary", 1, b"x"), "+OK");
-    let call = world.call();
+    let call = world.next_call();
     assert_eq!(call.endpoint, 0);
     call.answer("200 OK", "");
 }
@@ -137,14 +137,14 @@
         assert_eq!(ask(at, b"STATUS\n"), "YES\n");
         assert!(ask(at, b"METRICS\n").ends_with("END\n"));
     }
-    assert!(courier.descriptors() <= 96);
+    assert!(courier.descriptor_count() <= 96);
 }
 
 #[test]
 fn without_an_address_there_is_no_console_and_an_invalid_one_is_not_fatal() {
     let mut world = World::new(PROGRAM, 1, 3.0);
-    world.variables.push(("BALANCER_CONSOLE".to_owned(), "not an address".to_owned()));
+    world.environment.push(("BALANCER_CONSOLE".to_owned(), "not an address".to_owned()));
     let courier = world.start();
-    courier.log_until("the console cannot be opened");
-    assert_eq!(courier.client().ask(&["PING"]), "+PONG");
+    courier.wait_for_log("the console cannot be opened");
+    assert_eq!(courier.client().request(&["PING"]), "+PONG");
 }
--- a/crates/gullcart/tests/endings.rs
+++ b/crates/gullcart/tests/endings.rs
@@ -15,12 +15,12 @@
 /// Writes a request after the courier's shutdown of the connection was seen. Nothing may reset the connection, which would
 /// destroy a reply on its way, and the message must not be sent on.
 fn send_behind_the_shutdown(client: &mut Client, id: &str) {
-    assert_eq!(client.until_end().unwrap(), "");
-    client.begin_enqueue(id, "0", "salary", 1, b"x");
+    assert_eq!(client.read_to_end().unwrap(), "");
+    client.send_enqueue(id, "0", "salary", 1, b"x");
     // After a reset, this or the next read fails.
     client.try_send(b"*1\r\n$4\r\nPING\r\n").unwrap();
-    client.end();
-    assert_eq!(client.until_end().unwrap(), "");
+    client.shutdown_write();
+    assert_eq!(client.read_to_end().unwrap(), "");
 }
 
 #[test]
@@ -28,11 +28,11 @@
     let world = World::new(PROGRAM, 1, 3.0);
     let courier = world.start();
     let mut client = courier.client();
-    assert_eq!(client.ask(&["PING"]), "+PONG");
+    assert_eq!(client.request(&["PING"]), "+PONG");
     send_behind_the_shutdown(&mut client, "r1");
-    world.nothing();
+    world.expect_nothing();
     assert_eq!(courier.client().enqueue("r1", "0", "salary", 1, b"x"), "+OK");
-    world.call().answer("200 OK", "");
+    world.next_call().answer("200 OK", "");
 }
 
 #[test]
@@ -41,22 +41,22 @@
     let mut courier = world.start();
     let mut resting: Vec<Client> = (0..20).map(|_| courier.client()).collect();
     for client in &mut resting {
-        assert_eq!(client.ask(&["PING"]), "+PONG");
+        assert_eq!(client.request(&["PING"]), "+PONG");
     }
     // A client that never closes does not keep the process running.
     let mut stays = courier.client();
-    assert_eq!(stays.ask(&["PING"]), "+PONG");
+    assert_eq!(stays.request(&["PING"]), "+PONG");
     courier.terminate();
     for (number, client) in resting.iter_mut().enumerate() {
         send_behind_the_shutdown(client, &format!("t{number}"));
     }
     // The process lives for at least 0.6 s more: the same message is accepted on a new connection.
     assert_eq!(courier.client().enqueue("t0", "0", "salary", 1, b"x"), "+OK");
-    let call = world.call();
+    let call = world.next_call();
     assert_eq!(call.id, "t0");
     call.answer("200 OK", "");
-    assert!(courier.wait(MAX_SHUTDOWN_TIME).success());
-    world.nothing();
+    assert!(courier.wait_for_exit(MAX_SHUTDOWN_TIME).success());
+    world.expect_nothing();
 }
 
 /// Two requests and SIGTERM arrive at once: each request is either answered and sent on, or neither.
@@ -66,18 +66,18 @@
     let mut courier = world.start();
     let mut clients: Vec<Client> = (0..10).map(|_| courier.client()).collect();
     for client in &mut clients {
-        assert_eq!(client.ask(&["PING"]), "+PONG");
+        assert_eq!(client.request(&["PING"]), "+PONG");
     }
     courier.while_stopped(|| {
         for (number, client) in clients.iter_mut().enumerate() {
-            client.begin_enqueue(&format!("a{number}"), "0", "salary", 1, b"x");
-            client.begin_enqueue(&format!("b{number}"), "0", "salary", 1, b"x");
+            client.send_enqueue(&format!("a{number}"), "0", "salary", 1, b"x");
+            client.send_enqueue(&format!("b{number}"), "0", "salary", 1, b"x");
         }
         courier.terminate();
     });
     let mut accepted = BTreeSet::new();
     for (number, client) in clients.iter_mut().enumerate() {
-        let answers = client.until_end().unwrap();
+        let answers = client.read_to_end().unwrap();
         let count = answers.matches("+OK\r\n").count();
         assert_eq!(answers.len(), count * 5, "{answers:?}");
         // The first request had arrived completely before the signal.
@@ -86,13 +86,13 @@
     }
     let mut called = BTreeSet::new();
     while called.len() < accepted.len() {
-        let call = world.call();
+        let call = world.next_call();
         called.insert(call.id.clone());
         call.answer("200 OK", "");
     }
     assert_eq!(called, accepted);
-    assert!(courier.wait(MAX_SHUTDOWN_TIME).success());
-    world.nothing();
+    assert!(courier.wait_for_exit(MAX_SHUTDOWN_TIME).success());
+    world.expect_nothing();
 }
 
 #[test]
@@ -100,16 +100,16 @@
     let world = World::new(PROGRAM, 1, 3.0);
     let mut courier = world.start();
     let mut client = courier.client();
-    assert_eq!(client.ask(&["PING"]), "+PONG");
+    assert_eq!(client.request(&["PING"]), "+PONG");
     courier.while_stopped(|| {
         client.send(b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nh1\r\n");
         courier.terminate();
     });
-    let reply = client.until_end().unwrap();
+    let reply = client.read_to_end().unwrap();
     assert!(reply.is_empty() || reply.starts_with("-ERR "), "{reply:?}");
     client.send(b"$23\r\nd=20000,c=salary,dest=1\r\n$1\r\nx\r\n");
-    assert!(courier.wait(MAX_SHUTDOWN_TIME).success());
-    world.nothing();
+    assert!(courier.wait_for_exit(MAX_SHUTDOWN_TIME).success());
+    world.expect_nothing();
 }
 
 /// A process that was stalled until its time was up finds new connections with requests on them: they are accepted in its last
@@ -119,34 +119,34 @@
     let world = World::new(PROGRAM, 1, 3.0);
     let mut courier = world.start();
     assert_eq!(courier.client().enqueue("hung", "0", "salary", 1, b"x"), "+OK");
-    let _hung = world.call();
+    let _hung = world.next_call();
     courier.terminate();
-    courier.log_until("told to end");
+    courier.wait_for_log("told to end");
     let mut clients = Vec::new();
     courier.while_stopped(|| {
         for number in 0..10 {
             let mut client = courier.client();
-            client.begin_enqueue(&format!("l{number}"), "0", "salary", 1, b"x");
+            client.send_enqueue(&format!("l{number}"), "0", "salary", 1, b"x");
             clients.push(client);
         }
         // Waits until the shutdown is due; nothing of the process runs meanwhile.
         std::thread::sleep(Duration::from_millis(3300));
     });
     for client in &mut clients {
-        assert_eq!(client.until_end().unwrap(), "+OK\r\n");
-        client.end();
+        assert_eq!(client.read_to_end().unwrap(), "+OK\r\n");
+        client.shutdown_write();
     }
-    assert!(courier.wait(MAX_SHUTDOWN_TIME).success());
-    world.nothing();
+    assert!(courier.wait_for_exit(MAX_SHUTDOWN_TIME).success());
+    world.expect_nothing();
     let _next = courier.kill_and_restart();
     let (mut called, mut notices) = (BTreeSet::new(), BTreeSet::new());
     while called.len() < clients.len() || notices.is_empty() {
-        match world.call_or_notice() {
-            Seen::Call(call) => {
+        match world.next_action() {
+            CourierAction::Call(call) => {
                 called.insert(call.id.clone());
                 call.answer("200 OK", "");
             }
-            Seen::Notice(line) => drop(notices.insert(line)),
+            CourierAction::Notice(line) => drop(notices.insert(line)),
         }
     }
     assert_eq!(notices, BTreeSet::from([r#"{"id":"hung","state":"failed"}"#.to_owned()]));
@@ -158,27 +158,27 @@
     let world = World::new(PROGRAM, 2, 3.0);
     let mut courier = world.start();
     assert_eq!(courier.client().enqueue("s1", "0", "salary", 1, b"x"), "+OK");
-    let call = world.call();
+    let call = world.next_call();
     assert_eq!(courier.client().enqueue("s2", "0", "salary", 1, b"x"), "+OK");
-    let _hung = world.call();
+    let _hung = world.next_call();
     let begun = Instant::now();
     courier.terminate();
-    courier.log_until("told to end");
-    world.hold_notices(true);
+    courier.wait_for_log("told to end");
+    world.leave_notices_unanswered(true);
     // Each is closed when its first request does not arrive, which takes some of the time until the end.
     for _ in 0..2 {
-        assert_eq!(courier.client().until_end().unwrap(), "");
+        assert_eq!(courier.client().read_to_end().unwrap(), "");
     }
     courier.terminate();
     let agent = world.agent_with_drain(0);
     world.configure(&agent);
     courier.hang_up();
-    courier.log_until("the configuration was read again");
-    call.reset();
-    while world.notices_at(&agent) == 0 {
-        assert_eq!(world.notice(), r#"{"id":"s1","state":"failed"}"#);
+    courier.wait_for_log("the configuration was read again");
+    call.close();
+    while world.notice_requests_at(&agent) == 0 {
+        assert_eq!(world.next_notice(), r#"{"id":"s1","state":"failed"}"#);
     }
-    assert!(courier.wait(MAX_SHUTDOWN_TIME).success());
+    assert!(courier.wait_for_exit(MAX_SHUTDOWN_TIME).success());
     assert!(begun.elapsed() < MAX_SHUTDOWN_TIME, "{:?}", begun.elapsed());
 }
 
@@ -201,18 +201,18 @@
         assert_ne!(spoilt, text, "{good}");
         std::fs::write(&path, spoilt).unwrap();
         courier.hang_up();
-        let line = courier.log_until_both("the configuration stays as it was", key);
+        let line = courier.wait_for_log_with_both("the configuration stays as it was", key);
         assert!(line.contains(key), "{line}");
-        let (said, status) = world.start_as_configured();
+        let (said, status) = world.run_to_exit_as_configured();
         assert!(!status.success());
         let lines: Vec<&str> = said.lines().filter(|line| line.contains("cannot start")).collect();
         assert!(matches!(lines[..], [line] if line.contains(key)), "{key}: {said}");
     }
     assert_eq!(courier.client().enqueue("s1", "0", "salary", 1, b"x"), "+OK");
-    world.call().answer("200 OK", "");
+    world.next_call().answer("200 OK", "");
     std::fs::write(&path, text).unwrap();
     courier.hang_up();
-    courier.log_until("the list has changed");
+    courier.wait_for_log("the list has changed");
 }
 
 /// Reads the head of a request and opens the response if it is a watch; returns whether it is.
@@ -239,8 +239,8 @@
 #[test]
 fn a_watch_without_whole_lines_is_silent() {
     let world = World::new(PROGRAM, 2, 3.0);
-    let drain = format!("{}\n", world.change(5, 0, "DRAINING"));
-    let agent = world.raw_agent(move |number, stream| {
+    let drain = format!("{}\n", world.state_change(5, 0, "DRAINING"));
+    let agent = world.agent_with_handler(move |number, stream| {
         if !opens_watch(&stream) {
             return;
         }
@@ -255,8 +255,8 @@
         }
     });
     let begun = Instant::now();
-    let courier = world.start_at(&agent);
-    courier.log_until("the list has changed");
+    let courier = world.start_with_agent(&agent);
+    courier.wait_for_log("the list has changed");
     assert!(begun.elapsed() < Duration::from_secs(6), "{:?}", begun.elapsed());
 }
 
@@ -264,20 +264,20 @@
 #[test]
 fn an_indented_change_counts_and_an_older_one_behind_it_does_not() {
     let world = World::new(PROGRAM, 2, 3.0);
-    let newer = serde_json::to_string_pretty(&world.change(5, 0, "DRAINING")).unwrap();
-    let older = format!("{}\n", world.change(3, 0, "SERVING"));
-    let agent = world.raw_agent(move |_, stream| {
+    let newer = serde_json::to_string_pretty(&world.state_change(5, 0, "DRAINING")).unwrap();
+    let older = format!("{}\n", world.state_change(3, 0, "SERVING"));
+    let agent = world.agent_with_handler(move |_, stream| {
         if opens_watch(&stream) {
             assert!(newer.lines().all(|line| chunk(&stream, &format!("{line}\r\n"))));
             chunk(&stream, &older);
             hold(&stream);
         }
     });
-    let courier = world.start_at(&agent);
-    courier.log_until("an older list is ignored");
+    let courier = world.start_with_agent(&agent);
+    courier.wait_for_log("an older list is ignored");
     for id in ["o1", "o2", "o3"] {
         assert_eq!(courier.client().enqueue(id, "0", "salary", 1, b"x"), "+OK");
-        let call = world.call();
+        let call = world.next_call();
         assert_eq!(call.endpoint, 1);
         call.answer("200 OK", "");
     }
@@ -288,7 +288,7 @@
 fn a_notice_does_not_wait_for_a_connection_that_fell_silent() {
     let world = World::new(PROGRAM, 1, 3.0);
     let (report, posts) = channel();
-    let agent = world.raw_agent(move |number, stream| {
+    let agent = world.agent_with_handler(move |number, stream| {
         let mut input = BufReader::new(&stream);
         let mut line = String::new();
         while input.read_line(&mut line).is_ok_and(|count| count > 0) {
@@ -300,9 +300,9 @@
             line.clear();
         }
     });
-    let courier = world.start_at(&agent);
+    let courier = world.start_with_agent(&agent);
     assert_eq!(courier.client().enqueue("n1", "0", "salary", 1, b"x"), "+OK");
-    world.call().reset();
+    world.next_call().close();
     let timeout = Duration::from_secs(20);
     let (first, first_at) = posts.recv_timeout(timeout).unwrap();
     let (second, second_at) = posts.recv_timeout(timeout).unwrap();
@@ -320,7 +320,7 @@
     world.descriptor_limit = Some(LIMIT as u32);
     world.silence_discovery(true);
     let courier = world.start();
-    courier.log_until("the watch on the list broke");
+    courier.wait_for_log("the watch on the list broke");
     // Clients that send nothing, and clients that stay open after one request.
     let mut idle = Vec::new();
     for number in 0..300 {
@@ -330,27 +330,30 @@
         }
         idle.push(client);
     }
-    let ticks = courier.ticks();
+    let ticks = courier.cpu_ticks();
     let begun = Instant::now();
     for number in 0..20 {
         let id = format!("d{number}");
         // A client waits for 400 ms; twice that allows for a slow machine.
         assert_eq!(
-            courier.client().within(Duration::from_millis(800)).enqueue(&id, "0", "salary", 1, b"x"),
+            courier
+                .client()
+                .with_read_timeout(Duration::from_millis(800))
+                .enqueue(&id, "0", "salary", 1, b"x"),
             "+OK"
         );
-        let call = world.call();
+        let call = world.next_call();
         assert_eq!(call.id, id);
         call.answer("200 OK", "");
         idle.push(courier.client());
-        assert!(courier.descriptors() <= LIMIT);
+        assert!(courier.descriptor_count() <= LIMIT);
     }
-    let (spent, took) = (courier.ticks() - ticks, begun.elapsed());
+    let (spent, took) = (courier.cpu_ticks() - ticks, begun.elapsed());
     assert!(spent <= 20 + took.as_millis() as u64 / 50, "{spent} ticks of a hundredth in {took:?}");
-    world.drain(0);
+    world.advertise_draining(0);
     let back = Instant::now();
     world.silence_discovery(false);
-    courier.log_until("the list has changed");
+    courier.wait_for_log("the list has changed");
     assert!(back.elapsed() < Duration::from_secs(6), "{:?}", back.elapsed());
     drop(idle);
 }
@@ -358,8 +361,8 @@
 /// With a full journal and a silent discovery a courier still starts at once: nothing before that waits for the network.
 #[test]
 fn a_full_journal_and_a_silent_discovery_do_not_delay_a_start() {
-    let mut world = World::patient(PROGRAM, 1, 3.0);
-    (world.most_held, world.slots) = (100_000, 4);
+    let mut world = World::with_long_deadlines(PROGRAM, 1, 3.0);
+    (world.max_held, world.slots) = (100_000, 4);
     world.silence_discovery(true);
     let courier = world.start();
     let mut client = courier.client();
@@ -372,8 +375,8 @@
     let stopped = courier.kill();
     let begun = Instant::now();
     let courier = stopped.restart();
-    assert_eq!(courier.client().ask(&["PING"]), "+PONG");
+    assert_eq!(courier.client().request(&["PING"]), "+PONG");
     let took = begun.elapsed();
-    println!("{held} messages, {} bytes: ready after {took:?}", world.disk_used());
+    println!("{held} messages, {} bytes: ready after {took:?}", world.disk_used_bytes());
     assert!(took < Duration::from_secs(5), "{took:?}");
 }
--- a/crates/gullcart/tests/group.rs
+++ b/crates/gullcart/tests/group.rs
@@ -12,15 +12,15 @@
 fn without_group_settings_there_is_no_thread_and_no_folder() {
     let world = World::with_console(PROGRAM, 1);
     let courier = world.start();
-    assert_eq!(courier.client().ask(&["PING"]), "+PONG");
-    assert!(!courier.threads().contains(&"group".to_owned()));
-    assert!(!world.state().join("group").exists());
+    assert_eq!(courier.client().request(&["PING"]), "+PONG");
+    assert!(!courier.thread_names().contains(&"group".to_owned()));
+    assert!(!world.state_folder().join("group").exists());
 }
 
 #[test]
 fn an_upgrade_keeps_the_incarnation_of_a_member_and_its_end_does_not_affect_the_others() {
     let group = Group::new();
-    let group_thread = |courier: &Courier| courier.threads().contains(&"group".to_owned());
+    let group_thread = |courier: &Courier| courier.thread_names().contains(&"group".to_owned());
     let mut couriers: Vec<_> = group.worlds.iter().map(|world| Some(world.start())).collect();
     for place in 0..3 {
         group.until(place, "it votes and knows who leads", |status| status.votes && status.leader.is_some());
@@ -46,7 +46,7 @@
     let begun = Instant::now();
     let mut ending = couriers[leader].take().unwrap();
     ending.terminate();
-    assert!(ending.wait(Duration::from_secs(10)).success());
+    assert!(ending.wait_for_exit(Duration::from_secs(10)).success());
     println!("it ended within {:?}", begun.elapsed());
     for place in (0..3).filter(|place| *place != leader) {
         group.until(place, "another one leads", |status| {
@@ -64,18 +64,18 @@
     let courier = group.worlds[0].start();
     let mut client = courier.client();
     assert_eq!(client.enqueue("a1", "0", "salary", 1, b"x"), "+OK");
-    group.worlds[0].call().answer("200 OK", "");
+    group.worlds[0].next_call().answer("200 OK", "");
     drop(occupied);
     group.until(0, "its member answers", |status| status.connected_members.is_empty() && !status.votes);
     // The earlier connection was closed as idle.
     assert_eq!(courier.client().enqueue("a2", "0", "salary", 1, b"x"), "+OK");
-    group.worlds[0].call().answer("200 OK", "");
+    group.worlds[0].next_call().answer("200 OK", "");
 }
 
 #[test]
 fn invalid_group_settings_are_an_error_at_a_start() {
     let group = Group::new();
     std::fs::write(&group.files[0], "name = \"m0\"\nleese_ms = 5\n").unwrap();
-    let text = group.worlds[0].start_fails();
+    let text = group.worlds[0].expect_failed_start();
     assert!(text.contains("the group:") && text.contains("leese_ms"), "{text}");
 }
--- a/crates/gullcart/tests/group_trials.rs
+++ b/crates/gullcart/tests/group_trials.rs
@@ -24,7 +24,7 @@
 fn answer_calls(world: &World, span: Duration, answer: &str) -> Vec<(String, Instant)> {
     let end = Instant::now() + span;
     let mut seen = Vec::new();
-    while let Some(call) = world.call_until(end) {
+    while let Some(call) = world.next_call_before(end) {
         seen.push((call.id.clone(), Instant::now()));
         call.answer(answer, "");
     }
@@ -167,7 +167,7 @@
 fn a_group_makes_fewer_trial_calls_than_couriers_alone() {
     let with = outage(&Group::with_one_partner(30), true);
     let mut alone = Group::with_one_partner(30);
-    alone.worlds.iter_mut().for_each(|world| world.variables.retain(|(name, _)| name != "GULLCART_GROUP"));
+    alone.worlds.iter_mut().for_each(|world| world.environment.retain(|(name, _)| name != "GULLCART_GROUP"));
     let without = outage(&alone, false);
     println!("three couriers, calls in 3 s and time until each has delivered: {with:?} in a group, {without:?} alone");
     assert!(2 * with.0 < 3 * without.0.max(1), "{with:?} {without:?}");
@@ -179,9 +179,9 @@
     let couriers: Vec<_> = group.worlds.iter().map(World::start).collect();
     let world = &group.worlds[0];
     std::thread::sleep(Duration::from_secs(2));
-    let before = couriers[0].ticks();
+    let before = couriers[0].cpu_ticks();
     std::thread::sleep(Duration::from_secs(10));
-    let ticks = couriers[0].ticks() - before;
+    let ticks = couriers[0].cpu_ticks() - before;
     let mut client = couriers[0].client();
     let mut took: Vec<u128> = Vec::new();
     for number in 0..2000 {
@@ -189,10 +189,10 @@
         let begun = Instant::now();
         assert_eq!(client.enqueue(&format!("a{number}"), &key, &class, 1, b"x"), "+OK");
         took.push(begun.elapsed().as_micros());
-        world.call().answer("200 OK", "");
+        world.next_call().answer("200 OK", "");
     }
     took.sort_unstable();
-    (ticks, couriers[0].memory(), took[1000], took[1980])
+    (ticks, couriers[0].resident_kib(), took[1000], took[1980])
 }
 
 /// Prints what belonging to a quiet group costs a courier. The environment variable `GROUP_COSTS` sets the number of runs.
@@ -203,7 +203,7 @@
         for is_in_group in [true, false] {
             let mut group = Group::with_one_partner(3);
             if !is_in_group {
-                let off = |world: &mut World| world.variables.retain(|(name, _)| name != "GULLCART_GROUP");
+                let off = |world: &mut World| world.environment.retain(|(name, _)| name != "GULLCART_GROUP");
                 group.worlds.iter_mut().for_each(off);
             }
             let (ticks, memory, p50, p99) = measure(&group);
--- a/crates/gullcart/tests/order.rs
+++ b/crates/gullcart/tests/order.rs
@@ -35,14 +35,14 @@
         let mut client = courier.client();
         assert_eq!(client.enqueue("k1", "9", "notice,k=k1", 1, b"1"), "+OK");
         assert_eq!(client.enqueue("k2", "9", "notice,k=k2", 1, b"2"), "+OK");
-        let incomplete = world.call();
+        let incomplete = world.next_call();
         assert_eq!(incomplete.id, "k1");
         let closed_at = when_closed(&incomplete);
-        incomplete.raw(answer.as_bytes());
-        let repeated = world.call();
+        incomplete.answer_raw(answer.as_bytes());
+        let repeated = world.next_call();
         assert_eq!(repeated.id, "k1", "after {answer}");
         repeated.answer("200 OK", "");
-        let next = world.call();
+        let next = world.next_call();
         let arrived_at = Instant::now();
         assert_eq!(next.id, "k2");
         let pause = closed_at.try_recv().map(|at| arrived_at.duration_since(at));
--- a/crates/gullcart/tests/sizes.rs
+++ b/crates/gullcart/tests/sizes.rs
@@ -19,7 +19,7 @@
     if courier.client().enqueue(&id, "0", "salary", LISTED_DESTINATION, b"x") != "+OK" {
         return false;
     }
-    let call = world.call();
+    let call = world.next_call();
     assert_eq!(call.id, id);
     call.answer("200 OK", "");
     true
@@ -39,26 +39,26 @@
 fn a_list_of_a_thousand_endpoints_and_a_change_of_all_of_them() {
     let world = World::new(PROGRAM, 1, 3.0);
     let (courier, mut ids) = (world.start(), 0);
-    world.tell_many(2, MANY, "SERVING");
+    world.advertise_many(2, MANY, "SERVING");
     until_served(&world, &courier, &mut ids);
-    world.tell_many(3, MANY, "DRAINING");
-    courier.log_until("rev=3");
+    world.advertise_many(3, MANY, "DRAINING");
+    courier.wait_for_log("rev=3");
     assert_eq!(courier.client().enqueue("waits", "0", "salary", LISTED_DESTINATION, b"x"), "+OK");
-    world.no_call();
+    world.expect_no_call();
     // The journal has the list.
     let courier = courier.kill_and_restart();
-    world.no_call();
-    world.tell_many(4, MANY, "SERVING");
-    let call = world.call();
+    world.expect_no_call();
+    world.advertise_many(4, MANY, "SERVING");
+    let call = world.next_call();
     assert_eq!(call.id, "waits");
     call.answer("200 OK", "");
     // The full list in one response.
     let agent = world.agent_with_many(9, MANY, "DRAINING");
     world.configure(&agent);
     courier.hang_up();
-    courier.log_until("rev=9");
+    courier.wait_for_log("rev=9");
     assert_eq!(courier.client().enqueue("waits-too", "0", "salary", LISTED_DESTINATION, b"x"), "+OK");
-    world.no_call();
+    world.expect_no_call();
 }
 
 /// A change, and then a full list, of more than 4 MiB are read: such lists were once refused.
@@ -67,15 +67,15 @@
     // The journal holds the list, at about 80 bytes for each endpoint, and needs as much again to rewrite it.
     let world = World::new(PROGRAM, 1, 64.0);
     let (courier, mut ids) = (world.start(), 0);
-    world.tell_many(2, VERY_MANY, "SERVING");
-    courier.log_until("rev=2");
+    world.advertise_many(2, VERY_MANY, "SERVING");
+    courier.wait_for_log("rev=2");
     until_served(&world, &courier, &mut ids);
     let agent = world.agent_with_many(9, VERY_MANY, "DRAINING");
     world.configure(&agent);
     courier.hang_up();
-    courier.log_until("rev=9");
+    courier.wait_for_log("rev=9");
     assert_eq!(courier.client().enqueue("waits", "0", "salary", LISTED_DESTINATION, b"x"), "+OK");
-    world.no_call();
+    world.expect_no_call();
 }
 
 /// The resources that a daemon needs grow with its task and stay small. Prints the figures.
@@ -86,10 +86,10 @@
         world.couriers = size as u32;
         world.sockets = 4096;
         let (courier, mut ids) = (world.start(), 0);
-        world.tell_many(2, size, "SERVING");
+        world.advertise_many(2, size, "SERVING");
         until_served(&world, &courier, &mut ids);
         let (memory, threads, descriptors) =
-            (courier.memory(), courier.threads().len(), courier.descriptors());
+            (courier.resident_kib(), courier.thread_names().len(), courier.descriptor_count());
         println!("{size} couriers and endpoints: {memory} KiB, {threads} threads, {descriptors} descriptors");
         assert!(memory < 32 << 10, "{size}: {memory} KiB");
         assert!(threads <= 2, "{size}: {threads} threads");
@@ -102,9 +102,9 @@
     let memory = |count: usize| {
         let world = World::new(PROGRAM, 1, 3.0);
         let (courier, mut ids) = (world.start(), 0);
-        world.tell_many(2, count, "SERVING");
+        world.advertise_many(2, count, "SERVING");
         until_served(&world, &courier, &mut ids);
-        let memory = courier.memory();
+        let memory = courier.resident_kib();
         println!("{count} endpoints: {memory} KiB");
         memory
     };
--- a/crates/gullcart/tests/stale_answers.rs
+++ b/crates/gullcart/tests/stale_answers.rs
@@ -33,16 +33,16 @@
 impl Repeater {
     /// Answers a call, with a copy of the previous response if there is one.
     fn serve(&mut self, call: Call, answer: &[u8], client: &mut Client) -> Served {
-        let Some(last) = self.last_responses.get(&call.connection()) else {
-            self.last_responses.insert(call.connection(), answer.to_vec());
-            call.raw(answer);
+        let Some(last) = self.last_responses.get(&call.courier_address()) else {
+            self.last_responses.insert(call.courier_address(), answer.to_vec());
+            call.answer_raw(answer);
             return Served::Delivered;
         };
         self.copies += 1;
         call.stream().write_all(last).unwrap();
         // The reply shows that the courier had a turn to process the copy.
-        assert_eq!(client.ask(&["PING"]), "+PONG");
-        call.raw(REJECTION);
+        assert_eq!(client.request(&["PING"]), "+PONG");
+        call.answer_raw(REJECTION);
         Served::Rejected
     }
 }
@@ -63,21 +63,21 @@
         assert_eq!(client.enqueue(&id, "0", "salary", 1, b"x"), "+OK");
         let answer = response_with(&body(number));
         loop {
-            match world.call_or_notice() {
-                Seen::Call(call) => {
+            match world.next_action() {
+                CourierAction::Call(call) => {
                     assert_eq!(call.id, id, "the previous message was neither delivered nor reported");
                     if let Served::Delivered = repeater.serve(call, &answer, &mut client) {
                         break;
                     }
                 }
-                Seen::Notice(line) => {
+                CourierAction::Notice(line) => {
                     assert_eq!(line, format!(r#"{{"id":"{id}","state":"failed"}}"#));
                     break;
                 }
             }
         }
     }
-    world.nothing();
+    world.expect_nothing();
     repeater.copies
 }
 
@@ -110,7 +110,7 @@
         for id in first..first + 3 {
             let answer = response_with(&format!("{id:016x}"));
             loop {
-                let call = world.call();
+                let call = world.next_call();
                 assert_eq!(call.id, format!("k{id}"), "sent out of order");
                 if let Served::Delivered = repeater.serve(call, &answer, &mut client) {
                     break;
@@ -118,7 +118,7 @@
             }
         }
     }
-    world.nothing();
+    world.expect_nothing();
     assert!(repeater.copies > 0, "no connection was reused, so the test shows nothing");
 }
 
@@ -162,13 +162,13 @@
 fn a_copy_acknowledges_no_later_notice() {
     let world = World::new(PROGRAM, 1, 3.0);
     let (accepted, accepts) = channel();
-    let agent = world.raw_agent(move |_, stream| accept_notices_once(stream, &accepted));
-    let courier = world.start_at(&agent);
+    let agent = world.agent_with_handler(move |_, stream| accept_notices_once(stream, &accepted));
+    let courier = world.start_with_agent(&agent);
     let mut client = courier.client();
     for number in 0..4 {
         let id = format!("n{number}");
         assert_eq!(client.enqueue(&id, "0", "salary", 1, b"x"), "+OK");
-        world.call().reset();
+        world.next_call().close();
         let lines = accepts.recv_timeout(Duration::from_secs(20));
         assert!(lines.is_ok_and(|lines| lines.contains(&id)), "{id} was not accepted");
     }
@@ -183,12 +183,12 @@
     for number in 0..MESSAGES {
         let id = format!("u{number}");
         assert_eq!(client.enqueue(&id, "0", "salary", 1, b"x"), "+OK");
-        let call = world.call();
-        let is_used = last.as_ref().is_some_and(|(connection, _)| *connection == call.connection());
-        let answer = call.whole_answer("200 OK", "");
-        last = Some((call.connection(), answer.clone()));
-        call.raw(&answer);
-        world.nothing();
+        let call = world.next_call();
+        let is_used = last.as_ref().is_some_and(|(connection, _)| *connection == call.courier_address());
+        let answer = call.response_bytes("200 OK", "");
+        last = Some((call.courier_address(), answer.clone()));
+        call.answer_raw(&answer);
+        world.expect_nothing();
         if is_used {
             return act(&world, &mut client, &answer);
         }
@@ -201,11 +201,11 @@
 fn a_delivery_behind_a_copy_counts() {
     with_used_connection(|world, client, last| {
         assert_eq!(client.enqueue("own", "0", "salary", 1, b"x"), "+OK");
-        let call = world.call();
+        let call = world.next_call();
         call.stream().write_all(last).unwrap();
-        assert_eq!(client.ask(&["PING"]), "+PONG");
+        assert_eq!(client.request(&["PING"]), "+PONG");
         call.answer("200 OK", "");
-        world.nothing();
+        world.expect_nothing();
     });
 }
 
@@ -216,13 +216,14 @@
     const WAIT: Duration = Duration::from_millis(1500);
     with_used_connection(|world, client, last| {
         assert_eq!(client.enqueue("w1", "0", "salary", 1, b"x"), "+OK");
-        let call = world.call();
-        let rejection = call.whole_answer("429 Later", &format!("X-Come-Back-Ms: {}\r\n", WAIT.as_millis()));
+        let call = world.next_call();
+        let rejection =
+            call.response_bytes("429 Later", &format!("X-Come-Back-Ms: {}\r\n", WAIT.as_millis()));
         let answered_at = Instant::now();
-        call.raw(&[last, &rejection].concat());
+        call.answer_raw(&[last, &rejection].concat());
         assert_eq!(client.enqueue("w2", "0", "salary", 1, b"x"), "+OK");
         for _ in 0..2 {
-            let call = world.call();
+            let call = world.next_call();
             assert!(
                 answered_at.elapsed() >= WAIT,
                 "{} was sent {:?} into the interval",
@@ -231,6 +232,6 @@
             );
             call.answer("200 OK", "");
         }
-        world.nothing();
+        world.expect_nothing();
     });
 }
--- a/crates/gullcart/tests/upgrade.rs
+++ b/crates/gullcart/tests/upgrade.rs
@@ -44,58 +44,58 @@
     let mut old = world.start();
     let mut client = old.client();
     assert_eq!(client.enqueue("a1", "0", "salary", 1, b"x"), "+OK");
-    let in_flight = world.call();
+    let in_flight = world.next_call();
     // Part of a response has arrived, and part of a request.
     in_flight.stream().write_all(b"HTTP/1.1 20").unwrap();
     let mut half = old.client();
     half.send(b"*1\r\n$4\r\nPI");
     let mut idle = old.client();
-    assert_eq!(idle.ask(&["PING"]), "+PONG");
+    assert_eq!(idle.request(&["PING"]), "+PONG");
 
     let new = upgrade(&world);
     assert_eq!(ask(&old, "STATUS\n").split(' ').next(), Some("NO"));
     assert_eq!((figure(&old, "attempts"), figure(&new, "attempts")), (1, 0));
     assert_eq!((figure(&old, "in_flight"), figure(&new, "in_flight")), (0, 1));
     half.send(b"NG\r\n");
-    assert_eq!(half.line(), "+PONG");
-    assert_eq!(idle.ask(&["PING"]), "+PONG");
+    assert_eq!(half.read_reply(), "+PONG");
+    assert_eq!(idle.request(&["PING"]), "+PONG");
     assert_eq!(client.enqueue("a2", "0", "salary", 1, b"y"), "+OK");
-    let second = world.call();
+    let second = world.next_call();
     assert_eq!((second.id.as_str(), figure(&new, "attempts")), ("a2", 1));
     second.answer("200 OK", "");
     assert!(!in_flight.is_closed());
-    in_flight.raw(b"0 OK\r\nContent-Length: 0\r\n\r\n");
+    in_flight.answer_raw(b"0 OK\r\nContent-Length: 0\r\n\r\n");
     old.terminate();
-    assert!(old.wait(Duration::from_secs(2)).success());
+    assert!(old.wait_for_exit(Duration::from_secs(2)).success());
     // The call that was in flight is delivered once, by the new process.
     while figure(&new, "in_flight") > 0 {}
     assert_eq!((figure(&new, "served.salary"), figure(&new, "failed.salary")), (2, 0));
-    assert_eq!(client.ask(&["PING"]), "+PONG");
-    world.nothing();
+    assert_eq!(client.request(&["PING"]), "+PONG");
+    world.expect_nothing();
 }
 
 /// Retry-after intervals and suspended endpoints are kept in the new process.
 #[test]
 fn retry_after_intervals_and_suspensions_are_handed_over() {
     let mut world = world(2);
-    world.apart = true;
+    world.separate_destinations = true;
     let mut old = world.start();
     let mut client = old.client();
     assert_eq!(client.enqueue("w1", "0", "salary", 1, b"x"), "+OK");
-    world.call().answer("429 Too Many", "X-Come-Back-Ms: 60000\r\n");
+    world.next_call().answer("429 Too Many", "X-Come-Back-Ms: 60000\r\n");
     assert_eq!(ask(&old, "SUSPEND s-1\n"), "YES\n");
-    old.log_until("told to wait");
+    old.wait_for_log("told to wait");
     let _new = upgrade(&world);
     old.terminate();
-    old.wait(Duration::from_secs(2));
+    old.wait_for_exit(Duration::from_secs(2));
     assert_eq!(client.enqueue("w2", "0", "salary", 1, b"x"), "+OK");
     assert_eq!(client.enqueue("w3", "0", "salary", 2, b"x"), "+OK");
-    world.no_call();
+    world.expect_no_call();
 }
 
 /// Connects to the hand-over socket of a running courier.
 fn connect_for_handover(world: &World) -> std::io::Result<UnixStream> {
-    let folder = std::fs::metadata(world.state()).unwrap();
+    let folder = std::fs::metadata(world.state_folder()).unwrap();
     let name = format!("gullcart-move-{}-{}", folder.dev(), folder.ino());
     let address = std::os::unix::net::SocketAddr::from_abstract_name(name).unwrap();
     let stream = UnixStream::connect_addr(&address)?;
@@ -132,7 +132,7 @@
     let old = world.start();
     let mut client = old.client();
     assert_eq!(client.enqueue("a1", "0", "salary", 1, b"x"), "+OK");
-    let in_flight = world.call();
+    let in_flight = world.next_call();
     for (accepts, says) in
         [(false, "the courier stays in this process"), (true, "the new process does not serve")]
     {
@@ -145,8 +145,8 @@
             assert_eq!(&word, b"y");
         }
         drop(new);
-        old.log_until(says);
-        assert_eq!(client.ask(&["PING"]), "+PONG");
+        old.wait_for_log(says);
+        assert_eq!(client.request(&["PING"]), "+PONG");
         assert_eq!(ask(&old, "STATUS\n"), "YES\n");
         assert_eq!(figure(&old, "in_flight"), 1);
     }
@@ -157,7 +157,7 @@
     // A later hand-over succeeds.
     let _new = upgrade(&world);
     assert_eq!(client.enqueue("a2", "0", "salary", 1, b"x"), "+OK");
-    world.call().answer("200 OK", "");
+    world.next_call().answer("200 OK", "");
 }
 
 /// A second new process connects while a first one delays the hand-over and then dies: it is not refused, and gets the courier.
@@ -167,7 +167,7 @@
     let mut old = world.start();
     let mut client = old.client();
     assert_eq!(client.enqueue("a1", "0", "salary", 1, b"x"), "+OK");
-    let in_flight = world.call();
+    let in_flight = world.next_call();
     for accepts in [false, true] {
         let mut first = request_handover(&world);
         read_state(&mut first);
@@ -181,19 +181,19 @@
         drop(first);
         read_state(&mut second);
         drop(second);
-        old.log_times("the courier stays in this process", if accepts { 3 } else { 2 });
+        old.wait_for_nth_log("the courier stays in this process", if accepts { 3 } else { 2 });
     }
-    assert_eq!(client.ask(&["PING"]), "+PONG");
+    assert_eq!(client.request(&["PING"]), "+PONG");
     // The same with a real process: the old one waits for the first one for up to a second.
     let mut first = request_handover(&world);
     read_state(&mut first);
     let new = upgrade(&world);
     old.terminate();
-    assert!(old.wait(Duration::from_secs(3)).success());
+    assert!(old.wait_for_exit(Duration::from_secs(3)).success());
     in_flight.answer("200 OK", "");
     while figure(&new, "in_flight") > 0 {}
     assert_eq!(figure(&new, "served.salary"), 1);
-    assert_eq!(client.ask(&["PING"]), "+PONG");
+    assert_eq!(client.request(&["PING"]), "+PONG");
 }
 
 /// A process that connects and sends nothing, or the wrong word, has no effect.
@@ -207,7 +207,7 @@
     let mut other = connect_for_handover(&world).unwrap();
     other.write_all(b"x").unwrap();
     assert_eq!(other.read(&mut [0]).unwrap_or(0), 0);
-    assert_eq!(client.ask(&["PING"]), "+PONG");
+    assert_eq!(client.request(&["PING"]), "+PONG");
     assert_eq!(ask(&old, "STATUS\n"), "YES\n");
 }
 
@@ -217,14 +217,14 @@
     let world = world(1);
     let mut old = world.start();
     assert_eq!(old.client().enqueue("a1", "0", "salary", 1, b"x"), "+OK");
-    let in_flight = world.call();
+    let in_flight = world.next_call();
     old.terminate();
-    old.log_until("told to end");
+    old.wait_for_log("told to end");
     let new = world.start();
     assert_eq!(ask(&new, "STATUS\n"), "YES\n");
-    assert!(old.wait(Duration::from_secs(5)).success());
+    assert!(old.wait_for_exit(Duration::from_secs(5)).success());
     // It had a call in flight, which may have run.
-    assert_eq!(world.notice(), r#"{"id":"a1","state":"failed"}"#);
+    assert_eq!(world.next_notice(), r#"{"id":"a1","state":"failed"}"#);
     drop(in_flight);
 }
 
@@ -235,15 +235,15 @@
     let mut old = world.start();
     let mut client = old.client();
     assert_eq!(client.enqueue("a1", "0", "salary", 1, b"x"), "+OK");
-    let in_flight = world.call();
+    let in_flight = world.next_call();
     let stream = in_flight.stream();
     for piece in ["HTTP/1.1 ", "200 OK\r\n", "Content-", "Length: 2"] {
         (&stream).write_all(piece.as_bytes()).unwrap();
         let new = upgrade(&world);
         old.terminate();
-        old.wait(Duration::from_secs(2));
+        old.wait_for_exit(Duration::from_secs(2));
         old = new;
-        assert_eq!(client.ask(&["PING"]), "+PONG");
+        assert_eq!(client.request(&["PING"]), "+PONG");
     }
     (&stream).write_all(b"\r\n\r\nok").unwrap();
     while figure(&old, "in_flight") > 0 {}
--- a/crates/gullcartctl/src/emulate.rs
+++ b/crates/gullcartctl/src/emulate.rs
@@ -2,7 +2,7 @@
 
 use crate::rehearse::{parse_until, read_scenario, write_file};
 use clap::Args;
-use gullcart_emulator::{emulate as run_emulation, Emulated, Options};
+use gullcart_emulator::{emulate as run_emulation, EmulatedRun, EmulationOptions};
 use gullcart_rehearsal::{page, Scenario, Until, Verdict, MOST_COURIERS};
 use indicatif::{ProgressBar, ProgressStyle};
 use std::collections::BTreeMap;
@@ -71,7 +71,7 @@
         return run_seeds(arguments, &scenario, until);
     }
     let started = Instant::now();
-    let options = Options { seed: arguments.seed, until, broken: None };
+    let options = EmulationOptions { seed: arguments.seed, until, injected_fault: None };
     let run = run_emulation(&scenario, options, |_| {}).map_err(|error| error.to_string())?;
     let took_s = started.elapsed().as_secs_f64();
     println!("{}", run.report);
@@ -79,9 +79,9 @@
     println!(
         "{:.0} times as fast as real time; trace {:08x} of {} lines, {} steps",
         run.report.took / took_s.max(1e-6),
-        run.trace,
-        run.entries,
-        run.steps
+        run.trace_checksum,
+        run.trace_lines,
+        run.scheduled_events
     );
     if let Some(path) = &arguments.json {
         write_file(path, &serde_json::to_string_pretty(&run.report).map_err(|error| error.to_string())?)?;
@@ -118,7 +118,7 @@
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     let next_seed = AtomicU64::new(arguments.seed);
     let end = arguments.seed + arguments.seeds;
-    let runs: Mutex<BTreeMap<u64, Emulated>> = Mutex::default();
+    let runs: Mutex<BTreeMap<u64, EmulatedRun>> = Mutex::default();
     let started = Instant::now();
     let run_remaining = || -> Result<(), String> {
         loop {
@@ -126,7 +126,7 @@
             if seed >= end {
                 return Ok(());
             }
-            let options = Options { seed, until, broken: None };
+            let options = EmulationOptions { seed, until, injected_fault: None };
             let mut run =
                 run_emulation(scenario, options, |_| {}).map_err(|error| format!("seed {seed}: {error}"))?;
             // The samples are only for plots, which are made for a single seed.
@@ -151,7 +151,7 @@
 }
 
 /// Prints the results of several runs together. Returns whether all rules were kept in all of them.
-fn print_summary(scenario: &Scenario, runs: &BTreeMap<u64, Emulated>, took_s: f64) -> bool {
+fn print_summary(scenario: &Scenario, runs: &BTreeMap<u64, EmulatedRun>, took_s: f64) -> bool {
     let mut service: Vec<f64> = runs.values().map(|run| run.report.service.combined).collect();
     service.sort_by(f64::total_cmp);
     let kept = runs.values().filter(|run| run.report.verdict == Verdict::Kept).count();
--- a/crates/gullcartctl/src/main.rs
+++ b/crates/gullcartctl/src/main.rs
@@ -62,7 +62,7 @@
         Command::CourierGuard { program, arguments } => Err(format!(
             "cannot run {}: {}",
             program.display(),
-            gullcart_standins::process::guard(&program, &arguments)
+            gullcart_standins::process::exec_tied_to_parent(&program, &arguments)
         )),
     };
     result.unwrap_or_else(|error| {
--- a/crates/gullcartctl/src/rehearse.rs
+++ b/crates/gullcartctl/src/rehearse.rs
@@ -3,7 +3,7 @@
 use clap::Args;
 use gullcart_judge::Rule;
 use gullcart_rehearsal::{page, run, shipped, Options, Progress, Report, Scenario, Until, Verdict, SHIPPED};
-use gullcart_standins::process::Launch;
+use gullcart_standins::process::LaunchOptions;
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -131,7 +131,7 @@
 
 /// How couriers are started: with these environment variables, by a guard that kills them when this process ends for any
 /// reason.
-pub fn launch(program: Option<&Path>, variables: &[(String, String)]) -> Result<Launch, String> {
+pub fn launch(program: Option<&Path>, variables: &[(String, String)]) -> Result<LaunchOptions, String> {
     let program = match program {
         Some(program) => program.to_owned(),
         None => crate::sibling_program("gullcart")?,
@@ -145,7 +145,7 @@
     let own = std::env::current_exe()
         .map_err(|error| format!("cannot determine the path of this program: {error}"))?;
     let guard = vec![own.into_os_string(), "courier-guard".into()];
-    Ok(Launch { program, guard, variables: variables.to_vec() })
+    Ok(LaunchOptions { program, wrapper: guard, environment: variables.to_vec() })
 }
 
 /// Runs a scenario. Ctrl-C and SIGTERM end it and all processes that it started.
--- a/crates/gullcartctl/src/scale.rs
+++ b/crates/gullcartctl/src/scale.rs
@@ -188,7 +188,7 @@
 /// How daemons are started: by a guard that kills them when this process ends for any reason.
 fn launch(daemon: Option<&Path>) -> Result<Launch, String> {
     let launch = crate::rehearse::launch(daemon, &[])?;
-    Ok(Launch { program: launch.program, guard: launch.guard })
+    Ok(Launch { program: launch.program, guard: launch.wrapper })
 }
 
 /// The commit of the git repository that a daemon lies in, marked as changed if its sources differ from the commit.
