--- a/crates/gullcart-emulator/src/clients.rs
+++ b/crates/gullcart-emulator/src/clients.rs
@@ -132,7 +132,7 @@
     pub(crate) fn end_request(&mut self, request: RequestId, outcome: EnqueueOutcome) {
         let Some(pending) = self.pending_requests.remove(&request) else { return };
         let PendingRequest { origin, courier, is_retry, .. } = pending;
-        self.record(Event::EnqueueAnswered { message: request, outcome: outcome });
+        self.record(Event::EnqueueAnswered { message: request, outcome });
         match outcome {
             EnqueueOutcome::Accepted | EnqueueOutcome::Error => self.complete_submission(origin),
             EnqueueOutcome::Busy(retry_after_ms) => {
--- a/crates/gullcart-emulator/src/processes.rs
+++ b/crates/gullcart-emulator/src/processes.rs
@@ -199,7 +199,7 @@
             NoticeVerdict::Failed => Verdict::Failed,
             NoticeVerdict::Returned { after_ms } => Verdict::Returned(Some(after_ms)),
         };
-        self.record(Event::Notice { message: request, courier: CourierId(courier as u16), verdict: verdict });
+        self.record(Event::Notice { message: request, courier: CourierId(courier as u16), verdict });
         if let Some(request) = request {
             self.record(Event::NoticeAnswered { message: request });
         }
