--- a/crates/gullcart/src/discovery.rs
+++ b/crates/gullcart/src/discovery.rs
@@ -42,7 +42,7 @@
     Http(#[from] hyper::Error),
     #[error("{0}")]
     Request(#[from] hyper::http::Error),
-    #[error("no answer in time")]
+    #[error("silent")]
     Silent(#[from] tokio::time::error::Elapsed),
     #[error("no complete line arrived in time")]
     UnfinishedLine,
@@ -104,7 +104,7 @@
                 continue;
             }
         };
-        let reason = result.err().map_or_else(|| "the response ended".to_owned(), |error| error.to_string());
+        let reason = result.err().map_or_else(|| "ended".to_owned(), |error| error.to_string());
         if !is_broken {
             warn!(reason, rev, "the watch on the list broke; opening it again");
             is_broken = true;
