--- a/crates/gullcart-engine/src/engine.rs
+++ b/crates/gullcart-engine/src/engine.rs
@@ -436,7 +436,7 @@
             destination: DestinationId(taken.destination),
             key: (taken.order_key != 0).then_some(OrderKey(taken.order_key)),
             deadline: self.clock.from_unix_ms(taken.deadline_ms),
-            from_dead_courier: taken.from_failed_courier,
+            from_dead_courier: taken.from_dead_courier,
             tenant: TenantId(0),
         })
     }
@@ -552,7 +552,7 @@
             destination: enqueue.destination,
             idempotency_key: enqueue.idempotency_key,
             deadline_ms: self.clock.to_unix_ms(now + enqueue.time_left.min(max_time_left)),
-            from_failed_courier: enqueue.from_dead_courier,
+            from_dead_courier: enqueue.from_dead_courier,
             body: enqueue.body,
         };
         let id = taken.id.clone();
--- a/crates/gullcart-engine/src/message_trace.rs
+++ b/crates/gullcart-engine/src/message_trace.rs
@@ -17,7 +17,7 @@
         id,
         class,
         destination,
-        from_failed_courier: again,
+        from_dead_courier: again,
         idempotency_key: key,
         order_key: order,
         ..
--- a/crates/gullcart-journal/benches/backends.rs
+++ b/crates/gullcart-journal/benches/backends.rs
@@ -42,7 +42,7 @@
         destination: 3,
         idempotency_key: Some(format!("{number:016x}")),
         deadline_ms: 1_790_000_000_000 + number,
-        from_failed_courier: false,
+        from_dead_courier: false,
         body: Bytes::from(vec![number as u8; BODY_BYTES]),
     }
 }
--- a/crates/gullcart-journal/src/state/tests.rs
+++ b/crates/gullcart-journal/src/state/tests.rs
@@ -14,7 +14,7 @@
         destination: 1,
         idempotency_key: None,
         deadline_ms: 100,
-        from_failed_courier: false,
+        from_dead_courier: false,
         body: Bytes::new(),
     };
     let mut pending = PendingMessage::new(message);
@@ -38,7 +38,7 @@
         pub destination: u16,
         pub idempotency_key: Option<String>,
         pub deadline_ms: u64,
-        pub from_failed_courier: bool,
+        pub from_dead_courier: bool,
         pub body: Bytes,
     }
 
@@ -101,7 +101,7 @@
             destination: number,
             idempotency_key: Some("k".to_owned()),
             deadline_ms: 100,
-            from_failed_courier: true,
+            from_dead_courier: true,
             body: Bytes::from_static(b"body"),
         };
         let Record::Accepted(9, message) = wide(&narrow::Record::Accepted(9, message)) else {
--- a/crates/gullcart-journal/tests/common/mod.rs
+++ b/crates/gullcart-journal/tests/common/mod.rs
@@ -75,7 +75,7 @@
         destination: (number % 12) as u32,
         idempotency_key: number.is_multiple_of(3).then(|| format!("{number:08x}")),
         deadline_ms: 1_790_000_000_000 + number,
-        from_failed_courier: false,
+        from_dead_courier: false,
         body,
     }
 }
--- a/crates/gullcart-message/src/lib.rs
+++ b/crates/gullcart-message/src/lib.rs
@@ -21,7 +21,7 @@
     /// When the message expires: wall-clock time in Unix milliseconds.
     pub deadline_ms: u64,
     /// The client enqueued it again after the courier that held it failed, so an attempt may have run there.
-    pub from_failed_courier: bool,
+    pub from_dead_courier: bool,
     /// The payload that is sent to an endpoint.
     pub body: Bytes,
 }
