--- a/crates/gullcart-engine/src/engine.rs
+++ b/crates/gullcart-engine/src/engine.rs
@@ -493,7 +493,7 @@
             Input::Terminate if self.shutdown.is_some() => {}
             Input::Terminate => {
                 let (held, out) = self.load();
-                info!(held, out, "told to end");
+                info!(held, out, "shutdown requested");
                 let latest_exit = now + MAX_SHUTDOWN;
                 self.shutdown = Some(Shutdown { earliest_exit: now + MIN_SHUTDOWN, latest_exit });
                 self.decision_logic.handle(now, Event::ShutdownAt(latest_exit));
@@ -692,7 +692,7 @@
         if let Outcome::Rejected(Some(wait)) = result.outcome {
             let destination = self.directory.destination(endpoint);
             if let Some(more) = self.retry_after_log.due(now) {
-                info!(?destination, ?wait, more, "told to wait");
+                info!(?destination, ?wait, more, "retry-after received");
             }
             self.withdraw_unsent_calls(|other, directory| directory.destination(other) == destination);
         }
--- a/crates/gullcart/tests/upgrade.rs
+++ b/crates/gullcart/tests/upgrade.rs
@@ -84,7 +84,7 @@
     assert_eq!(client.enqueue("w1", "0", "salary", 1, b"x"), "+OK");
     world.call().answer("429 Too Many", "X-Come-Back-Ms: 60000\r\n");
     assert_eq!(ask(&old, "SUSPEND s-1\n"), "YES\n");
-    old.log_until("told to wait");
+    old.log_until("retry-after received");
     let _new = upgrade(&world);
     old.terminate();
     old.wait(Duration::from_secs(2));
@@ -211,7 +211,7 @@
     assert_eq!(ask(&old, "STATUS\n"), "YES\n");
 }
 
-/// A process that was told to end hands nothing over; the new one waits for its end.
+/// A process that is shutting down hands nothing over; the new one waits for its end.
 #[test]
 fn a_process_that_ends_is_waited_for() {
     let world = world(1);
@@ -219,7 +219,7 @@
     assert_eq!(old.client().enqueue("a1", "0", "salary", 1, b"x"), "+OK");
     let in_flight = world.call();
     old.terminate();
-    old.log_until("told to end");
+    old.log_until("shutdown requested");
     let new = world.start();
     assert_eq!(ask(&new, "STATUS\n"), "YES\n");
     assert!(old.wait(Duration::from_secs(5)).success());
