--- a/crates/gullcart-console/src/answer.rs
+++ b/crates/gullcart-console/src/answer.rs
@@ -31,16 +31,12 @@
     let mut line = |name: &str, value: u64, kind: &str| {
         let _ = writeln!(text, "{METRIC_PREFIX}.{name}:{value}|{kind}");
     };
-    for (
-        class,
-        ClassCounts { served, rejected: turned_away, returned: handed_back, failed, invalid: unfit },
-    ) in &metrics.classes
-    {
+    for (class, ClassCounts { served, rejected, returned, failed, invalid }) in &metrics.classes {
         line(&format!("served.{class}"), *served, "c");
-        line(&format!("refused.{class}"), turned_away + handed_back, "c");
+        line(&format!("refused.{class}"), rejected + returned, "c");
         // Refused are messages that were rejected at once and messages that were accepted and later returned unsent.
-        // `unfit` messages got an error reply at once. For the client they have failed like those with a failure notice.
-        line(&format!("failed.{class}"), failed + unfit, "c");
+        // Invalid messages got an error reply at once. For the client they have failed like those with a failure notice.
+        line(&format!("failed.{class}"), failed + invalid, "c");
     }
     line("attempts", metrics.calls_written, "c");
     line("in_flight", metrics.messages_pending as u64, "g");
--- a/crates/gullcart-engine/src/destination_metrics.rs
+++ b/crates/gullcart-engine/src/destination_metrics.rs
@@ -6,7 +6,7 @@
 
 /// Log target of these lines. `GULLCART_LOG=gullcart::tally=debug` enables them.
 pub const DESTINATION_METRICS_TARGET: &str = "gullcart::tally";
-/// Maximum destinations logged per second. The rest is summed up in the field `beyond` of one more line.
+/// Maximum number of destinations logged per second. The number of omitted ones is logged in the field `beyond` of one more line.
 const MAX_DESTINATIONS: usize = 1024;
 
 /// Counters of one destination since the last log line.
@@ -27,9 +27,9 @@
     /// Calls whose connection could not be opened.
     unconnected: u32,
     /// Sum of the remaining fractions of the rate limit, from 0 to 1, that answers reported.
-    left_sum: f64,
-    /// Number of the reports in `left_sum`.
-    left_count: u32,
+    remaining_share_sum: f64,
+    /// Number of the reports in `remaining_share_sum`.
+    remaining_share_count: u32,
 }
 
 /// Counters of all destinations since the last log lines, for at most [`MAX_DESTINATIONS`] destinations.
@@ -68,8 +68,8 @@
     ) {
         let Some(counters) = self.counters_mut(destination) else { return };
         if let Some(allowance) = allowance.filter(|allowance| allowance.limit > 0.0) {
-            counters.left_sum += allowance.remaining_share;
-            counters.left_count += 1;
+            counters.remaining_share_sum += allowance.remaining_share;
+            counters.remaining_share_count += 1;
         }
         match outcome {
             Outcome::Ok => counters.ok += 1,
@@ -85,25 +85,25 @@
     }
 
     /// Logs and resets the counters, together with the destinations for which messages wait or calls are in flight.
-    pub fn log(&mut self, standings: impl Iterator<Item = DestinationStatus>) {
+    pub fn log(&mut self, statuses: impl Iterator<Item = DestinationStatus>) {
         if !enabled!(target: DESTINATION_METRICS_TARGET, Level::DEBUG) {
             return;
         }
         let mut counters = std::mem::take(&mut self.counters);
         let mut logged = 0;
-        for standing in standings {
+        for status in statuses {
             // Destinations with counters take precedence: a line is reserved for each of them.
-            let Some(destination_counters) = counters.remove(&standing.destination) else {
+            let Some(destination_counters) = counters.remove(&status.destination) else {
                 if logged + counters.len() >= MAX_DESTINATIONS {
                     self.beyond += 1;
                 } else {
                     logged += 1;
-                    log_destination(standing.destination, &Counters::default(), Some(standing));
+                    log_destination(status.destination, &Counters::default(), Some(status));
                 }
                 continue;
             };
             logged += 1;
-            log_destination(standing.destination, &destination_counters, Some(standing));
+            log_destination(status.destination, &destination_counters, Some(status));
         }
         for (destination, destination_counters) in counters {
             log_destination(destination, &destination_counters, None);
@@ -118,14 +118,16 @@
     }
 }
 
-fn log_destination(destination: DestinationId, counters: &Counters, standing: Option<DestinationStatus>) {
+fn log_destination(destination: DestinationId, counters: &Counters, status: Option<DestinationStatus>) {
     let Counters { accepted, ok, rejected, with_retry_after, lost, error, unconnected, .. } = counters;
-    let left = (counters.left_count > 0).then(|| counters.left_sum / f64::from(counters.left_count));
-    let (waiting, out) = standing.map_or((0, 0), |s| (s.waiting, s.calls_in_flight));
-    let hold = standing.filter(|s| s.waiting > 0).map(|s| s.wait_reason);
-    let (pace, limit) = standing.map_or((0.0, 0.0), |s| (s.rate, s.limit));
+    let remaining_share = (counters.remaining_share_count > 0)
+        .then(|| counters.remaining_share_sum / f64::from(counters.remaining_share_count));
+    let (waiting, calls_in_flight) = status.map_or((0, 0), |status| (status.waiting, status.calls_in_flight));
+    let wait_reason = status.filter(|status| status.waiting > 0).map(|status| status.wait_reason);
+    let (rate, limit) = status.map_or((0.0, 0.0), |status| (status.rate, status.limit));
     debug!(
         target: DESTINATION_METRICS_TARGET, destination = destination.0, taken = accepted, ok, full = rejected,
-        told = with_retry_after, lost, error, unconnected, waiting, out, ?hold, pace, limit, left, "tally"
+        told = with_retry_after, lost, error, unconnected, waiting, out = calls_in_flight, hold = ?wait_reason, pace = rate, limit,
+        left = remaining_share, "tally"
     );
 }
--- a/crates/gullcart-engine/src/engine.rs
+++ b/crates/gullcart-engine/src/engine.rs
@@ -137,10 +137,10 @@
         let mut engine = Engine::without_messages(config, journal);
         let snapshot = engine_snapshot::read(snapshot, engine.settings_checksum);
         let matches_journal = |snapshot: &EngineSnapshot| {
-            let held = &engine.journal.state().pending;
-            held.iter().all(|(number, held)| {
-                held.verdict.is_some() || snapshot.decision_logic.holds(MessageId(*number))
-            }) && snapshot.in_flight.keys().all(|message| held.contains_key(&message.0))
+            let all_pending = &engine.journal.state().pending;
+            all_pending.iter().all(|(number, pending)| {
+                pending.verdict.is_some() || snapshot.decision_logic.holds(MessageId(*number))
+            }) && snapshot.in_flight.keys().all(|message| all_pending.contains_key(&message.0))
         };
         let result = match snapshot {
             Ok(snapshot) if matches_journal(&snapshot) => {
@@ -161,19 +161,24 @@
         self.directory = directory.resumed();
         self.in_flight = in_flight;
         self.wake_up = wake_up;
-        for (number, held) in &self.journal.state().pending {
+        for (number, pending) in &self.journal.state().pending {
             let is_shared = shared_messages.contains(&MessageId(*number));
-            self.held_by_id.insert(held.message.id.clone(), HeldMessage { number: *number, is_shared });
-            self.counts.recovered += u64::from(held.verdict.is_none());
+            self.held_by_id.insert(pending.message.id.clone(), HeldMessage { number: *number, is_shared });
+            self.counts.recovered += u64::from(pending.verdict.is_none());
             // The platform may not have acknowledged the notice yet. Receiving it twice is harmless.
-            if let Some(verdict) = held.verdict {
-                let (message, id) = (MessageId(*number), held.message.id.clone());
+            if let Some(verdict) = pending.verdict {
+                let (message, id) = (MessageId(*number), pending.message.id.clone());
                 self.effects.push(Effect::SendNotice(Notice { message, id, verdict }));
             }
         }
         self.suspend_listed(now);
-        let (held, out) = self.load();
-        info!(held, out, rev = self.list_revision(), "resumed from the snapshot of another process");
+        let (pending_count, in_flight_count) = self.load();
+        info!(
+            held = pending_count,
+            out = in_flight_count,
+            rev = self.list_revision(),
+            "resumed from the snapshot of another process"
+        );
     }
 
     /// Stops the engine between two turns. Commits the journal and returns the remaining effects, among which no call is
@@ -207,9 +212,9 @@
     /// which the caller got from the previous process.
     pub fn in_flight_call(&self, message: MessageId, try_for: Duration) -> Option<Call> {
         let in_flight = self.in_flight.get(&message)?;
-        let held = self.journal.state().pending.get(&message.0)?;
+        let pending = self.journal.state().pending.get(&message.0)?;
         let address = self.directory.address(in_flight.endpoint)?;
-        let AcceptedMessage { id, idempotency_key, body, .. } = held.message.clone();
+        let AcceptedMessage { id, idempotency_key, body, .. } = pending.message.clone();
         Some(Call {
             message,
             endpoint: in_flight.endpoint,
@@ -220,7 +225,7 @@
             try_for,
             // All bytes of the call have been sent.
             send_by: None,
-            may_have_run: held.may_have_run.is_some(),
+            may_have_run: pending.may_have_run.is_some(),
         })
     }
 
@@ -335,8 +340,8 @@
     /// Whether the process may exit now.
     pub fn may_exit(&self, now: Time) -> bool {
         let Some(Shutdown { earliest_exit, latest_exit }) = self.shutdown else { return false };
-        let (held, out) = self.load();
-        now >= latest_exit || (now >= earliest_exit && held == 0 && out == 0)
+        let is_idle = self.load() == (0, 0);
+        now >= latest_exit || (now >= earliest_exit && is_idle)
     }
 
     /// Starts no more calls, as this process is about to exit. It may still accept messages, which the next process finds in the
@@ -350,93 +355,98 @@
         let written =
             self.journal.add_destinations(initial_list.targets.iter().map(|target| target.pod_group));
         self.log_journal_error(now, written);
-        let image = self.journal.state();
+        let state = self.journal.state();
         // The list in the journal binds unless it is older: discovery counts it as known to this courier.
-        if image.listing_rev == 0 || image.listing_rev < initial_list.rev {
+        if state.listing_rev == 0 || state.listing_rev < initial_list.rev {
             let update = ListingUpdate { all: true, ..initial_list };
             let listing = self.directory.apply(&update);
             self.decision_logic.handle(now, Event::Listed(listing));
             let written = self.journal.update_listing(&update);
             self.log_journal_error(now, written);
         } else {
-            let targets = image.targets.values().cloned().collect();
-            let listing = self.directory.apply(&ListingUpdate { rev: image.listing_rev, all: true, targets });
+            let targets = state.targets.values().cloned().collect();
+            let listing = self.directory.apply(&ListingUpdate { rev: state.listing_rev, all: true, targets });
             self.decision_logic.handle(now, Event::Listed(listing));
         }
         self.suspend_listed(now);
-        let notes: Vec<PersistedOutage> = self.journal.state().outages().cloned().collect();
-        for note in notes {
-            let endpoint = note.uid.as_ref().and_then(|uid| self.directory.endpoint_id(uid));
-            if note.uid.is_some() && endpoint.is_none() {
+        let persisted_outages: Vec<PersistedOutage> = self.journal.state().outages().cloned().collect();
+        for persisted in persisted_outages {
+            let endpoint = persisted.uid.as_ref().and_then(|uid| self.directory.endpoint_id(uid));
+            if persisted.uid.is_some() && endpoint.is_none() {
                 continue;
             }
             let outage = OutageRecord {
-                destination: DestinationId(note.destination),
+                destination: DestinationId(persisted.destination),
                 endpoint,
-                since: self.clock.from_unix_ms(note.since_ms),
-                evidence: note.failure_weight,
-                calls_lost: note.calls_were_lost,
-                slow_start_since: note.slow_start_since_ms.map(|ms| self.clock.from_unix_ms(ms)),
-                served_rate: note.served_per_second,
+                since: self.clock.from_unix_ms(persisted.since_ms),
+                evidence: persisted.failure_weight,
+                calls_lost: persisted.calls_were_lost,
+                slow_start_since: persisted.slow_start_since_ms.map(|ms| self.clock.from_unix_ms(ms)),
+                served_rate: persisted.served_per_second,
             };
             self.decision_logic.handle(now, Event::OutageRestored(outage));
         }
-        let held: Vec<(u32, PendingMessage)> =
-            self.journal.state().pending.iter().map(|(n, h)| (*n, h.clone())).collect();
+        let pending: Vec<(u32, PendingMessage)> =
+            self.journal.state().pending.iter().map(|(number, message)| (*number, message.clone())).collect();
         #[cfg(feature = "broken")]
-        let held: Vec<(u32, PendingMessage)> = match () {
+        let pending: Vec<(u32, PendingMessage)> = match () {
             () if self.fault_injector.is_active(Fault::ForgetsAtRestart) => Vec::new(),
-            () if self.fault_injector.is_active(Fault::ReordersAtRestart) => held.into_iter().rev().collect(),
-            () => held,
+            () if self.fault_injector.is_active(Fault::ReordersAtRestart) => {
+                pending.into_iter().rev().collect()
+            }
+            () => pending,
         };
-        for (number, held) in &held {
-            self.counts.recovered += u64::from(held.verdict.is_none());
-            self.restore_message(now, *number, held);
+        for (number, message) in &pending {
+            self.counts.recovered += u64::from(message.verdict.is_none());
+            self.restore_message(now, *number, message);
         }
-        info!(held = held.len(), rev = self.list_revision(), "the journal was replayed");
+        info!(held = pending.len(), rev = self.list_revision(), "the journal was replayed");
     }
 
-    fn restore_message(&mut self, now: Time, number: u32, held: &PendingMessage) {
-        self.held_by_id.insert(held.message.id.clone(), HeldMessage { number, is_shared: false });
+    fn restore_message(&mut self, now: Time, number: u32, pending: &PendingMessage) {
+        self.held_by_id.insert(pending.message.id.clone(), HeldMessage { number, is_shared: false });
         let message = MessageId(number);
-        let Some(taken) = self.to_accepted(number, &held.message) else {
+        let Some(accepted) = self.to_accepted(number, &pending.message) else {
             warn!(
-                class = held.message.class,
+                class = pending.message.class,
                 "the class of a held message is not in the settings; the message fails"
             );
             self.end_undelivered(now, message, Verdict::Failed);
             return;
         };
         // An attempt without a recorded outcome counts as one that may have run, even if its process died before the first byte.
-        if held.in_flight.is_some() {
+        if pending.in_flight.is_some() {
             let written = self.journal.finish_attempt(number, true);
             self.log_journal_error(now, written);
         }
-        message_trace::recovered(number, held);
-        let maybe_ran = held.may_have_run.or(held.in_flight).map(|(ms, zone)| {
+        message_trace::recovered(number, pending);
+        let may_have_run = pending.may_have_run.or(pending.in_flight).map(|(ms, zone)| {
             // A moment in the future means that the wall clock was set back, and that the age of the attempt is unknown.
             let sent = Some(self.clock.from_unix_ms(ms)).filter(|sent| *sent <= now).unwrap_or(Time::ZERO);
             (sent, self.directory.configured_zone(zone))
         });
-        let answered = held.verdict.is_some();
-        let restored =
-            Restored { accepted: taken, attempts: held.attempts, may_have_run: maybe_ran, answered };
+        let answered = pending.verdict.is_some();
+        let restored = Restored { accepted, attempts: pending.attempts, may_have_run, answered };
         self.decision_logic.handle(now, Event::Restored(restored));
-        if let Some(verdict) = held.verdict {
-            self.effects.push(Effect::SendNotice(Notice { message, id: held.message.id.clone(), verdict }));
+        if let Some(verdict) = pending.verdict {
+            self.effects.push(Effect::SendNotice(Notice {
+                message,
+                id: pending.message.id.clone(),
+                verdict,
+            }));
         }
     }
 
     /// A message in the form of the decision logic; `None` if its class is not in the settings.
-    fn to_accepted(&self, number: u32, taken: &AcceptedMessage) -> Option<Accepted> {
-        let class = self.class_id(&taken.class)?;
+    fn to_accepted(&self, number: u32, accepted: &AcceptedMessage) -> Option<Accepted> {
+        let class = self.class_id(&accepted.class)?;
         Some(Accepted {
             id: MessageId(number),
             class,
-            destination: DestinationId(taken.destination),
-            key: (taken.order_key != 0).then_some(OrderKey(taken.order_key)),
-            deadline: self.clock.from_unix_ms(taken.deadline_ms),
-            from_dead_courier: taken.from_dead_courier,
+            destination: DestinationId(accepted.destination),
+            key: (accepted.order_key != 0).then_some(OrderKey(accepted.order_key)),
+            deadline: self.clock.from_unix_ms(accepted.deadline_ms),
+            from_dead_courier: accepted.from_dead_courier,
             tenant: TenantId(0),
         })
     }
@@ -483,8 +493,8 @@
             }
             Input::NoticesAcknowledged(messages) => {
                 for message in messages {
-                    if let Some(held) = self.journal.state().pending.get(&message.0) {
-                        message_trace::notice_acknowledged(&held.message.id);
+                    if let Some(pending) = self.journal.state().pending.get(&message.0) {
+                        message_trace::notice_acknowledged(&pending.message.id);
                     }
                     self.complete(now, message);
                     self.decision_logic.handle(now, Event::AnswerAcknowledged(message));
@@ -492,8 +502,8 @@
             }
             Input::Terminate if self.shutdown.is_some() => {}
             Input::Terminate => {
-                let (held, out) = self.load();
-                info!(held, out, "shutdown requested");
+                let (pending_count, in_flight_count) = self.load();
+                info!(held = pending_count, out = in_flight_count, "shutdown requested");
                 let latest_exit = now + MAX_SHUTDOWN;
                 self.shutdown = Some(Shutdown { earliest_exit: now + MIN_SHUTDOWN, latest_exit });
                 self.decision_logic.handle(now, Event::ShutdownAt(latest_exit));
@@ -519,8 +529,8 @@
         let Some(class) = self.class_id(&enqueue.class) else { return Err(Answer::Error("unknown class")) };
         if let Some(same_id) = self.held_by_id.get_mut(&enqueue.id) {
             // Either the client repeats its request on a new connection, or the id is used for a second message.
-            let held = self.journal.state().pending.get(&same_id.number);
-            if !held.is_some_and(|held| enqueue.is_same(&held.message)) {
+            let pending = self.journal.state().pending.get(&same_id.number);
+            if !pending.is_some_and(|pending| enqueue.is_same(&pending.message)) {
                 return Err(Answer::Error("the id is in use for another message"));
             }
             same_id.is_shared = true;
@@ -545,7 +555,7 @@
     /// Records a message in the journal and accepts it. Its deadline is at most `max_time_left` away.
     fn accept(&mut self, now: Time, enqueue: Enqueue, max_time_left: Duration) -> Answer {
         let destination = DestinationId(enqueue.destination);
-        let taken = AcceptedMessage {
+        let accepted = AcceptedMessage {
             id: enqueue.id,
             order_key: enqueue.order_key,
             class: enqueue.class,
@@ -555,17 +565,17 @@
             from_dead_courier: enqueue.from_dead_courier,
             body: enqueue.body,
         };
-        let id = taken.id.clone();
-        match self.journal.accept(taken) {
+        let id = accepted.id.clone();
+        match self.journal.accept(accepted) {
             Ok(number) => {
                 self.counts.accepted += 1;
                 self.destination_metrics.message_accepted(destination);
                 self.held_by_id.insert(id, HeldMessage { number, is_shared: false });
-                let taken = self.journal.state().pending.get(&number).map(|held| &held.message);
-                taken.into_iter().for_each(|taken| message_trace::accepted(number, taken));
+                let accepted = self.journal.state().pending.get(&number).map(|pending| &pending.message);
+                accepted.into_iter().for_each(|accepted| message_trace::accepted(number, accepted));
                 #[cfg(feature = "broken")]
-                let taken = taken.filter(|_| !self.fault_injector.fires(Fault::Swallows));
-                if let Some(accepted) = taken.and_then(|taken| self.to_accepted(number, taken)) {
+                let accepted = accepted.filter(|_| !self.fault_injector.fires(Fault::Swallows));
+                if let Some(accepted) = accepted.and_then(|accepted| self.to_accepted(number, accepted)) {
                     self.decision_logic.handle(now, Event::Accept(accepted));
                 }
                 Answer::Taken(MessageId(number))
@@ -582,7 +592,7 @@
     /// The client did not receive the answer that its message was accepted. No client waits for the message then, and it is
     /// dropped, unless another enqueue request for it was answered since.
     fn answer_unacknowledged(&mut self, now: Time, message: MessageId) {
-        let id = self.journal.state().pending.get(&message.0).map(|held| &held.message.id);
+        let id = self.journal.state().pending.get(&message.0).map(|pending| &pending.message.id);
         let held = id.and_then(|id| self.held_by_id.get(id));
         if let (Some(id), Some(held)) = (id, held) {
             message_trace::answer_unacknowledged(id, held.is_shared);
@@ -682,8 +692,8 @@
             result.outcome,
             Outcome::Rejected(_) | Outcome::ConnectFailed | Outcome::NotSent | Outcome::AttemptsExhausted
         );
-        if let Some(held) = self.journal.state().pending.get(&message.0) {
-            let id = &held.message.id;
+        if let Some(pending) = self.journal.state().pending.get(&message.0) {
+            let id = &pending.message.id;
             message_trace::attempt_ended(id, call.attempt, result.outcome, result.latency, may_have_run);
         }
         if let Some(destination) = self.directory.destination(endpoint) {
@@ -737,21 +747,21 @@
 
     /// Whether a message is held and has no verdict.
     fn is_undecided(&self, message: MessageId) -> bool {
-        self.journal.state().pending.get(&message.0).is_some_and(|held| held.verdict.is_none())
+        self.journal.state().pending.get(&message.0).is_some_and(|pending| pending.verdict.is_none())
     }
 
     /// The counters of a message's class.
     fn class_counts(&mut self, message: MessageId) -> &mut ClassCounts {
-        let held = self.journal.state().pending.get(&message.0);
-        let class = held.and_then(|held| self.class_id(&held.message.class));
+        let pending = self.journal.state().pending.get(&message.0);
+        let class = pending.and_then(|pending| self.class_id(&pending.message.class));
         self.counts.class_mut(class.map(|class| usize::from(class.0)))
     }
 
     /// Stops holding a message: it was delivered, its notice was acknowledged, or no client waits for it.
     fn complete(&mut self, now: Time, message: MessageId) {
-        if let Some(held) = self.journal.state().pending.get(&message.0) {
-            message_trace::completed(&held.message.id);
-            self.held_by_id.remove(&held.message.id);
+        if let Some(pending) = self.journal.state().pending.get(&message.0) {
+            message_trace::completed(&pending.message.id);
+            self.held_by_id.remove(&pending.message.id);
             let written = self.journal.complete(message.0);
             self.log_journal_error(now, written);
         }
@@ -808,17 +818,18 @@
         try_for: Duration,
         send_by: Option<Time>,
     ) {
-        let held = self.journal.state().pending.get(&message.0);
-        let attempt = held.map_or(0, |held| held.attempts as u16);
-        let taken = held.map(|held| held.message.clone());
-        let may_have_run = held.is_some_and(|held| held.may_have_run.or(held.in_flight).is_some());
+        let pending = self.journal.state().pending.get(&message.0);
+        let attempt = pending.map_or(0, |pending| pending.attempts as u16);
+        let accepted = pending.map(|pending| pending.message.clone());
+        let may_have_run =
+            pending.is_some_and(|pending| pending.may_have_run.or(pending.in_flight).is_some());
         self.in_flight.insert(message, InFlightCall { endpoint, attempt, is_cancel_requested: false });
         // An attempt whose start the journal cannot record is not made: a restarted process would not know of it.
         let start = (self.clock.to_unix_ms(now), self.directory.zone(endpoint).0);
         let written = self.journal.start_attempt(message.0, start);
-        let call_data = taken.zip(self.directory.address(endpoint)).filter(|_| written.is_ok());
+        let call_data = accepted.zip(self.directory.address(endpoint)).filter(|_| written.is_ok());
         self.log_journal_error(now, written);
-        let Some((taken, address)) = call_data else {
+        let Some((accepted, address)) = call_data else {
             self.not_started.push((message, endpoint));
             return;
         };
@@ -828,7 +839,7 @@
             true => self.directory.address_of_other_destination(endpoint).unwrap_or(address),
             false => address,
         };
-        let AcceptedMessage { id, idempotency_key, body, .. } = taken;
+        let AcceptedMessage { id, idempotency_key, body, .. } = accepted;
         #[cfg(feature = "broken")]
         let idempotency_key =
             idempotency_key.map(|key| match attempt > 0 && self.fault_injector.is_active(Fault::NewKey) {
@@ -874,13 +885,13 @@
 
     /// Sends the notice for a verdict that the journal was given.
     fn send_notice(&mut self, message: MessageId, verdict: Verdict) {
-        if let Some(held) = self.journal.state().pending.get(&message.0) {
-            message_trace::notice_pending(&held.message.id, verdict);
+        if let Some(pending) = self.journal.state().pending.get(&message.0) {
+            message_trace::notice_pending(&pending.message.id, verdict);
             #[cfg(feature = "broken")]
-            if let Some(effects) = self.faulty_notices(message, held, verdict) {
+            if let Some(effects) = self.faulty_notices(message, pending, verdict) {
                 return self.effects.extend(effects);
             }
-            let notice = Notice { message, id: held.message.id.clone(), verdict };
+            let notice = Notice { message, id: pending.message.id.clone(), verdict };
             self.effects.push(Effect::SendNotice(notice));
         }
     }
@@ -890,10 +901,10 @@
     fn faulty_notices(
         &self,
         message: MessageId,
-        held: &PendingMessage,
+        pending: &PendingMessage,
         verdict: Verdict,
     ) -> Option<Vec<Effect>> {
-        let notice = |verdict| Notice { message, id: held.message.id.clone(), verdict };
+        let notice = |verdict| Notice { message, id: pending.message.id.clone(), verdict };
         if self.fault_injector.is_active(Fault::EndsTwice) {
             let other = match verdict {
                 Verdict::Failed => Verdict::Returned { after_ms: 100 },
@@ -902,7 +913,7 @@
             return Some(vec![Effect::SendNotice(notice(other)), Effect::SendNotice(notice(verdict))]);
         }
         if self.fault_injector.is_active(Fault::KeepsBack) && verdict == Verdict::Failed {
-            let due = self.clock.from_unix_ms(held.message.deadline_ms) - Duration::from_millis(100);
+            let due = self.clock.from_unix_ms(pending.message.deadline_ms) - Duration::from_millis(100);
             return Some(vec![Effect::DelayNotice(notice(verdict), due)]);
         }
         (self.fault_injector.is_active(Fault::NeverTells) && verdict == Verdict::Failed).then(Vec::new)
@@ -913,24 +924,25 @@
     fn record_outages(&mut self, now: Time) {
         let changed = self.decision_logic.take_changed_outages();
         if !self.outages_synchronized || self.journal.has_unwritten_changes() {
-            let notes = self.outages_for_journal(self.decision_logic.outages());
-            let is_lost = |note: &&PersistedOutage| note.calls_were_lost.is_some();
+            let outages = self.outages_for_journal(self.decision_logic.outages());
+            let is_lost = |outage: &&PersistedOutage| outage.calls_were_lost.is_some();
             let before = self.journal.state().outages().filter(is_lost).count();
-            self.log_outage_count(now, before, notes.iter().filter(is_lost).count());
-            let written = self.journal.set_outages(&notes);
+            self.log_outage_count(now, before, outages.iter().filter(is_lost).count());
+            let written = self.journal.set_outages(&outages);
             self.outages_synchronized = true;
             return self.log_journal_error(now, written);
         }
-        let notes =
+        let outages =
             self.outages_for_journal(changed.iter().flat_map(|to| self.decision_logic.outages_of(*to)));
         let destinations: Vec<u32> = changed.iter().map(|to| to.0).collect();
         let lost_before = self.journal.state().count_confirmed_outages(&destinations);
-        let lost_now = notes.iter().filter(|note| note.calls_were_lost.is_some()).count();
+        let lost_now = outages.iter().filter(|outage| outage.calls_were_lost.is_some()).count();
         if lost_before != lost_now {
-            let before = self.journal.state().outages().filter(|note| note.calls_were_lost.is_some()).count();
+            let before =
+                self.journal.state().outages().filter(|outage| outage.calls_were_lost.is_some()).count();
             self.log_outage_count(now, before, before - lost_before + lost_now);
         }
-        let written = self.journal.set_outages_of(&destinations, &notes);
+        let written = self.journal.set_outages_of(&destinations, &outages);
         self.log_journal_error(now, written);
         debug_assert!(
             self.journal_has_all_outages(),
@@ -940,13 +952,13 @@
 
     /// Whether the journal holds the current outages, or could not write them.
     fn journal_has_all_outages(&self) -> bool {
-        let notes = self.outages_for_journal(self.decision_logic.outages());
-        self.journal.has_unwritten_changes() || self.journal.state().outages_match(&notes)
+        let outages = self.outages_for_journal(self.decision_logic.outages());
+        self.journal.has_unwritten_changes() || self.journal.state().outages_match(&outages)
     }
 
     /// Converts outages to the journal's format.
     fn outages_for_journal(&self, outages: impl Iterator<Item = OutageRecord>) -> Vec<PersistedOutage> {
-        let note = |outage: OutageRecord| PersistedOutage {
+        let to_persisted = |outage: OutageRecord| PersistedOutage {
             destination: outage.destination.0,
             uid: outage.endpoint.and_then(|id| self.directory.uid(id)).map(str::to_owned),
             since_ms: self.clock.to_unix_ms(outage.since),
@@ -955,7 +967,7 @@
             slow_start_since_ms: outage.slow_start_since.map(|at| self.clock.to_unix_ms(at)),
             served_per_second: outage.served_rate,
         };
-        outages.map(note).collect()
+        outages.map(to_persisted).collect()
     }
 
     /// Logs the number of destinations in an outage if it changed.
@@ -992,7 +1004,7 @@
                 .state()
                 .pending
                 .values()
-                .filter(|held| held.verdict.is_none())
+                .filter(|pending| pending.verdict.is_none())
                 .count(),
             endpoints_known: self.directory.listed_count(),
             endpoints_excluded: self.decision_logic.excluded_endpoints(now),
@@ -1008,15 +1020,18 @@
     /// Logs what the counters gained since the last call. `max_delay` is the longest delay of the caller's loop since then.
     pub fn log_activity(&mut self, max_delay: Duration) {
         let (total, logged) = (self.counts.total(), self.logged_counts.total());
-        let taken = self.counts.accepted - self.logged_counts.accepted;
-        let busy = total.rejected - logged.rejected;
+        let accepted = self.counts.accepted - self.logged_counts.accepted;
+        let rejected = total.rejected - logged.rejected;
         let delivered = total.served - logged.served;
         let failed = total.failed - logged.failed;
         let returned = total.returned - logged.returned;
         let calls = self.counts.calls_started - self.logged_counts.calls_started;
         self.logged_counts = self.counts.clone();
-        let (held, out) = self.load();
-        info!(taken, busy, delivered, failed, returned, calls, held, out, latest = ?max_delay, "load");
+        let (pending_count, in_flight_count) = self.load();
+        info!(
+            taken = accepted, busy = rejected, delivered, failed, returned, calls, held = pending_count,
+            out = in_flight_count, latest = ?max_delay, "load"
+        );
         let JournalStats {
             appended_bytes: appended,
             rewritten_bytes: rewritten,
--- a/crates/gullcart-engine/src/message_trace.rs
+++ b/crates/gullcart-engine/src/message_trace.rs
@@ -1,4 +1,4 @@
-//! Debug log lines for each step of a message's life, which allow to follow one message by its id through couriers' logs.
+//! Debug log lines for each step of a message, by which its id can be followed through the logs of several couriers.
 
 use cloverstile::Outcome;
 use gullcart_journal::PendingMessage;
@@ -12,28 +12,22 @@
 pub const MESSAGE_TRACE_TARGET: &str = "gullcart::trail";
 
 /// A message was accepted.
-pub(crate) fn accepted(number: u32, taken: &AcceptedMessage) {
-    let AcceptedMessage {
-        id,
-        class,
-        destination,
-        from_dead_courier: again,
-        idempotency_key: key,
-        order_key: order,
-        ..
-    } = taken;
+pub(crate) fn accepted(number: u32, message: &AcceptedMessage) {
+    let AcceptedMessage { id, class, destination, from_dead_courier, idempotency_key, order_key, .. } =
+        message;
     debug!(
-        target: MESSAGE_TRACE_TARGET, id, number, order = format_args!("{order:016x}"), class, destination, again, key,
-        "message accepted"
+        target: MESSAGE_TRACE_TARGET, id, number, order = format_args!("{order_key:016x}"), class, destination,
+        again = from_dead_courier, key = idempotency_key, "message accepted"
     );
 }
 
-/// An enqueue request added no message: it was rejected, or the message is already held. `held` messages are held.
-pub(crate) fn not_accepted(enqueue: &Enqueue, answer: &Answer, held: usize) {
+/// An enqueue request added no message: it was rejected, or the message is already held. `pending_count` is the number of messages held.
+pub(crate) fn not_accepted(enqueue: &Enqueue, answer: &Answer, pending_count: usize) {
     let Enqueue { id, order_key, class, destination, .. } = enqueue;
     let order = format_args!("{order_key:016x}");
     debug!(
-        target: MESSAGE_TRACE_TARGET, id, order, class, destination, ?answer, held, "enqueue request added no message"
+        target: MESSAGE_TRACE_TARGET, id, order, class, destination, ?answer, held = pending_count,
+        "enqueue request added no message"
     );
 }
 
@@ -49,16 +43,16 @@
 }
 
 /// The message was restored from the journal after a restart.
-pub(crate) fn recovered(number: u32, held: &PendingMessage) {
+pub(crate) fn recovered(number: u32, pending: &PendingMessage) {
     let PendingMessage {
-        message: AcceptedMessage { id, order_key: order, .. },
+        message: AcceptedMessage { id, order_key, .. },
         attempts,
-        may_have_run: maybe_ran,
-        in_flight: out,
+        may_have_run,
+        in_flight,
         verdict,
-    } = held;
-    let may_have_run = maybe_ran.or(*out).is_some();
-    let order = format_args!("{order:016x}");
+    } = pending;
+    let may_have_run = may_have_run.or(*in_flight).is_some();
+    let order = format_args!("{order_key:016x}");
     debug!(
         target: MESSAGE_TRACE_TARGET, id, number, order, attempts, may_have_run, ?verdict,
         "message restored from the journal"
--- a/crates/gullcart-engine/src/trial_duties.rs
+++ b/crates/gullcart-engine/src/trial_duties.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Maximum duties a courier registers for. It makes its own trials of all other destinations.
+/// Maximum number of duties that a courier registers for. It makes its own trials of all other destinations.
 const MAX_DUTIES: usize = 1024;
 /// A holder whose trials have no success for this multiple of the collapse window passes the duty on: perhaps only its own
 /// network path is broken.
@@ -28,12 +28,12 @@
     ThisCourier {
         /// Epoch in which it holds the duty.
         epoch: u64,
-        /// Until when it may act without further news from the group.
+        /// Until when it may act without further contact with the group.
         until: Time,
     },
     /// Another courier.
     OtherCourier {
-        /// Until when it counts as the holder without further news from the group.
+        /// Until when it counts as the holder without further contact with the group.
         until: Time,
     },
 }
@@ -54,7 +54,7 @@
 pub struct DutyView {
     /// Which courier holds it.
     pub holder: DutyHolder,
-    /// What its holder reported last.
+    /// The latest report of its holder.
     pub report: Option<DutyReport>,
 }
 
@@ -71,7 +71,7 @@
     Report(DestinationId, Vec<u8>),
 }
 
-/// What a holder found out, as its report says.
+/// The outcome of a trial, as the holder of the duty reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TrialOutcome {
     /// The destination served a call this long before the report.
@@ -84,7 +84,7 @@
     fn encode(self) -> Vec<u8> {
         let (kind, span) = match self {
             TrialOutcome::Served(ago) => (b's', ago),
-            TrialOutcome::RetryAfter(left) => (b'w', left),
+            TrialOutcome::RetryAfter(remaining) => (b'w', remaining),
         };
         let mut payload = vec![kind];
         payload.extend((span.as_millis().min(u128::from(u64::MAX)) as u64).to_le_bytes());
@@ -104,10 +104,10 @@
 
     /// Converts the outcome to moments in local time. They may be too late, as `agreed_at` is an upper bound. That is safe: the slow
     /// start then begins too late, and the retry-after time ends too late.
-    fn to_news(self, agreed_at: Time) -> PeerReport {
+    fn to_peer_report(self, agreed_at: Time) -> PeerReport {
         match self {
             TrialOutcome::Served(ago) => PeerReport::Served(agreed_at - ago),
-            TrialOutcome::RetryAfter(left) => PeerReport::RetryAfter(agreed_at + left),
+            TrialOutcome::RetryAfter(remaining) => PeerReport::RetryAfter(agreed_at + remaining),
         }
     }
 }
@@ -149,7 +149,7 @@
 }
 
 impl TrialDuties {
-    /// No duties. `collapse_window` is how long a destination in its slow start stands overload before it collapses, `seed` is for
+    /// No duties. `collapse_window` is how long a destination in its slow start can be overloaded before it collapses, `seed` is for
     /// random times.
     pub fn new(collapse_window: Duration, seed: u64) -> Self {
         TrialDuties {
@@ -177,7 +177,7 @@
         self.last_search = Some(now);
         for destination in courier.confirmed_outages() {
             let is_new = !self.duties.contains_key(&destination) && self.duties.len() < MAX_DUTIES;
-            if is_new && courier.outage_view(destination).is_some_and(|outing| outing.has_messages) {
+            if is_new && courier.outage_view(destination).is_some_and(|outage| outage.has_messages) {
                 self.duties.insert(destination, TrackedDuty { registered_at: now, ..TrackedDuty::default() });
                 requests.push(TrialRequest::Register(destination));
             }
@@ -190,20 +190,20 @@
         }
         let mut finished = Vec::new();
         for (destination, duty) in &mut self.duties {
-            let outing = courier.outage_view(*destination);
+            let outage = courier.outage_view(*destination);
             let view = view(*destination);
             if view.is_none() && now - duty.registered_at > REGISTER_RETRY_INTERVAL {
-                // The group could not be reached at the time, or lost its state since.
+                // The group was not reachable when this courier registered, or has lost its state since.
                 duty.registered_at = now;
                 requests.push(TrialRequest::Register(*destination));
             }
             let view = view.unwrap_or(DutyView { holder: DutyHolder::Nobody, report: None });
             let random = self.rng.f64();
-            let (is_needed, trials) = match outing {
-                Some(outing) => {
+            let (is_needed, trials) = match outage {
+                Some(outage) => {
                     events.extend(duty.new_report_event(*destination, &view));
                     let max_hold = self.collapse_window * MAX_HOLD_MULTIPLE;
-                    duty.next_trials(now, *destination, outing, &view, max_hold, random, &mut requests)
+                    duty.next_trials(now, *destination, outage, &view, max_hold, random, &mut requests)
                 }
                 None => (false, TrialOwner::EachCourier),
             };
@@ -219,7 +219,7 @@
 }
 
 impl TrackedDuty {
-    /// The event for a report of another courier that was not seen before.
+    /// The event for a report of another courier that is new to this one.
     fn new_report_event(&mut self, destination: DestinationId, view: &DutyView) -> Option<Event> {
         let DutyReport { epoch, payload, agreed_at } = view.report.as_ref()?;
         let is_own = self.tenure.is_some_and(|tenure| tenure.epoch == *epoch);
@@ -231,8 +231,8 @@
             return None;
         }
         self.last_report = Some((*epoch, payload.clone()));
-        let news = TrialOutcome::decode(payload)?.to_news(*agreed_at);
-        Some(Event::PeerReported(destination, news))
+        let report = TrialOutcome::decode(payload)?.to_peer_report(*agreed_at);
+        Some(Event::PeerReported(destination, report))
     }
 
     /// Returns whether the registration is still needed, and who makes the trials until the next update. `max_hold` is the
@@ -243,13 +243,13 @@
         &mut self,
         now: Time,
         destination: DestinationId,
-        outing: OutageView,
+        outage: OutageView,
         view: &DutyView,
         max_hold: Duration,
         random: f64,
         requests: &mut Vec<TrialRequest>,
     ) -> (bool, TrialOwner) {
-        let has_outage = outing.confirmed_since.is_some();
+        let has_outage = outage.confirmed_since.is_some();
         let (epoch, until) = match view.holder {
             DutyHolder::Nobody => return (has_outage, TrialOwner::EachCourier),
             DutyHolder::OtherCourier { until } => return (has_outage, TrialOwner::OtherCourier(until)),
@@ -264,18 +264,18 @@
             // A report made in this epoch concerned an earlier outage.
             self.own_report = None;
             let is_held_too_long = now - since > max_hold;
-            if !outing.has_messages || is_held_too_long {
+            if !outage.has_messages || is_held_too_long {
                 requests.push(TrialRequest::PassOn(destination, max_hold.mul_f64(1.0 + random)));
                 return (true, TrialOwner::EachCourier);
             }
             return (true, TrialOwner::ThisCourier(until));
         }
-        // The destination serves again or gave a retry-after time. The other couriers are told before the duty ends.
+        // The destination serves again or gave a retry-after time. The other couriers are notified before the duty ends.
         if self.own_report.is_none() {
-            let outcome = if outing.retry_after_until > now {
-                TrialOutcome::RetryAfter(outing.retry_after_until - now)
-            } else if outing.last_success >= since {
-                TrialOutcome::Served(now - outing.last_success)
+            let outcome = if outage.retry_after_until > now {
+                TrialOutcome::RetryAfter(outage.retry_after_until - now)
+            } else if outage.last_success >= since {
+                TrialOutcome::Served(now - outage.last_success)
             } else {
                 return (false, TrialOwner::EachCourier);
             };
--- a/crates/gullcart-engine/src/types.rs
+++ b/crates/gullcart-engine/src/types.rs
@@ -33,9 +33,10 @@
 
 impl Enqueue {
     /// Whether this is the same message as one that is held. The time left is not compared: it differs between requests.
-    pub fn is_same(&self, held: &AcceptedMessage) -> bool {
-        (self.order_key, &self.class, self.destination) == (held.order_key, &held.class, held.destination)
-            && (&self.idempotency_key, &self.body) == (&held.idempotency_key, &held.body)
+    pub fn is_same(&self, accepted: &AcceptedMessage) -> bool {
+        (self.order_key, &self.class, self.destination)
+            == (accepted.order_key, &accepted.class, accepted.destination)
+            && (&self.idempotency_key, &self.body) == (&accepted.idempotency_key, &accepted.body)
     }
 }
 
@@ -75,7 +76,7 @@
     NotRecorded,
 }
 
-/// Tells the platform about the end of a message that was not delivered.
+/// Notifies the platform that a message ended without delivery.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Notice {
     /// The message.
@@ -174,7 +175,7 @@
     CloseIdleUnavailable,
     /// Tell clients that this courier shuts down.
     AnnounceShutdown,
-    /// Hand in this list update as [`Input::DelayedListUpdate`] after the delay.
+    /// Pass this list update back as [`Input::DelayedListUpdate`] after the delay.
     #[cfg(feature = "broken")]
     DelayListUpdate(ListingUpdate, Duration),
     /// Send this notice not before the given moment.
--- a/crates/gullcart-peers/src/group.rs
+++ b/crates/gullcart-peers/src/group.rs
@@ -359,9 +359,9 @@
     }
 
     /// Stops voting until the folder can be written again.
-    fn folder_failed(&mut self, why: &FolderError) {
-        error!(%why, "the group's folder cannot be written: this member stops voting for now");
-        self.voting_state.folder_failed(now(), &why.to_string());
+    fn folder_failed(&mut self, error: &FolderError) {
+        error!(why = %error, "the group's folder cannot be written: this member stops voting for now");
+        self.voting_state.folder_failed(now(), &error.to_string());
         self.node.stop_voting();
         self.folder = None;
     }
--- a/crates/gullcart-peers/src/net.rs
+++ b/crates/gullcart-peers/src/net.rs
@@ -199,11 +199,11 @@
                 }
             }
             Err(error) => {
-                let why = error.to_string();
-                if why != last_error && error.kind() != io::ErrorKind::ConnectionRefused {
-                    warn!(%to, why, "cannot connect to a member");
+                let reason = error.to_string();
+                if reason != last_error && error.kind() != io::ErrorKind::ConnectionRefused {
+                    warn!(%to, why = reason, "cannot connect to a member");
                 }
-                last_error = why;
+                last_error = reason;
                 if messages.is_closed() {
                     return;
                 }
--- a/crates/gullcart/src/clients.rs
+++ b/crates/gullcart/src/clients.rs
@@ -28,7 +28,7 @@
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long a connection may be idle after a request: idle ones occupy slots that other clients need.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a client may take to read a reply. One that is slower is no longer waiting for it.
+/// How long a client may take to read a reply. A slower client counts as gone.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 /// After its shutdown, a connection is read for this long and up to [`MAX_DRAINED_BYTES`]: closing with unread bytes resets the
 /// connection, which would destroy a reply on its way.
@@ -64,7 +64,7 @@
     pub stream: std::net::TcpStream,
     /// No request has arrived on it yet.
     pub is_new: bool,
-    /// Bytes that were read and not handled.
+    /// Bytes that were read but not processed.
     pub unread_bytes: Vec<u8>,
 }
 
@@ -100,9 +100,9 @@
     }
 
     /// Serves a connection of the previous process.
-    pub fn adopt(&self, moved: HandedOverClient) -> io::Result<()> {
-        let stream = TcpStream::from_std(moved.stream)?;
-        self.spawn_connection(stream, BytesMut::from(&moved.unread_bytes[..]), moved.is_new);
+    pub fn adopt(&self, client: HandedOverClient) -> io::Result<()> {
+        let stream = TcpStream::from_std(client.stream)?;
+        self.spawn_connection(stream, BytesMut::from(&client.unread_bytes[..]), client.is_new);
         Ok(())
     }
 
@@ -194,10 +194,10 @@
                 return self.hand_over(is_new).await;
             }
             match decode(&mut self.input) {
-                Ok(Some(words)) => {
+                Ok(Some(arguments)) => {
                     self.slot.set_state(ConnectionState::Busy);
                     is_new = false;
-                    if self.handle_request(&words).await?.is_none() {
+                    if self.handle_request(&arguments).await?.is_none() {
                         return Ok(());
                     }
                     served += 1;
@@ -340,15 +340,15 @@
             }
     }
 
-    /// Handles one request; none if the courier has ended.
-    async fn handle_request(&mut self, words: &[Bytes]) -> io::Result<Option<()>> {
-        let command = words.first().map(|word| word.to_ascii_uppercase());
+    /// Handles one request; none if the courier has shut down.
+    async fn handle_request(&mut self, arguments: &[Bytes]) -> io::Result<Option<()>> {
+        let command = arguments.first().map(|name| name.to_ascii_uppercase());
         let answer = match command.as_deref() {
             Some(b"PING") => {
                 self.output.extend_from_slice(b"+PONG\r\n");
                 return self.flush_if_large().await.map(Some);
             }
-            Some(b"ENQUEUE") => match parse_enqueue(words) {
+            Some(b"ENQUEUE") => match parse_enqueue(arguments) {
                 Ok(enqueue) => {
                     if !self.is_client_gone() {
                         return self.enqueue(enqueue).await;
@@ -364,7 +364,7 @@
         self.flush_if_large().await.map(Some)
     }
 
-    /// Enqueues a message and writes the reply; none if the courier has ended.
+    /// Enqueues a message and writes the reply; none if the courier has shut down.
     async fn enqueue(&mut self, enqueue: Enqueue) -> io::Result<Option<()>> {
         // Earlier replies are written first, so that they and this reply cannot be lost together.
         self.flush().await?;
--- a/crates/gullcart/src/console.rs
+++ b/crates/gullcart/src/console.rs
@@ -18,20 +18,20 @@
 use tokio::time::{sleep, timeout, Instant};
 use tracing::warn;
 
-/// Maximum number of callers at a time.
-const MAX_CALLERS: usize = 12;
-/// Descriptors of the console: the callers, one more that was just accepted, and the listener.
-pub const DESCRIPTORS: usize = MAX_CALLERS + 2;
-/// How long a caller may take to send its line.
+/// Maximum number of connections at a time.
+const MAX_CONNECTIONS: usize = 12;
+/// Descriptors of the console: the connections, one more that was just accepted, and the listener.
+pub const DESCRIPTORS: usize = MAX_CONNECTIONS + 2;
+/// How long a client may take to send its line.
 const LINE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a caller may take to read its answer.
+/// How long a client may take to read its answer.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a caller may take to close after its answer.
+/// How long a client may take to close after its answer.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long to wait for the driver; callers are promised an answer within a second.
+/// How long to wait for the driver; operators are promised an answer within a second.
 const DRIVER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Capacity of the driver's request queue, which the number of callers bounds.
-const MAX_QUEUED_REQUESTS: usize = MAX_CALLERS + 1;
+/// Capacity of the driver's request queue, which the number of connections bounds.
+const MAX_QUEUED_REQUESTS: usize = MAX_CONNECTIONS + 1;
 /// Bytes read at a time.
 const READ_CHUNK_BYTES: usize = 256;
 
@@ -50,31 +50,32 @@
     mpsc::channel(MAX_QUEUED_REQUESTS)
 }
 
-/// Serves callers until the task is dropped. `serving` is true while this process serves clients.
+/// Serves connections until the task is dropped. `serving` is true while this process serves clients.
 pub async fn serve(
     listener: TcpListener,
     requests: mpsc::Sender<ControlRequest>,
     serving: watch::Receiver<bool>,
 ) {
-    let callers = Rc::new(RefCell::new(ConsoleConnections::new(MAX_CALLERS)));
+    let connections = Rc::new(RefCell::new(ConsoleConnections::new(MAX_CONNECTIONS)));
     let mut accept_errors = RateLimitedLog::default();
     let started_at = Instant::now();
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let (evict, evicted_signal) = oneshot::channel::<()>();
-                let (id, evicted) = callers.borrow_mut().add(evict);
+                let (id, evicted) = connections.borrow_mut().add(evict);
                 drop(evicted);
-                let (callers, requests, serving) = (callers.clone(), requests.clone(), serving.clone());
+                let (connections, requests, serving) =
+                    (connections.clone(), requests.clone(), serving.clone());
                 tokio::task::spawn_local(async move {
-                    let mark_asked = || callers.borrow_mut().command_received(id);
+                    let mark_command_received = || connections.borrow_mut().command_received(id);
                     tokio::select! {
                         biased;
-                        // An error concerns this caller alone.
-                        _ = serve_caller(stream, requests, serving, mark_asked) => {}
+                        // An error concerns this connection alone.
+                        _ = serve_connection(stream, requests, serving, mark_command_received) => {}
                         _ = evicted_signal => {}
                     }
-                    callers.borrow_mut().remove(id);
+                    connections.borrow_mut().remove(id);
                 });
             }
             Err(error) => {
@@ -88,11 +89,11 @@
 }
 
 /// Reads one line, answers it and closes the connection.
-async fn serve_caller(
+async fn serve_connection(
     mut stream: TcpStream,
     requests: mpsc::Sender<ControlRequest>,
     serving: watch::Receiver<bool>,
-    mark_asked: impl FnOnce(),
+    mark_command_received: impl FnOnce(),
 ) -> io::Result<()> {
     let mut lines = LineParser::default();
     let line = match timeout(LINE_TIMEOUT, read_line(&stream, &mut lines)).await {
@@ -101,10 +102,10 @@
         Ok(Err(error)) => return Err(error),
         Err(_) => Err(LineError::TimedOut),
     };
-    mark_asked();
+    mark_command_received();
     let answer = match line {
-        Ok(call) => answer(call, &requests, &serving).await,
-        Err(fault) => no_with_reason(fault),
+        Ok(command) => answer(command, &requests, &serving).await,
+        Err(error) => no_with_reason(error),
     };
     timeout(WRITE_TIMEOUT, stream.write_all(answer.as_bytes())).await??;
     SockRef::from(&stream).shutdown(Shutdown::Write)?;
@@ -115,7 +116,7 @@
     Ok(())
 }
 
-/// Reads the caller's line; none if it closes without sending anything.
+/// Reads the client's line; none if it closes without sending anything.
 async fn read_line(
     stream: &TcpStream,
     lines: &mut LineParser,
@@ -144,9 +145,9 @@
     }
 }
 
-/// The answer to a call.
+/// The answer to a command.
 async fn answer(
-    call: ConsoleCommand,
+    command: ConsoleCommand,
     requests: &mpsc::Sender<ControlRequest>,
     serving: &watch::Receiver<bool>,
 ) -> String {
@@ -158,11 +159,11 @@
         };
         match timeout(DRIVER_TIMEOUT, exchange).await.ok().flatten() {
             Some((_, Ok(()))) => YES.to_owned(),
-            Some((_, Err(why))) => no_with_reason(command_error_text(why)),
+            Some((_, Err(error))) => no_with_reason(command_error_text(error)),
             None => no_with_reason(NO_ANSWER),
         }
     };
-    match call {
+    match command {
         ConsoleCommand::Status if *serving.borrow() => YES.to_owned(),
         ConsoleCommand::Status => no_with_reason(NOT_SERVING),
         ConsoleCommand::Metrics => {
--- a/crates/gullcart/src/driver.rs
+++ b/crates/gullcart/src/driver.rs
@@ -50,7 +50,7 @@
 /// Upper bound on the duration of a hand-over, in case the wall clock jumps.
 const MAX_HANDOVER_DURATION: Duration = Duration::from_secs(10);
 
-/// The courier's monotonic clock, which starts at [`EPOCH`].
+/// The courier's monotonic clock, which starts at [`PROCESS_START`].
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -162,7 +162,7 @@
     in_flight_calls: HashMap<MessageId, InFlightCall>,
     /// Clients waiting for the reply to an enqueue, which they get at the end of the turn.
     waiting_clients: HashMap<Ticket, oneshot::Sender<Answer>>,
-    /// Operators waiting for the result of a command; bounded by the number of console callers.
+    /// Operators waiting for the result of a command; bounded by the number of console connections.
     waiting_operators: HashMap<Ticket, oneshot::Sender<Result<(), CommandError>>>,
     last_ticket: u64,
     /// Notices for which the sender's queue has no room; bounded by the number of messages held.
@@ -315,17 +315,17 @@
             };
             let in_flight = self.engine.calls_in_flight().find(|(other, _)| *other == message);
             if let Some((_, endpoint)) = in_flight {
-                let ended = CallResult { outcome, latency: elapsed, is_final: false, allowance: None };
-                self.engine.handle(now, Input::CallEnded(message, endpoint, ended));
+                let result = CallResult { outcome, latency: elapsed, is_final: false, allowance: None };
+                self.engine.handle(now, Input::CallEnded(message, endpoint, result));
             }
         }
         // The counters stay with this process; the calls in flight move to the next one.
         let last_metrics = EngineMetrics { messages_pending: 0, ..self.engine.metrics(now) };
-        let (effects, books) = self.engine.freeze(now)?;
+        let (effects, snapshot) = self.engine.freeze(now)?;
         for effect in effects {
             self.apply_effect(effect);
         }
-        state.engine_state = books.unwrap_or_default();
+        state.engine_state = snapshot.unwrap_or_default();
         Ok(StoppedCourier { engine: self.engine, state, call_connections, last_metrics })
     }
 
@@ -365,26 +365,26 @@
                 batch.into_iter().for_each(|event| self.handle_event(event));
             }
         }
-        let (held, in_flight) = self.engine.load();
-        info!(held, out = in_flight, "the courier has shut down");
+        let (pending_count, in_flight_count) = self.engine.load();
+        info!(held = pending_count, out = in_flight_count, "the courier has shut down");
         Ok(())
     }
 
     /// Keeps the maximum for the report, and logs a delay that is too long.
-    fn record_lateness(&mut self, lateness: Duration, what: &str) {
+    fn record_lateness(&mut self, lateness: Duration, message: &str) {
         self.max_lateness = self.max_lateness.max(lateness);
         if lateness > LATENESS_WARNING_THRESHOLD {
             if let Some(more) = self.lateness_log.due(self.clock.now()) {
-                warn!(late = ?lateness, more, "{what}");
+                warn!(late = ?lateness, more, "{message}");
             }
         }
     }
 
-    /// Handles a request of the console or of another process. Returns the connection of a process that may have the courier.
+    /// Handles a request of the console or of another process. Returns the connection of a process to which the courier is to be handed over.
     fn handle_control_request(&mut self, request: ControlRequest) -> Option<UnixStream> {
         match request {
             ControlRequest::Metrics(reply) => {
-                // A receiver that is gone no longer waits.
+                // An error means that the connection of the console was closed.
                 let _ = reply.send(self.engine.metrics(self.clock.now()));
             }
             ControlRequest::Command(command, reply) => {
@@ -528,16 +528,16 @@
                 events.send(Input::CallWritten(message)).await;
                 std::future::pending().await
             };
-            // The call comes first: it must not wait for the driver to take the `Written` event.
-            let ended = tokio::select! {
+            // The call comes first: it must not wait for the driver to take the `CallWritten` event.
+            let result = tokio::select! {
                 biased;
-                ended = call => ended,
+                result = call => result,
                 () = report_written => return,
             };
             if task_progress.is_unreported() {
                 events.send(Input::CallWritten(message)).await;
             }
-            events.send(Input::CallEnded(message, endpoint, ended)).await;
+            events.send(Input::CallEnded(message, endpoint, result)).await;
         });
         let task = task.abort_handle();
         self.in_flight_calls
--- a/crates/gullcart/src/group.rs
+++ b/crates/gullcart/src/group.rs
@@ -71,9 +71,9 @@
     }
 
     /// Joins the group, or resumes the membership of a process that handed it over.
-    pub fn join(&self, given: &[u8]) {
-        let given = GroupHandover::decode(given).filter(|_| !given.is_empty());
-        self.start_member(given);
+    pub fn join(&self, handover_bytes: &[u8]) {
+        let handover = GroupHandover::decode(handover_bytes).filter(|_| !handover_bytes.is_empty());
+        self.start_member(handover);
         let membership = self.clone();
         let rejoin_task = tokio::task::spawn_local(async move {
             loop {
@@ -93,9 +93,9 @@
     }
 
     /// Starts the group's thread. A failure is logged, and the courier goes on without a group.
-    fn start_member(&self, given: Option<GroupHandover>) {
+    fn start_member(&self, handover: Option<GroupHandover>) {
         let settings = self.settings.borrow().clone();
-        match start(settings, &self.folder, given) {
+        match start(settings, &self.folder, handover) {
             Ok(handle) => {
                 self.handle.replace(Some(handle));
             }
@@ -118,35 +118,36 @@
         self.settings.replace(settings);
     }
 
-    /// The trial duties that this courier has asked for.
+    /// The trial duties that this courier has requested.
     pub fn requested_duties(&self) -> Vec<DestinationId> {
         let handle = self.handle.borrow();
-        let wants = handle.as_ref().map(Handle::requested_duties).unwrap_or_default();
-        wants.iter().filter_map(destination_of).collect()
+        let duties = handle.as_ref().map(Handle::requested_duties).unwrap_or_default();
+        duties.iter().filter_map(destination_of).collect()
     }
 
     /// The state of a trial duty, in the courier's time.
     pub fn duty_view(&self, now: Time, destination: DestinationId) -> Option<DutyView> {
         let handle = self.handle.borrow();
         let (handle, duty) = (handle.as_ref()?, trial_duty(destination)?);
-        let DutyObservation { held_elsewhere_until: other_until, note: agreed_report } =
-            handle.observe(&duty)?;
-        // The group's clock runs on while the machine sleeps, unlike the courier's, so the remaining time is computed anew each
-        // time.
+        let DutyObservation { held_elsewhere_until, note } = handle.observe(&duty)?;
+        // The group's clock runs on while the machine is suspended, unlike the courier's, so the remaining time is computed anew
+        // at each call.
         let boot_time = boot_now();
-        let holder = match (handle.held_lease(&duty), other_until) {
-            (Some((epoch, left)), _) => DutyHolder::ThisCourier { epoch: epoch.0, until: now + left },
+        let holder = match (handle.held_lease(&duty), held_elsewhere_until) {
+            (Some((epoch, remaining)), _) => {
+                DutyHolder::ThisCourier { epoch: epoch.0, until: now + remaining }
+            }
             (None, Some(until)) if until > boot_time => {
                 DutyHolder::OtherCourier { until: now + (until - boot_time) }
             }
             (None, _) => DutyHolder::Nobody,
         };
-        let told = agreed_report.map(|(epoch, agreed_payload, agreed_at)| DutyReport {
+        let report = note.map(|(epoch, payload, agreed_at)| DutyReport {
             epoch: epoch.0,
-            payload: agreed_payload,
+            payload,
             agreed_at: now - (boot_time - agreed_at),
         });
-        Some(DutyView { holder, report: told })
+        Some(DutyView { holder, report })
     }
 
     /// Sends a request to the group. The engine repeats a request that was dropped for as long as it needs it.
@@ -156,8 +157,8 @@
         let is_queued = match request {
             TrialRequest::Register(destination) => trial_duty(destination).map(|duty| handle.request(duty)),
             TrialRequest::Unregister(destination) => trial_duty(destination).map(|duty| handle.release(duty)),
-            TrialRequest::PassOn(destination, rest) => {
-                trial_duty(destination).map(|duty| handle.yield_duty(duty, rest))
+            TrialRequest::PassOn(destination, cooldown) => {
+                trial_duty(destination).map(|duty| handle.yield_duty(duty, cooldown))
             }
             TrialRequest::Report(destination, report) => trial_duty(destination)
                 .zip(Payload::new(&report))
@@ -203,7 +204,7 @@
     pub async fn hand_over(&self) -> Vec<u8> {
         match self.detach() {
             Some(handle) => {
-                handle.hand_over(HANDOVER_TIMEOUT).await.map_or_else(Vec::new, |given| given.encode())
+                handle.hand_over(HANDOVER_TIMEOUT).await.map_or_else(Vec::new, |handover| handover.encode())
             }
             None => Vec::new(),
         }
--- a/crates/gullcart/src/lib.rs
+++ b/crates/gullcart/src/lib.rs
@@ -1,4 +1,4 @@
-//! gullcart: a courier that takes messages from clients and delivers them to partners' endpoints.
+//! gullcart: a courier that accepts messages from clients and delivers them to partners' endpoints.
 //!
 //! The decisions are made by the package `gullcart-engine`; this package connects the engine to real sockets. The modules, from
 //! the bottom up: `messages` and `resp` depend on no other module; `update_stream`, `tracked_connection`, `calls`, `discovery`
@@ -84,8 +84,8 @@
 
 /// Opens the console's listener, if an address is configured. A failure is only logged: clients are served without a console.
 async fn open_console(config: &Config) -> Option<TcpListener> {
-    let named = std::env::var(CONSOLE_VARIABLE).ok().filter(|address| !address.is_empty());
-    let address = named.or_else(|| config.console.clone())?;
+    let overriding = std::env::var(CONSOLE_VARIABLE).ok().filter(|address| !address.is_empty());
+    let address = overriding.or_else(|| config.console.clone())?;
     match TcpListener::bind(&address).await {
         Ok(listener) => {
             let bound = listener.local_addr().map_or(address, |at| at.to_string());
@@ -99,7 +99,7 @@
     }
 }
 
-/// Answers operators after a hand-over: with the figures that this process counted, and that it serves no clients.
+/// Answers operators after a hand-over: with the metrics that this process counted, and that it serves no clients.
 async fn answer_after_handover(
     control_requests: &mut mpsc::Receiver<ControlRequest>,
     metrics: &EngineMetrics,
@@ -115,12 +115,12 @@
 
 /// Runs the daemon until the courier has shut down, or was handed over and this process may end.
 pub async fn run() -> Result<(), StartError> {
-    // First of all: without a handler, SIGHUP and SIGTERM would end the process.
+    // Before anything else: without a handler, SIGHUP and SIGTERM would end the process.
     let hang_up = signal(SignalKind::hangup())?;
     let mut terminate = signal(SignalKind::terminate())?;
     let state_folder = PathBuf::from(required_variable("BALANCER_STATE")?);
     let path = PathBuf::from(required_variable("BALANCER_CONFIG")?);
-    // Validates all of the configuration first: a bad one must not take over a running courier.
+    // Validates all of the configuration first: a process with an invalid one must not take over a running courier.
     let config = read_config(&path)?;
     let options = match std::env::var_os(JOURNAL_FILE_VARIABLE) {
         Some(path) => Options::read(Path::new(&path))?,
@@ -188,14 +188,14 @@
     if let Some(group) = &service.group {
         group.join(&group_state);
         let (group, mut terminated) = (group.clone(), service.terminated.clone());
-        // On SIGTERM at once, not after the last message, so that other members can take over the duties held here.
+        // Leaves at SIGTERM, not after the last message, so that other members can take over the duties held here at once.
         tokio::task::spawn_local(async move {
             if terminated.wait_for(|is_terminated| *is_terminated).await.is_ok() {
                 group.leave().await;
             }
         });
     }
-    // Lives as long as this process owns the courier: requests that arrive during a failing hand-over are handled after it.
+    // Runs as long as this process owns the courier: requests that arrive during a failing hand-over are handled after it.
     let handover_listener = service.has_console.then(|| {
         let state_folder = service.state_folder.clone();
         tokio::task::spawn_local(async move { upgrade::listen(&state_folder, requests).await })
--- a/crates/gullcart/src/main.rs
+++ b/crates/gullcart/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon `gullcart`: runs the courier on one thread until the process is told to end.
+//! The daemon `gullcart`: runs the courier on one thread until the process is asked to shut down.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
--- a/crates/gullcart/src/resp.rs
+++ b/crates/gullcart/src/resp.rs
@@ -90,8 +90,8 @@
 }
 
 /// Parses `ENQUEUE key id fields body`, with the fields written as `name=value,...`.
-pub fn parse_enqueue(words: &[Bytes]) -> Result<Enqueue, &'static str> {
-    let [_, key, id, fields, body] = words else {
+pub fn parse_enqueue(arguments: &[Bytes]) -> Result<Enqueue, &'static str> {
+    let [_, key, id, fields, body] = arguments else {
         return Err("ENQUEUE takes a key, an id, fields and a body");
     };
     if body.len() > MAX_BODY_BYTES {
--- a/crates/gullcart/src/service.rs
+++ b/crates/gullcart/src/service.rs
@@ -42,7 +42,7 @@
 const IDLE_SEED_MASK: u64 = 0x6964_6c65;
 /// Combined with the seed for the times of requests to discovery.
 const LIST_SEED_MASK: u64 = 0x6c69_7374;
-/// Combined with the seed for the requests of trial duties.
+/// Combined with the seed for the requests for trial duties.
 const DUTY_SEED_MASK: u64 = 0x6475_7479;
 /// Combined with the seed for the backoff between attempts to send notices.
 const NOTICE_SEED_MASK: u64 = 0x6e6f_7465;
@@ -68,7 +68,7 @@
     pub journal_options: Options,
     /// The current address of discovery's agent.
     pub discovery_address: watch::Receiver<String>,
-    /// True once the process was told to end.
+    /// True once the process was asked to shut down.
     pub terminated: watch::Receiver<bool>,
     /// Whether the process has a console. Only such a process hands its courier over or takes one over.
     pub has_console: bool,
@@ -207,18 +207,19 @@
             .into_iter()
             .zip(descriptors)
             .filter(|_| is_state_resumed)
-            .filter_map(|(carried, connection)| {
-                let try_for = Duration::from_micros(carried.timeout_us);
-                let call = engine.in_flight_call(MessageId(carried.message), try_for)?;
+            .filter_map(|(handed_over, connection)| {
+                let timeout = Duration::from_micros(handed_over.timeout_us);
+                let call = engine.in_flight_call(MessageId(handed_over.message), timeout)?;
                 let stream = std::net::TcpStream::from(connection);
                 stream.set_nonblocking(true).ok()?;
-                let elapsed = Duration::from_micros(carried.elapsed_us);
-                let earlier_answers = ConnectionAnswers::from_fingerprints(&carried.earlier_response_hashes);
+                let elapsed = Duration::from_micros(handed_over.elapsed_us);
+                let earlier_answers =
+                    ConnectionAnswers::from_fingerprints(&handed_over.earlier_response_hashes);
                 Some((
                     call,
                     ResumedCall {
                         stream: Some(stream),
-                        response_bytes: carried.response,
+                        response_bytes: handed_over.response,
                         earlier_answers,
                         elapsed,
                     },
@@ -240,16 +241,16 @@
             max_long_requests: (config.limits.memory_mb * LONG_REQUESTS_PER_MB) as usize,
         };
         let clients = Clients::new(event_sender.clone(), phase_receiver, limits);
-        for (carried, connection) in state.clients.into_iter().zip(connections) {
-            let HandoverClient { is_fresh, unprocessed: unread } = carried;
-            let moved =
-                HandedOverClient { stream: connection.into(), is_new: is_fresh, unread_bytes: unread };
-            if let Err(error) = moved.stream.set_nonblocking(true).and_then(|()| clients.adopt(moved)) {
+        for (handed_over, connection) in state.clients.into_iter().zip(connections) {
+            let HandoverClient { is_fresh, unprocessed } = handed_over;
+            let client =
+                HandedOverClient { stream: connection.into(), is_new: is_fresh, unread_bytes: unprocessed };
+            if let Err(error) = client.stream.set_nonblocking(true).and_then(|()| clients.adopt(client)) {
                 warn!(%error, "cannot take over a client's connection");
             }
         }
 
-        // Listens only now that all messages accepted before are held again.
+        // Listens only after the messages accepted earlier were restored.
         let (listener, address) = self
             .listen(handed_over_listener)
             .map_err(|error| StartError::Listen(config.listen.clone(), error))?;
@@ -284,16 +285,16 @@
 
     /// Uses the listener that was handed over, if it has the configured address; otherwise opens one.
     fn listen(&self, handed_over: Option<OwnedFd>) -> std::io::Result<(TcpListener, SocketAddr)> {
-        let named = self.config.listen.parse::<SocketAddr>().ok();
+        let configured = self.config.listen.parse::<SocketAddr>().ok();
         if let Some(handed_over) = handed_over {
             let listener = std::net::TcpListener::from(handed_over);
             listener.set_nonblocking(true)?;
             let address = listener.local_addr()?;
-            if named.is_none_or(|named| named == address || named.port() == 0) {
+            if configured.is_none_or(|configured| configured == address || configured.port() == 0) {
                 return Ok((TcpListener::from_std(listener)?, address));
             }
         }
-        let listener = match named {
+        let listener = match configured {
             Some(address) => {
                 let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
                 socket.set_reuseaddr(true)?;
@@ -335,12 +336,17 @@
             descriptors.push(stream.into());
         }
         descriptors.extend(call_connections);
-        let (of_clients, of_calls) = (state.clients.len(), state.calls.len());
+        let (client_count, call_count) = (state.clients.len(), state.calls.len());
         let mut engine = Some(engine);
-        let act = upgrade::hand_over(stream, &state, &descriptors, || drop(engine.take()));
+        let action = upgrade::hand_over(stream, &state, &descriptors, || drop(engine.take()));
         let took = started_at.elapsed();
-        if act == HandoverAction::Finish {
-            info!(?took, of_clients, of_calls, "the courier was handed over to another process");
+        if action == HandoverAction::Finish {
+            info!(
+                ?took,
+                of_clients = client_count,
+                of_calls = call_count,
+                "the courier was handed over to another process"
+            );
             return Ok(HandoverResult::HandedOver(Box::new(last_metrics)));
         }
         // Reopens the journal. The lock was released for the hand-over, or is released here; if another process has taken it in
--- a/crates/gullcart/src/upgrade.rs
+++ b/crates/gullcart/src/upgrade.rs
@@ -238,7 +238,7 @@
     /// Confirms to the previous process that this one serves, so that it drops its copy of the courier.
     pub fn confirm_serving(mut self) -> Result<(), HandoverError> {
         send_word(&mut self.stream, handshake::SERVING)?;
-        info!("the previous process has given the courier up");
+        info!("the courier was taken over from the previous process");
         Ok(())
     }
 }
--- a/crates/gullcartctl/src/group.rs
+++ b/crates/gullcartctl/src/group.rs
@@ -191,8 +191,8 @@
         }
         for answer in &members {
             match (&answer.status, &answer.error) {
-                (Some(Status { problem: Some(trouble), .. }), _) => {
-                    problems.push(format!("{}: {trouble}", answer.name));
+                (Some(Status { problem: Some(problem), .. }), _) => {
+                    problems.push(format!("{}: {problem}", answer.name));
                 }
                 (Some(status), _) if answer.is_voter && !status.votes => {
                     problems.push(format!(
