--- a/crates/gullcart-engine/src/destination_metrics.rs
+++ b/crates/gullcart-engine/src/destination_metrics.rs
@@ -6,7 +6,8 @@
 
 /// Log target of these lines. `GULLCART_LOG=gullcart::tally=debug` enables them.
 pub const DESTINATION_METRICS_TARGET: &str = "gullcart::tally";
-/// Maximum number of destinations logged per second. The number of omitted ones is logged in the field `beyond` of one more line.
+/// Maximum number of destinations logged per second. The number of omitted ones is logged in the field `beyond`
+/// of one more line.
 const MAX_DESTINATIONS: usize = 1024;
 
 /// Counters of one destination since the last log line.
--- a/crates/gullcart-engine/src/discovery_backoff.rs
+++ b/crates/gullcart-engine/src/discovery_backoff.rs
@@ -63,7 +63,7 @@
 
 impl DiscoveryBackoff {
     /// For one of `couriers` couriers; zero counts as one. `drain_grace` is how long an endpoint may still get new work after
-    /// the courier was told that it drains. `seed` must differ between couriers.
+    /// the list reports that it drains. `seed` must differ between couriers.
     pub fn new(couriers: u32, drain_grace: Duration, seed: u64) -> Self {
         let mean_interval = MEAN_INTERVAL_PER_COURIER
             .saturating_mul(couriers.max(1))
--- a/crates/gullcart-engine/src/duplicate_answers.rs
+++ b/crates/gullcart-engine/src/duplicate_answers.rs
@@ -1,7 +1,7 @@
 //! Detects answers that do not belong to the call in flight on their connection. No I/O and no clock.
 //!
 //! An HTTP/1.1 answer does not name its call. On a reused connection an endpoint or proxy may write an earlier answer a second
-//! time, and only the content tells the call's own answer from such a duplicate. Therefore:
+//! time, and only the content distinguishes the call's own answer from such a duplicate. Therefore:
 //!
 //! - A connection is reused only while all its answers were successful deliveries with distinct content, and only for
 //!   endpoints whose recent answers differ from each other.
@@ -13,7 +13,7 @@
 use std::collections::VecDeque;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Maximum calls on one connection. Each new answer is compared with all earlier ones of the connection.
+/// Maximum number of calls on one connection. Each new answer is compared with all earlier ones of the connection.
 const MAX_CALLS_PER_CONNECTION: usize = 8;
 /// Maximum size of an answer, head and body, after which a connection is reused: the bytes are kept to find duplicates.
 const MAX_COMPARED_BYTES: usize = 2 << 10;
@@ -27,7 +27,7 @@
 pub struct AnswerFingerprint(u64);
 
 impl AnswerFingerprint {
-    /// Hashes a body. An empty body has no fingerprint: it cannot be told from another empty one.
+    /// Hashes a body. An empty body has no fingerprint: it cannot be distinguished from another empty one.
     pub fn of(body: &[u8]) -> Option<Self> {
         (!body.is_empty()).then(|| AnswerFingerprint(xxh3_64(body)))
     }
--- a/crates/gullcart-engine/src/message_trace.rs
+++ b/crates/gullcart-engine/src/message_trace.rs
@@ -21,7 +21,8 @@
     );
 }
 
-/// An enqueue request added no message: it was rejected, or the message is already held. `pending_count` is the number of messages held.
+/// An enqueue request added no message: it was rejected, or the message is already held. `pending_count` is
+/// the number of messages held.
 pub(crate) fn not_accepted(enqueue: &Enqueue, answer: &Answer, pending_count: usize) {
     let Enqueue { id, order_key, class, destination, .. } = enqueue;
     let order = format_args!("{order_key:016x}");
--- a/crates/gullcart-engine/src/trial_duties/tests.rs
+++ b/crates/gullcart-engine/src/trial_duties/tests.rs
@@ -104,7 +104,7 @@
     let (sent, requests) = simulation.advance_in_outage(3000);
     assert!(
         sent > 0 && requests.is_empty(),
-        "without news of the holder the courier makes its own trials: {requests:?}"
+        "without a known holder the courier makes its own trials: {requests:?}"
     );
 }
 
--- a/crates/gullcart-engine/tests/promises.rs
+++ b/crates/gullcart-engine/tests/promises.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// The state that the journal has after a crash at this moment.
-fn image_after_crash(disk: &Disk, crash: Crash) -> JournalState {
+fn state_after_crash(disk: &Disk, crash: Crash) -> JournalState {
     journal(&disk.after_crash(), crash).state().clone()
 }
 
@@ -23,13 +23,13 @@
 fn check_promises(
     effects: &[Effect],
     commands: &BTreeMap<Ticket, OperatorCommand>,
-    image: &JournalState,
+    journal_state: &JournalState,
 ) -> Result<(), String> {
     for effect in effects {
         let is_kept = match effect {
-            Effect::Answer(_, Answer::Taken(message)) => image.pending.contains_key(&message.0),
+            Effect::Answer(_, Answer::Taken(message)) => journal_state.pending.contains_key(&message.0),
             Effect::StartCall(call) => {
-                image.pending.get(&call.message.0).is_some_and(|held| held.in_flight.is_some())
+                journal_state.pending.get(&call.message.0).is_some_and(|held| held.in_flight.is_some())
             }
             Effect::CommandResult(ticket, Ok(())) => match commands.get(ticket) {
                 // The last command for an endpoint in a turn decides.
@@ -37,13 +37,15 @@
                     let last = commands.values().rev().find(|command| match command {
                         OperatorCommand::Suspend(other) | OperatorCommand::Unsuspend(other) => other == uid,
                     });
-                    image.suspended_uids.contains(uid) == matches!(last, Some(OperatorCommand::Suspend(_)))
+                    journal_state.suspended_uids.contains(uid)
+                        == matches!(last, Some(OperatorCommand::Suspend(_)))
                 }
                 None => false,
             },
-            Effect::SendNotice(notice) => {
-                image.pending.get(&notice.message.0).is_some_and(|held| held.verdict == Some(notice.verdict))
-            }
+            Effect::SendNotice(notice) => journal_state
+                .pending
+                .get(&notice.message.0)
+                .is_some_and(|held| held.verdict == Some(notice.verdict)),
             _ => true,
         };
         if !is_kept {
@@ -140,11 +142,11 @@
     /// Resumes the engine in another process, with the same messages, calls and metrics. Only notices are sent once more.
     fn resume_in_other_process(&mut self) {
         let before = (self.engine.load(), self.engine.metrics(self.now).endpoints_excluded);
-        let image = self.engine.journal().state().clone();
+        let journal_state = self.engine.journal().state().clone();
         let (effects, snapshot) = self.engine.freeze(self.now).unwrap();
         assert!(effects.is_empty(), "{effects:?}");
         let journal = journal(&self.disk, self.crash);
-        assert_eq!(journal.state().pending, image.pending);
+        assert_eq!(journal.state().pending, journal_state.pending);
         let (engine, resumed) = Engine::resume(config(self.now), journal, &snapshot.unwrap());
         assert_eq!(resumed, Ok(()));
         self.engine = engine;
@@ -210,8 +212,8 @@
         }
         calls += effects.iter().filter(|effect| matches!(effect, Effect::StartCall(_))).count() as u64;
         notices += effects.iter().filter(|effect| matches!(effect, Effect::SendNotice(_))).count() as u64;
-        let image = image_after_crash(&simulation.disk, crash);
-        check_promises(&effects, &simulation.commands, &image)
+        let journal_state = state_after_crash(&simulation.disk, crash);
+        check_promises(&effects, &simulation.commands, &journal_state)
             .unwrap_or_else(|error| panic!("seed {seed}, turn {turn}: {error}"));
         if turn % 41 == 40 {
             simulation.resume_in_other_process();
@@ -221,7 +223,7 @@
             let in_flight: Vec<MessageId> = simulation.in_flight.keys().copied().collect();
             let salaries: Vec<MessageId> = in_flight
                 .into_iter()
-                .filter(|message| image.pending[&message.0].message.class == "salary")
+                .filter(|message| journal_state.pending[&message.0].message.class == "salary")
                 .collect();
             simulation.disk = simulation.disk.after_crash();
             simulation.in_flight.clear();
@@ -371,8 +373,11 @@
     assert!(!engine.may_exit(PROCESS_START + Duration::from_millis(3199)));
     assert!(engine.may_exit(PROCESS_START + Duration::from_millis(3200)));
     assert!(engine.next_wake().is_some_and(|at| at <= PROCESS_START + Duration::from_millis(3200)));
-    let image = image_after_crash(&disk, Crash::Process);
-    assert!(image.pending.values().all(|held| held.verdict != Some(Verdict::Returned { after_ms: 0 })));
+    let journal_state = state_after_crash(&disk, Crash::Process);
+    assert!(journal_state
+        .pending
+        .values()
+        .all(|held| held.verdict != Some(Verdict::Returned { after_ms: 0 })));
 }
 
 /// Neither the outcome of the first attempt nor the start of the second one could be recorded, so the second one was not made.
--- a/crates/gullcart-group/src/node.rs
+++ b/crates/gullcart-group/src/node.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Minimum time before the same voter is told the current run again.
+/// Minimum time before the current run is sent to the same voter again.
 const RUN_NOTICE_INTERVAL: Duration = Duration::from_millis(50);
 /// Maximum number of exchanges between the local voter and the local member in one poll.
 const MAX_LOCAL_ROUNDS: usize = 4;
--- a/crates/gullcart/src/calls.rs
+++ b/crates/gullcart/src/calls.rs
@@ -81,7 +81,7 @@
 /// belong to another endpoint by now, which must not get the connections of its predecessor.
 pub struct ConnectionPool {
     idle: RefCell<HashMap<EndpointId, Vec<Connection>>>,
-    /// Response statistics of each endpoint in use, which tell whether its responses can be told apart.
+    /// Response statistics of each endpoint in use, which show whether its responses can be distinguished.
     endpoint_answers: RefCell<HashMap<EndpointId, EndpointAnswers>>,
     /// Descriptors in use: idle, with a call, reading the rest of a response, or being abandoned.
     open_descriptors: Rc<Cell<usize>>,
@@ -90,7 +90,7 @@
     max_idle_time: Duration,
     max_open: usize,
     max_idle: usize,
-    idle_share: RefCell<IdleConnectionPolicy>,
+    idle_policy: RefCell<IdleConnectionPolicy>,
     #[cfg(feature = "broken")]
     accepts_copies: Cell<bool>,
 }
@@ -99,10 +99,10 @@
     /// A pool of at most `max_open` connections, of which at most `max_idle` are idle.
     pub fn new(
         connect_timeout: Duration,
-        conn_idle: Duration,
+        connection_idle_timeout: Duration,
         max_open: usize,
         max_idle: usize,
-        idle_share: IdleConnectionPolicy,
+        idle_policy: IdleConnectionPolicy,
     ) -> Self {
         ConnectionPool {
             idle: RefCell::default(),
@@ -110,10 +110,10 @@
             open_descriptors: Rc::default(),
             descriptor_released: Rc::default(),
             connect_timeout,
-            max_idle_time: conn_idle.mul_f64(IDLE_TIME_FRACTION),
+            max_idle_time: connection_idle_timeout.mul_f64(IDLE_TIME_FRACTION),
             max_open,
             max_idle,
-            idle_share: RefCell::new(idle_share),
+            idle_policy: RefCell::new(idle_policy),
             #[cfg(feature = "broken")]
             accepts_copies: Cell::default(),
         }
@@ -191,14 +191,14 @@
         let endpoint_answers = answers.entry(endpoint).or_default();
         match accepted {
             Ok(()) => endpoint_answers.observe(fingerprint),
-            Err(doubt) => {
+            Err(ambiguity) => {
                 endpoint_answers.observe_ambiguous();
                 let (port, calls) = (stream.local_port(), stream.call_count());
                 warn!(
                     endpoint = endpoint.0,
                     port,
                     calls,
-                    ?doubt,
+                    doubt = ?ambiguity,
                     "a response may be a copy of an earlier one"
                 );
             }
@@ -220,7 +220,7 @@
     /// Keeps a connection for later calls, within the limits.
     fn keep_idle(&self, endpoint: EndpointId, mut connection: Connection) {
         // An endpoint accepts few connections, so each courier keeps only its share of the idle ones.
-        if !self.idle_share.borrow_mut().should_keep() {
+        if !self.idle_policy.borrow_mut().should_keep() {
             return log_closed(endpoint, "not kept, to leave room at the endpoint for other couriers");
         }
         connection.idle_since = Instant::now();
@@ -297,7 +297,7 @@
         let elapsed = resumed.as_ref().map_or(Duration::ZERO, |resumed| resumed.elapsed);
         let started_at = Instant::now().checked_sub(elapsed).unwrap_or_else(Instant::now);
         let end = started_at + call.try_for;
-        let ended =
+        let result_with =
             |outcome| CallResult { outcome, latency: started_at.elapsed(), is_final: false, allowance: None };
         loop {
             let limit = ConnectLimit::new(end.min(started_at + self.connect_timeout), send_by);
@@ -305,15 +305,15 @@
             let is_unsent = resumed.is_none();
             let (mut connection, is_new) = tokio::select! {
                 biased;
-                reason = &mut stop, if is_unsent => return ended(outcome_if_unsent(reason.ok())),
+                reason = &mut stop, if is_unsent => return result_with(outcome_if_unsent(reason.ok())),
                 ready = self.connection_for(&call, limit, resumed.as_mut()) => match ready {
                     Ok(ready) => ready,
-                    Err(outcome) => return ended(outcome),
+                    Err(outcome) => return result_with(outcome),
                 },
             };
             let (port, before) = (connection.stream.local_port(), connection.stream.call_count());
             debug!(target: MESSAGE_TRACE_TARGET, id = call.id, fresh = is_new, port, before, after = ?started_at.elapsed(), "connection ready");
-            let Ok(request) = build_request(&call) else { return ended(Outcome::NotSent) };
+            let Ok(request) = build_request(&call) else { return result_with(Outcome::NotSent) };
             let stream = connection.stream.clone();
             stream.begin_call(call.body.len(), progress.clone(), send_by);
             if let Some(resumed) = resumed.take() {
@@ -365,13 +365,13 @@
             };
             // Before the outcome is returned: until the connection is closed, the endpoint may still run the call.
             connection.abandon().await;
-            return CallResult { latency, is_final: outcome == Outcome::Ok, ..ended(outcome) };
+            return CallResult { latency, is_final: outcome == Outcome::Ok, ..result_with(outcome) };
         }
     }
 
     /// Handles a response after its head. A 200 is trusted at once on the connection's first response. Everything else is
     /// trusted only once the response is complete: by then the endpoint has finished with the call, and a copy of an earlier
-    /// response can be told from a delivery.
+    /// response can be distinguished from a delivery.
     async fn read_response(
         self: &Rc<Self>,
         endpoint: EndpointId,
@@ -380,17 +380,17 @@
         started_at: Instant,
         end: Instant,
     ) -> CallResult {
-        let ended = parse_response_head(&response, started_at.elapsed());
+        let result = parse_response_head(&response, started_at.elapsed());
         let is_first = connection.stream.earlier_answers.borrow().is_empty();
         let rest = finish_response(self.clone(), endpoint, connection, response, end);
-        if ended.outcome == Outcome::Ok && is_first {
+        if result.outcome == Outcome::Ok && is_first {
             tokio::task::spawn_local(rest);
-            return ended;
+            return result;
         }
         if rest.await {
-            ended
+            result
         } else {
-            CallResult { outcome: Outcome::Malformed, is_final: false, allowance: None, ..ended }
+            CallResult { outcome: Outcome::Malformed, is_final: false, allowance: None, ..result }
         }
     }
 }
@@ -435,8 +435,8 @@
     Stopped(Option<StopReason>),
 }
 
-/// The outcome of a call that was stopped before its first byte was written, and so never ran. A call that was called off
-/// counts as a failed connection; one that was withdrawn says nothing about the endpoint.
+/// The outcome of a call that was stopped before its first byte was written, and so never ran. A cancelled call counts
+/// as a failed connection; one that was withdrawn says nothing about the endpoint.
 fn outcome_if_unsent(reason: Option<StopReason>) -> Outcome {
     match reason {
         Some(StopReason::Cancelled) => Outcome::ConnectFailed,
--- a/crates/gullcart/src/config.rs
+++ b/crates/gullcart/src/config.rs
@@ -75,7 +75,7 @@
     /// A file, a signal or a socket cannot be used.
     #[error("the configuration: {0}")]
     Read(#[from] std::io::Error),
-    /// The configuration file is no valid JSON of its format.
+    /// The configuration file is not valid JSON of the expected format.
     #[error("the configuration: {0}")]
     Parse(#[from] serde_json::Error),
     /// A setting is invalid.
@@ -107,7 +107,7 @@
     Listen(String, std::io::Error),
 }
 
-/// How the descriptors are divided. Each part keeps within its own share, and closes idle connections for new ones.
+/// How the descriptors are divided. Each part stays within its own share, and closes idle connections for new ones.
 pub struct DescriptorBudget {
     /// Descriptors of clients' connections.
     pub clients: usize,
--- a/crates/gullcart/src/discovery.rs
+++ b/crates/gullcart/src/discovery.rs
@@ -1,5 +1,5 @@
-//! The client of discovery's agent: watches the list of endpoints, and sends notices that end messages. Each request uses a new
-//! connection, since a duplicate of an earlier response could not be told from its own response.
+//! The client of discovery's agent: watches the list of endpoints, and sends the notices of undelivered messages. Each request uses a new
+//! connection, since a duplicate of an earlier response could not be distinguished from its own response.
 
 use bytes::Bytes;
 use gullcart_engine::{
@@ -67,7 +67,7 @@
     Ok(sender)
 }
 
-/// The current address of discovery's agent; a change is followed at once.
+/// The current address of discovery's agent; a change takes effect at once.
 pub type AgentAddress = watch::Receiver<String>;
 
 /// Watches the list, starting after revision `rev`, and never ends. A watch that fails is opened again at the time that
--- a/crates/gullcart/src/resp.rs
+++ b/crates/gullcart/src/resp.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Maximum number of words in a request.
-const MAX_WORDS: usize = 16;
+/// Maximum number of arguments in a request.
+const MAX_ARGUMENTS: usize = 16;
 /// Maximum length of a message's body.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// Maximum length of a request without its longest word, the body: the key, the id, the fields and all length lines.
+/// Maximum length of a request without its longest argument, the body: the key, the id, the fields and all length lines.
 const MAX_OVERHEAD_BYTES: usize = 4 << 10;
 /// Maximum length of a line with a count or a length.
 const MAX_LENGTH_LINE_BYTES: usize = 32;
@@ -41,19 +41,19 @@
 /// so that depth and size are limited before anything is allocated: general RESP decoders recurse as deep as the input says.
 pub fn decode(buffer: &mut BytesMut) -> Result<Option<Vec<Bytes>>, RespError> {
     let Some((count, mut at)) = parse_length_line(buffer, 0, b'*')? else { return Ok(None) };
-    if count > MAX_WORDS {
+    if count > MAX_ARGUMENTS {
         return Err(RespError::TooLong);
     }
     let mut spans = Vec::with_capacity(count);
-    let mut longest_word = 0;
+    let mut longest_argument = 0;
     for _ in 0..count {
         let Some((length, start)) = parse_length_line(buffer, at, b'$')? else { return Ok(None) };
         if length > MAX_BODY_BYTES {
             return Err(RespError::TooLong);
         }
         let end = start + length;
-        longest_word = longest_word.max(length);
-        if end - longest_word > MAX_OVERHEAD_BYTES {
+        longest_argument = longest_argument.max(length);
+        if end - longest_argument > MAX_OVERHEAD_BYTES {
             return Err(RespError::TooLong);
         }
         match buffer.get(end..end + 2) {
--- a/crates/gullcart/src/resp/tests.rs
+++ b/crates/gullcart/src/resp/tests.rs
@@ -3,11 +3,11 @@
 use super::*;
 use proptest::prelude::*;
 
-fn encode(words: &[Vec<u8>]) -> Vec<u8> {
-    let mut bytes = format!("*{}\r\n", words.len()).into_bytes();
-    for word in words {
-        bytes.extend(format!("${}\r\n", word.len()).as_bytes());
-        bytes.extend(word);
+fn encode(arguments: &[Vec<u8>]) -> Vec<u8> {
+    let mut bytes = format!("*{}\r\n", arguments.len()).into_bytes();
+    for argument in arguments {
+        bytes.extend(format!("${}\r\n", argument.len()).as_bytes());
+        bytes.extend(argument);
         bytes.extend(b"\r\n");
     }
     bytes
@@ -19,8 +19,8 @@
     let mut requests = Vec::new();
     for part in parts {
         buffer.extend_from_slice(part);
-        while let Some(words) = decode(&mut buffer)? {
-            requests.push(words);
+        while let Some(arguments) = decode(&mut buffer)? {
+            requests.push(arguments);
         }
     }
     Ok(requests)
@@ -32,9 +32,9 @@
         requests in prop::collection::vec(prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 1..8), 1..4),
         cut in any::<prop::sample::Index>(),
     ) {
-        let bytes: Vec<u8> = requests.iter().flat_map(|words| encode(words)).collect();
+        let bytes: Vec<u8> = requests.iter().flat_map(|arguments| encode(arguments)).collect();
         let (first, second) = bytes.split_at(cut.index(bytes.len() + 1));
-        prop_assert_eq!(decode_parts([first, second]), Ok(requests.iter().map(|words| words.iter().map(|word| Bytes::copy_from_slice(word)).collect()).collect()));
+        prop_assert_eq!(decode_parts([first, second]), Ok(requests.iter().map(|arguments| arguments.iter().map(|argument| Bytes::copy_from_slice(argument)).collect()).collect()));
     }
 
     /// Invalid input causes no panic, and the same result however it is split.
@@ -51,7 +51,7 @@
 #[test]
 fn the_length_of_a_request_is_limited_as_a_whole() {
     let body = vec![b'x'; MAX_BODY_BYTES];
-    let words = |other: usize| encode(&[b"ENQUEUE".to_vec(), vec![b'y'; other], body.clone()]);
-    assert!(decode_parts([&words(100), b""]).is_ok());
-    assert_eq!(decode_parts([&words(MAX_OVERHEAD_BYTES), b""]), Err(RespError::TooLong));
+    let arguments = |other: usize| encode(&[b"ENQUEUE".to_vec(), vec![b'y'; other], body.clone()]);
+    assert!(decode_parts([&arguments(100), b""]).is_ok());
+    assert_eq!(decode_parts([&arguments(MAX_OVERHEAD_BYTES), b""]), Err(RespError::TooLong));
 }
--- a/crates/gullcart/src/upgrade.rs
+++ b/crates/gullcart/src/upgrade.rs
@@ -1,5 +1,5 @@
-//! The socket over which a running courier is handed over to a process that was started beside it. The protocol's words and
-//! steps are defined in `gullcart-handover`; this module transfers the bytes and descriptors. The courier is stopped meanwhile,
+//! The socket over which a running courier is handed over to a process that was started beside it. The handshake bytes and steps of the
+//! protocol are defined in `gullcart-handover`; this module transfers the bytes and descriptors. The courier is stopped meanwhile,
 //! so the transfer uses blocking calls with timeouts.
 
 use gullcart_handover::{
@@ -27,11 +27,11 @@
 
 /// Descriptors in one message of the socket.
 const DESCRIPTORS_PER_MESSAGE: usize = 64;
-/// How long each side waits for the other one's next word: the new process may have to replay its journal before it.
+/// How long each side waits for the other one's next handshake byte: the new process may have to replay its journal first.
 const PEER_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long the running process waits until a new one has read the state: no client is served meanwhile.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long the running process waits for the first word of a new one.
+/// How long the running process waits for the first handshake byte of a new one.
 const HELLO_TIMEOUT: Duration = Duration::from_millis(200);
 /// Time between attempts to bind the socket's name, which a previous process may still hold.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
@@ -49,8 +49,8 @@
     #[error("the other process belongs to another user")]
     ForeignUser,
     /// The other process does not follow the protocol.
-    #[error("the other process sent an unexpected word")]
-    UnexpectedWord,
+    #[error("the other process sent an unexpected handshake byte")]
+    UnexpectedByte,
     /// The number of descriptors received differs from the state's.
     #[error("{0} descriptors received, but {1} announced")]
     Descriptors(usize, usize),
@@ -67,19 +67,19 @@
     Ok(rustix::net::sockopt::socket_peercred(stream)?.uid == rustix::process::geteuid())
 }
 
-/// Sends a word of the protocol.
-fn send_word(stream: &mut UnixStream, word: u8) -> io::Result<()> {
-    stream.write_all(&[word])
+/// Sends a handshake byte.
+fn send_byte(stream: &mut UnixStream, byte: u8) -> io::Result<()> {
+    stream.write_all(&[byte])
 }
 
-/// Receives a word of the protocol; any other word is an error.
-fn expect_word(stream: &mut UnixStream, word: u8) -> Result<(), HandoverError> {
+/// Receives the handshake byte `expected`; any other byte is an error.
+fn expect_byte(stream: &mut UnixStream, expected: u8) -> Result<(), HandoverError> {
     let mut received = [0];
     stream.read_exact(&mut received)?;
-    if received[0] == word {
+    if received[0] == expected {
         Ok(())
     } else {
-        Err(HandoverError::UnexpectedWord)
+        Err(HandoverError::UnexpectedByte)
     }
 }
 
@@ -103,7 +103,7 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 let Ok(stream) = stream.into_std() else { continue };
-                // Processes of other users are refused before they can delay the driver, which waits for the first word.
+                // Processes of other users are refused before they can delay the driver, which waits for the first byte.
                 if !is_same_user(&stream).unwrap_or(false) {
                     warn!("a process of another user asked for a hand-over");
                 } else if requests.send(ControlRequest::HandOver(stream)).await.is_err() {
@@ -115,14 +115,14 @@
     }
 }
 
-/// Waits briefly for the first word of a process that asks for the courier; false if it is missing or wrong.
+/// Waits briefly for the first handshake byte of a process that asks for the courier; false if it is missing or wrong.
 pub fn receive_hello(stream: &mut UnixStream) -> bool {
     let configured = stream
         .set_nonblocking(false)
         .and_then(|()| stream.set_read_timeout(Some(HELLO_TIMEOUT)))
         .and_then(|()| stream.set_write_timeout(Some(PEER_TIMEOUT)));
     configured.is_ok()
-        && expect_word(stream, handshake::HELLO).is_ok()
+        && expect_byte(stream, handshake::HELLO).is_ok()
         && stream.set_read_timeout(Some(TRANSFER_TIMEOUT)).is_ok()
 }
 
@@ -136,7 +136,7 @@
     let mut sender = HandoverSender::default();
     sender.handle(HandoverEvent::Hello);
     let sent = send_state(&mut stream, state, descriptors)
-        .and_then(|()| expect_word(&mut stream, handshake::ACCEPTED));
+        .and_then(|()| expect_byte(&mut stream, handshake::ACCEPTED));
     if let Err(error) = sent {
         warn!(%error, "the courier stays in this process");
         return sender.handle(HandoverEvent::ReceiverFailed);
@@ -146,9 +146,9 @@
     release();
     sender.handle(HandoverEvent::LockReleased);
     let served = configured
-        .and_then(|()| send_word(&mut stream, handshake::LOCK_RELEASED))
+        .and_then(|()| send_byte(&mut stream, handshake::LOCK_RELEASED))
         .map_err(HandoverError::from)
-        .and_then(|()| expect_word(&mut stream, handshake::SERVING));
+        .and_then(|()| expect_byte(&mut stream, handshake::SERVING));
     match served {
         Ok(()) => sender.handle(HandoverEvent::Serving),
         Err(error) => {
@@ -209,14 +209,14 @@
         }
         stream.set_read_timeout(Some(PEER_TIMEOUT))?;
         stream.set_write_timeout(Some(PEER_TIMEOUT))?;
-        let mut head = [0; HEADER_BYTES];
-        if send_word(&mut stream, handshake::HELLO).and_then(|()| stream.read_exact(&mut head)).is_err() {
+        let mut header = [0; HEADER_BYTES];
+        if send_byte(&mut stream, handshake::HELLO).and_then(|()| stream.read_exact(&mut header)).is_err() {
             return Ok(RequestOutcome::Unavailable);
         }
-        let head = decode_header(&head)?;
-        let mut body = vec![0; head.length];
+        let header = decode_header(&header)?;
+        let mut body = vec![0; header.length];
         stream.read_exact(&mut body)?;
-        let state = decode_state(head, &body)?;
+        let state = decode_state(header, &body)?;
         let announced = state.descriptor_count();
         let mut descriptors = Vec::with_capacity(announced.min(MAX_DESCRIPTORS));
         while descriptors.len() < announced {
@@ -231,13 +231,13 @@
 
     /// Accepts the courier; afterwards the lock of the folder is free.
     pub fn accept(&mut self) -> Result<(), HandoverError> {
-        send_word(&mut self.stream, handshake::ACCEPTED)?;
-        expect_word(&mut self.stream, handshake::LOCK_RELEASED)
+        send_byte(&mut self.stream, handshake::ACCEPTED)?;
+        expect_byte(&mut self.stream, handshake::LOCK_RELEASED)
     }
 
     /// Confirms to the previous process that this one serves, so that it drops its copy of the courier.
     pub fn confirm_serving(mut self) -> Result<(), HandoverError> {
-        send_word(&mut self.stream, handshake::SERVING)?;
+        send_byte(&mut self.stream, handshake::SERVING)?;
         info!("the courier was taken over from the previous process");
         Ok(())
     }
--- a/crates/gullcartctl/src/rehearse.rs
+++ b/crates/gullcartctl/src/rehearse.rs
@@ -191,10 +191,12 @@
     }
 
     fn show(&mut self, progress: &Progress) {
-        let Progress { at, of, service, breaches, owed, faults } = progress;
+        let Progress { at, of, service, breaches, owed: pending, faults } = progress;
         let faults = if faults.is_empty() { String::new() } else { format!("  [{}]", faults.join(", ")) };
-        let text =
-            format!("service {:.3}  breaches {breaches}  messages pending {owed}{faults}", service.service);
+        let text = format!(
+            "service {:.3}  breaches {breaches}  messages pending {pending}{faults}",
+            service.service
+        );
         if self.is_plain && !self.quiet && *at >= self.next_line_s {
             self.next_line_s = at + PLAIN_PROGRESS_INTERVAL_S;
             eprintln!("{at:.0}/{of:.0} s  {text}");
