--- a/crates/gullcart-engine/src/broken.rs
+++ b/crates/gullcart-engine/src/broken.rs
@@ -1,6 +1,6 @@
-//! Fault injection: deliberately broken couriers, to prove that rehearsals, which are checked simulations of a whole fleet, detect
-//! each fault. Compiled only with the
-//! feature `broken`, which no release build has. The environment variable [`FAULT_VARIABLE`] selects one fault at the start.
+//! Fault injection: deliberately broken couriers, to prove that rehearsals, which are checked simulations of a whole fleet,
+//! detect each fault. Compiled only with the feature `broken`, which no release build has. The environment variable
+//! [`FAULT_VARIABLE`] selects one fault at the start.
 
 use crate::types::CallResult;
 use cloverstile::{Effect, Outcome, ParsedSettings};
--- a/crates/gullcart-engine/src/duplicate_answers/tests.rs
+++ b/crates/gullcart-engine/src/duplicate_answers/tests.rs
@@ -11,7 +11,7 @@
     for answer in [None, fingerprint(1)] {
         let mut answers = ConnectionAnswers::default();
         assert_eq!(answers.accept(answer), Ok(()));
-        // After an empty answer the next one could not be told from a duplicate.
+        // After an empty answer the next one could not be distinguished from a duplicate.
         assert_eq!(answers.can_carry_call(), answer.is_some());
     }
 }
--- a/crates/gullcart-engine/src/engine.rs
+++ b/crates/gullcart-engine/src/engine.rs
@@ -356,7 +356,7 @@
             self.journal.add_destinations(initial_list.targets.iter().map(|target| target.pod_group));
         self.log_journal_error(now, written);
         let state = self.journal.state();
-        // The list in the journal binds unless it is older: discovery counts it as known to this courier.
+        // The list in the journal takes precedence unless it is older: discovery assumes that this courier knows it.
         if state.listing_rev == 0 || state.listing_rev < initial_list.rev {
             let update = ListingUpdate { all: true, ..initial_list };
             let listing = self.directory.apply(&update);
@@ -624,7 +624,7 @@
         self.remove_gone_endpoints();
     }
 
-    /// Applies the operators' suspensions, which hold whatever state the list gives to an endpoint.
+    /// Applies the operators' suspensions, which apply regardless of the endpoints' state in the list.
     fn suspend_listed(&mut self, now: Time) {
         for id in self.directory.set_suspended(&self.journal.state().suspended_uids) {
             self.decision_logic.handle(now, Event::Suspended(id));
@@ -640,12 +640,12 @@
         if !self.journal.state().was_listed(uid) {
             return Err(CommandError::UnknownEndpoint);
         }
-        let is_new = self.journal.state().suspended_uids.contains(uid) != suspend;
+        let is_changed = self.journal.state().suspended_uids.contains(uid) != suspend;
         if let Err(error) = self.journal.set_suspended(uid, suspend) {
             self.log_journal_error(now, Err(error));
             return Err(CommandError::NotRecorded);
         }
-        if is_new {
+        if is_changed {
             info!(uid, is_out = suspend, "an operator suspended or unsuspended an endpoint");
         }
         self.suspend_listed(now);
@@ -745,7 +745,7 @@
         }
     }
 
-    /// Whether a message is held and has no verdict.
+    /// Whether a message is pending and has no verdict.
     fn is_undecided(&self, message: MessageId) -> bool {
         self.journal.state().pending.get(&message.0).is_some_and(|pending| pending.verdict.is_none())
     }
@@ -883,7 +883,7 @@
         self.send_notice(message, verdict);
     }
 
-    /// Sends the notice for a verdict that the journal was given.
+    /// Sends the notice for a verdict that was passed to the journal.
     fn send_notice(&mut self, message: MessageId, verdict: Verdict) {
         if let Some(pending) = self.journal.state().pending.get(&message.0) {
             message_trace::notice_pending(&pending.message.id, verdict);
--- a/crates/gullcart-engine/tests/once.rs
+++ b/crates/gullcart-engine/tests/once.rs
@@ -299,10 +299,16 @@
     /// A client enqueues a message.
     fn enqueue_message(&mut self) {
         // Sometimes a client repeats the request for a message that is held, as after a lost connection.
-        let held: Vec<String> =
-            self.engine.journal().state().pending.values().map(|h| h.message.id.clone()).collect();
-        let again = self.rng.choice(held).filter(|_| self.rng.u8(..6) == 0);
-        let number = match &again {
+        let pending_ids: Vec<String> = self
+            .engine
+            .journal()
+            .state()
+            .pending
+            .values()
+            .map(|pending| pending.message.id.clone())
+            .collect();
+        let repeated_id = self.rng.choice(pending_ids).filter(|_| self.rng.u8(..6) == 0);
+        let number = match &repeated_id {
             Some(id) => id[1..].parse().unwrap(),
             None => {
                 self.last_number += 1;
@@ -312,13 +318,13 @@
         let class = ["salary", "notice", "letter"][(number % 3) as usize];
         // A message that was held by a courier that died may have run there.
         let from_dead_courier = number % 7 == 0 && class != "salary";
-        let left = if from_dead_courier { DEADLINE - ms(800) } else { DEADLINE };
+        let time_left = if from_dead_courier { DEADLINE - ms(800) } else { DEADLINE };
         let enqueue = Enqueue {
             id: format!("m{number}"),
             order_key: if class == "notice" { 1 + number % 2 } else { 0 },
             class: class.to_owned(),
             destination: (number % 3) as u32,
-            time_left: left,
+            time_left,
             idempotency_key: (class != "salary").then(|| format!("k{number}")),
             from_dead_courier,
             body: Bytes::from_static(b"x"),
@@ -330,7 +336,7 @@
         }
         self.record(format!(
             "m{number} of class {class} is enqueued, from a dead courier: {from_dead_courier}, repeated: {}",
-            again.is_some()
+            repeated_id.is_some()
         ));
         self.engine.handle(self.now, Input::Enqueue(Ticket(self.last_number), enqueue));
     }
--- a/crates/gullcart-engine/tests/promises.rs
+++ b/crates/gullcart-engine/tests/promises.rs
@@ -182,7 +182,7 @@
     }
 }
 
-fn image_of(simulation: &Simulation) -> &JournalState {
+fn state_of(simulation: &Simulation) -> &JournalState {
     simulation.engine.journal().state()
 }
 
@@ -206,7 +206,7 @@
             let Effect::StartCall(call) = effect else { continue };
             let uid = format!("s-{}", call.address.port() - 1000);
             assert!(
-                !image_of(&simulation).suspended_uids.contains(&uid),
+                !state_of(&simulation).suspended_uids.contains(&uid),
                 "seed {seed}, turn {turn}: a call to {uid}"
             );
         }
--- a/crates/gullcart/src/calls/response.rs
+++ b/crates/gullcart/src/calls/response.rs
@@ -23,7 +23,7 @@
 /// The outcome that a response's head reports for its call.
 pub(super) fn parse_response_head(response: &Response<Incoming>, latency: Duration) -> CallResult {
     let header = |name: &str| response.headers().get(name).and_then(|value| value.to_str().ok());
-    let (outcome, complete) = match response.status().as_u16() {
+    let (outcome, is_final) = match response.status().as_u16() {
         200 => (Outcome::Ok, true),
         429 => {
             let retry_after = header("X-Come-Back-Ms").and_then(|text| text.trim().parse().ok());
@@ -38,12 +38,7 @@
         // A server error, or a status without a defined meaning: the call may have run.
         _ => (Outcome::Error, false),
     };
-    CallResult {
-        outcome,
-        latency,
-        is_final: complete,
-        allowance: header("X-Load-Report").and_then(parse_load_report),
-    }
+    CallResult { outcome, latency, is_final, allowance: header("X-Load-Report").and_then(parse_load_report) }
 }
 
 /// Parses the load report header; none where a value is missing or implausible.
--- a/crates/gullcart/src/clients.rs
+++ b/crates/gullcart/src/clients.rs
@@ -163,14 +163,14 @@
     slot: ConnectionSlot,
 }
 
-/// What came of reading more of a request.
+/// The result of reading more of a request.
 #[derive(Debug)]
 enum ReadOutcome {
     /// More bytes have arrived.
     More,
     /// The client has closed its side, or a shutdown closes the connection.
     End,
-    /// The connection was asked to close between two requests.
+    /// The connection was asked to close between two requests, to free its slot.
     GiveWay,
     /// The request did not arrive completely in time.
     Late,
--- a/crates/gullcart/src/connection_slots.rs
+++ b/crates/gullcart/src/connection_slots.rs
@@ -14,7 +14,8 @@
 /// While slots are short, a connection without a request is closed before idle ones once it is this old: its first request is
 /// not expected any more.
 const NEW_CONNECTION_MIN_AGE: Duration = Duration::from_millis(250);
-/// While slots are short, a connection whose request arrives slowly may be closed, after all others, once it has taken this long.
+/// While slots are short, a connection whose request arrives slowly may be closed, after all others, once it has taken this
+/// long.
 const SLOW_REQUEST_MIN_AGE: Duration = Duration::from_millis(2500);
 /// A draining connection keeps its slot for at least this long, which its client needs to notice the shutdown and close.
 const DRAINING_MIN_AGE: Duration = Duration::from_millis(20);
--- a/crates/gullcart/src/discovery.rs
+++ b/crates/gullcart/src/discovery.rs
@@ -1,5 +1,5 @@
-//! The client of discovery's agent: watches the list of endpoints, and sends the notices of undelivered messages. Each request uses a new
-//! connection, since a duplicate of an earlier response could not be distinguished from its own response.
+//! The client of discovery's agent: watches the list of endpoints, and sends the notices of undelivered messages. Each request
+//! uses a new connection, since a duplicate of an earlier response could not be distinguished from its own response.
 
 use bytes::Bytes;
 use gullcart_engine::{
--- a/crates/gullcart/src/driver.rs
+++ b/crates/gullcart/src/driver.rs
@@ -165,7 +165,7 @@
     /// Operators waiting for the result of a command; bounded by the number of console connections.
     waiting_operators: HashMap<Ticket, oneshot::Sender<Result<(), CommandError>>>,
     last_ticket: u64,
-    /// Notices for which the sender's queue has no room; bounded by the number of messages held.
+    /// Notices for which the sender's queue has no capacity; bounded by the number of messages held.
     unsent_notices: VecDeque<Notice>,
     /// The longest delay of a timer, or duration of a turn, since the last report.
     max_lateness: Duration,
@@ -380,7 +380,8 @@
         }
     }
 
-    /// Handles a request of the console or of another process. Returns the connection of a process to which the courier is to be handed over.
+    /// Handles a request of the console or of another process. Returns the connection of a process to which the courier is to be
+    /// handed over.
     fn handle_control_request(&mut self, request: ControlRequest) -> Option<UnixStream> {
         match request {
             ControlRequest::Metrics(reply) => {
--- a/crates/gullcart/src/upgrade.rs
+++ b/crates/gullcart/src/upgrade.rs
@@ -1,6 +1,6 @@
-//! The socket over which a running courier is handed over to a process that was started beside it. The handshake bytes and steps of the
-//! protocol are defined in `gullcart-handover`; this module transfers the bytes and descriptors. The courier is stopped meanwhile,
-//! so the transfer uses blocking calls with timeouts.
+//! The socket over which a running courier is handed over to a process that was started beside it. The protocol is defined in
+//! `gullcart-handover`; this module transfers its bytes and the descriptors. The courier is stopped meanwhile, so the transfer
+//! uses blocking calls with timeouts.
 
 use gullcart_handover::{
     decode_header, decode_state, encode, handshake, FrameError, HandoverAction, HandoverEvent,
--- a/crates/gullcart/tests/console.rs
+++ b/crates/gullcart/tests/console.rs
@@ -85,7 +85,7 @@
     call.answer("200 OK", "");
 }
 
-/// Invalid lines are answered at once, and callers without a complete line do not block others.
+/// Invalid lines are answered at once, and connections without a complete line do not block others.
 #[test]
 fn invalid_callers_get_an_answer_and_block_nobody() {
     let world = world(1);
@@ -102,7 +102,7 @@
     let idle: Vec<TcpStream> = (0..100).map(|_| TcpStream::connect(at).unwrap()).collect();
     let asked = Instant::now();
     assert_eq!(ask(at, b"STATUS\n"), "YES\n");
-    // Far less than a caller without a line may stay.
+    // Far less than a connection without a line may stay open.
     assert!(asked.elapsed() < Duration::from_secs(2), "{:?}", asked.elapsed());
     let open = idle.iter().filter(|stream| {
         stream.set_nonblocking(true).unwrap();
--- a/crates/gullcart/tests/courier.rs
+++ b/crates/gullcart/tests/courier.rs
@@ -284,7 +284,7 @@
     assert!(courier.log_until("the journal was replayed").contains(&format!("held={accepted}")));
 }
 
-/// A torn end of the journal is cut off; what stands before it is kept, and the process starts.
+/// An incomplete last write to the journal is cut off; everything before it is kept, and the process starts.
 #[test]
 fn a_torn_journal_is_replayed_up_to_the_tear() {
     let world = World::new(PROGRAM, 1, 3.0);
@@ -300,8 +300,8 @@
     assert_eq!(world.notice(), r#"{"id":"j1","state":"failed"}"#);
 }
 
-/// Damage before the end of the journal is no torn write: the courier does not start, reports the position, and changes
-/// nothing.
+/// Damage before the end of the journal is not an incomplete last write: the courier does not start, reports the position, and
+/// changes nothing.
 #[test]
 fn a_damaged_journal_keeps_the_courier_from_starting() {
     let world = World::new(PROGRAM, 1, 3.0);
--- a/crates/gullcart/tests/endings.rs
+++ b/crates/gullcart/tests/endings.rs
@@ -283,7 +283,7 @@
     }
 }
 
-/// A connection for notices that falls silent is given up soon: a notice counts as lost if it is 300 ms late.
+/// A connection for notices that falls silent is soon abandoned: a notice counts as lost if it is 300 ms late.
 #[test]
 fn a_notice_does_not_wait_for_a_connection_that_fell_silent() {
     let world = World::new(PROGRAM, 1, 3.0);
--- a/crates/gullcart/tests/stale_answers.rs
+++ b/crates/gullcart/tests/stale_answers.rs
@@ -22,7 +22,7 @@
     copies: u32,
 }
 
-/// What became of a call at the repeater.
+/// How the repeater answered a call.
 enum Served {
     /// The call got a response of its own.
     Delivered,
@@ -89,7 +89,7 @@
     assert!(copies > 0, "no connection was reused, so the test shows nothing");
 }
 
-/// The same with identical responses, so that a copy cannot be told from the next response.
+/// The same with identical responses, so that a copy cannot be distinguished from the next response.
 #[test]
 fn a_copy_delivers_nothing_where_all_responses_are_identical() {
     play_copies(|_| String::new());
--- a/crates/gullcart/tests/upgrade.rs
+++ b/crates/gullcart/tests/upgrade.rs
@@ -196,7 +196,7 @@
     assert_eq!(client.ask(&["PING"]), "+PONG");
 }
 
-/// A process that connects and sends nothing, or the wrong word, has no effect.
+/// A process that connects and sends nothing, or the wrong handshake byte, has no effect.
 #[test]
 fn a_process_without_a_hello_gets_nothing() {
     let world = world(1);
