--- a/crates/gullcart/tests/courier.rs
+++ b/crates/gullcart/tests/courier.rs
@@ -170,8 +170,8 @@
     let mut client = courier.client();
     assert_eq!(client.enqueue("w1", "0", "salary", 1, b"x"), "+OK");
     let answered_at = Instant::now();
-    world.next_call().answer("429 Later", "X-Come-Back-Ms: 700\r\n");
-    courier.wait_for_log("told to wait");
+    world.call().answer("429 Later", "X-Come-Back-Ms: 700\r\n");
+    courier.log_until("retry-after received");
     assert_eq!(client.enqueue("w2", "0", "salary", 1, b"x"), "+OK");
     let call = world.next_call();
     assert!(answered_at.elapsed() >= Duration::from_millis(700), "after {:?}", answered_at.elapsed());
@@ -229,7 +229,7 @@
     // Accepted after the silent one.
     assert_eq!(courier.client().request(&["PING"]), "+PONG");
     courier.terminate();
-    courier.wait_for_log("told to end");
+    courier.log_until("shutdown requested");
     assert_eq!(silent.enqueue("f1", "0", "salary", 1, b"x"), "+OK");
     world.next_call().answer("200 OK", "");
     world.expect_nothing();
@@ -241,7 +241,7 @@
     let world = World::new(PROGRAM, 1, 3.0);
     let courier = world.start();
     courier.terminate();
-    courier.wait_for_log("told to end");
+    courier.log_until("shutdown requested");
     for _ in 0..20 {
         let mut client = courier.client();
         // By now it is accepted, and nothing was read from it.
@@ -284,7 +284,7 @@
     assert!(courier.wait_for_log("the journal was replayed").contains(&format!("held={accepted}")));
 }
 
-/// A torn end of the journal is cut off; what stands before it is kept, and the process starts.
+/// An incomplete last write to the journal is cut off; everything before it is kept, and the process starts.
 #[test]
 fn a_torn_journal_is_replayed_up_to_the_tear() {
     let world = World::new(PROGRAM, 1, 3.0);
@@ -300,8 +300,8 @@
     assert_eq!(world.next_notice(), r#"{"id":"j1","state":"failed"}"#);
 }
 
-/// Damage before the end of the journal is no torn write: the courier does not start, reports the position, and changes
-/// nothing.
+/// Damage before the end of the journal is not an incomplete last write: the courier does not start, reports the position, and
+/// changes nothing.
 #[test]
 fn a_damaged_journal_keeps_the_courier_from_starting() {
     let world = World::new(PROGRAM, 1, 3.0);
@@ -513,8 +513,8 @@
     assert_eq!(call.endpoint, 1);
     let answered_at = Instant::now();
     call.answer("429 Later", "X-Come-Back-Ms: 3500\r\n");
-    courier.wait_for_log("told to wait");
-    world.serve_stalled(hanging);
+    courier.log_until("retry-after received");
+    world.release(hanging);
     for _ in 0..2 {
         let call = world.next_call();
         assert!(answered_at.elapsed() >= Duration::from_millis(3500), "after {:?}", answered_at.elapsed());
--- a/crates/gullcart/tests/endings.rs
+++ b/crates/gullcart/tests/endings.rs
@@ -121,7 +121,7 @@
     assert_eq!(courier.client().enqueue("hung", "0", "salary", 1, b"x"), "+OK");
     let _hung = world.next_call();
     courier.terminate();
-    courier.wait_for_log("told to end");
+    courier.log_until("shutdown requested");
     let mut clients = Vec::new();
     courier.while_stopped(|| {
         for number in 0..10 {
@@ -163,8 +163,8 @@
     let _hung = world.next_call();
     let begun = Instant::now();
     courier.terminate();
-    courier.wait_for_log("told to end");
-    world.leave_notices_unanswered(true);
+    courier.log_until("shutdown requested");
+    world.hold_notices(true);
     // Each is closed when its first request does not arrive, which takes some of the time until the end.
     for _ in 0..2 {
         assert_eq!(courier.client().read_to_end().unwrap(), "");
@@ -283,7 +283,7 @@
     }
 }
 
-/// A connection for notices that falls silent is given up soon: a notice counts as lost if it is 300 ms late.
+/// A connection for notices that falls silent is soon abandoned: a notice counts as lost if it is 300 ms late.
 #[test]
 fn a_notice_does_not_wait_for_a_connection_that_fell_silent() {
     let world = World::new(PROGRAM, 1, 3.0);
--- a/crates/gullcart/tests/upgrade.rs
+++ b/crates/gullcart/tests/upgrade.rs
@@ -84,7 +84,7 @@
     assert_eq!(client.enqueue("w1", "0", "salary", 1, b"x"), "+OK");
     world.next_call().answer("429 Too Many", "X-Come-Back-Ms: 60000\r\n");
     assert_eq!(ask(&old, "SUSPEND s-1\n"), "YES\n");
-    old.wait_for_log("told to wait");
+    old.log_until("retry-after received");
     let _new = upgrade(&world);
     old.terminate();
     old.wait_for_exit(Duration::from_secs(2));
@@ -196,7 +196,7 @@
     assert_eq!(client.request(&["PING"]), "+PONG");
 }
 
-/// A process that connects and sends nothing, or the wrong word, has no effect.
+/// A process that connects and sends nothing, or the wrong handshake byte, has no effect.
 #[test]
 fn a_process_without_a_hello_gets_nothing() {
     let world = world(1);
@@ -211,7 +211,7 @@
     assert_eq!(ask(&old, "STATUS\n"), "YES\n");
 }
 
-/// A process that was told to end hands nothing over; the new one waits for its end.
+/// A process that is shutting down hands nothing over; the new one waits for its end.
 #[test]
 fn a_process_that_ends_is_waited_for() {
     let world = world(1);
@@ -219,7 +219,7 @@
     assert_eq!(old.client().enqueue("a1", "0", "salary", 1, b"x"), "+OK");
     let in_flight = world.next_call();
     old.terminate();
-    old.wait_for_log("told to end");
+    old.log_until("shutdown requested");
     let new = world.start();
     assert_eq!(ask(&new, "STATUS\n"), "YES\n");
     assert!(old.wait_for_exit(Duration::from_secs(5)).success());
