--- a/crates/gullcart/tests/courier.rs
+++ b/crates/gullcart/tests/courier.rs
@@ -170,8 +170,8 @@
     let mut client = courier.client();
     assert_eq!(client.enqueue("w1", "0", "salary", 1, b"x"), "+OK");
     let answered_at = Instant::now();
-    world.call().answer("429 Later", "X-Come-Back-Ms: 700\r\n");
-    courier.log_until("retry-after received");
+    world.next_call().answer("429 Later", "X-Come-Back-Ms: 700\r\n");
+    courier.wait_for_log("retry-after received");
     assert_eq!(client.enqueue("w2", "0", "salary", 1, b"x"), "+OK");
     let call = world.next_call();
     assert!(answered_at.elapsed() >= Duration::from_millis(700), "after {:?}", answered_at.elapsed());
@@ -229,7 +229,7 @@
     // Accepted after the silent one.
     assert_eq!(courier.client().request(&["PING"]), "+PONG");
     courier.terminate();
-    courier.log_until("shutdown requested");
+    courier.wait_for_log("shutdown requested");
     assert_eq!(silent.enqueue("f1", "0", "salary", 1, b"x"), "+OK");
     world.next_call().answer("200 OK", "");
     world.expect_nothing();
@@ -241,7 +241,7 @@
     let world = World::new(PROGRAM, 1, 3.0);
     let courier = world.start();
     courier.terminate();
-    courier.log_until("shutdown requested");
+    courier.wait_for_log("shutdown requested");
     for _ in 0..20 {
         let mut client = courier.client();
         // By now it is accepted, and nothing was read from it.
@@ -513,8 +513,8 @@
     assert_eq!(call.endpoint, 1);
     let answered_at = Instant::now();
     call.answer("429 Later", "X-Come-Back-Ms: 3500\r\n");
-    courier.log_until("retry-after received");
-    world.release(hanging);
+    courier.wait_for_log("retry-after received");
+    world.serve_stalled(hanging);
     for _ in 0..2 {
         let call = world.next_call();
         assert!(answered_at.elapsed() >= Duration::from_millis(3500), "after {:?}", answered_at.elapsed());
--- a/crates/gullcart/tests/endings.rs
+++ b/crates/gullcart/tests/endings.rs
@@ -121,7 +121,7 @@
     assert_eq!(courier.client().enqueue("hung", "0", "salary", 1, b"x"), "+OK");
     let _hung = world.next_call();
     courier.terminate();
-    courier.log_until("shutdown requested");
+    courier.wait_for_log("shutdown requested");
     let mut clients = Vec::new();
     courier.while_stopped(|| {
         for number in 0..10 {
@@ -163,8 +163,8 @@
     let _hung = world.next_call();
     let begun = Instant::now();
     courier.terminate();
-    courier.log_until("shutdown requested");
-    world.hold_notices(true);
+    courier.wait_for_log("shutdown requested");
+    world.leave_notices_unanswered(true);
     // Each is closed when its first request does not arrive, which takes some of the time until the end.
     for _ in 0..2 {
         assert_eq!(courier.client().read_to_end().unwrap(), "");
--- a/crates/gullcart/tests/upgrade.rs
+++ b/crates/gullcart/tests/upgrade.rs
@@ -84,7 +84,7 @@
     assert_eq!(client.enqueue("w1", "0", "salary", 1, b"x"), "+OK");
     world.next_call().answer("429 Too Many", "X-Come-Back-Ms: 60000\r\n");
     assert_eq!(ask(&old, "SUSPEND s-1\n"), "YES\n");
-    old.log_until("retry-after received");
+    old.wait_for_log("retry-after received");
     let _new = upgrade(&world);
     old.terminate();
     old.wait_for_exit(Duration::from_secs(2));
@@ -219,7 +219,7 @@
     assert_eq!(old.client().enqueue("a1", "0", "salary", 1, b"x"), "+OK");
     let in_flight = world.next_call();
     old.terminate();
-    old.log_until("shutdown requested");
+    old.wait_for_log("shutdown requested");
     let new = world.start();
     assert_eq!(ask(&new, "STATUS\n"), "YES\n");
     assert!(old.wait_for_exit(Duration::from_secs(5)).success());
--- a/crates/gullcartctl/src/rehearse.rs
+++ b/crates/gullcartctl/src/rehearse.rs
@@ -195,7 +195,7 @@
         let faults = if faults.is_empty() { String::new() } else { format!("  [{}]", faults.join(", ")) };
         let text = format!(
             "service {:.3}  breaches {breaches}  messages pending {pending}{faults}",
-            service.service
+            service.combined
         );
         if self.is_plain && !self.quiet && *at >= self.next_line_s {
             self.next_line_s = at + PLAIN_PROGRESS_INTERVAL_S;
